--- a/src/main/java/org/orioleshed/Orioleshed.java
+++ b/src/main/java/org/orioleshed/Orioleshed.java
@@ -8,14 +8,14 @@
 import org.orioleshed.host.NaiveHost;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
+import org.orioleshed.model.StateMachine;
 
 /**
  * The decisions of an entry host, for anyone who brings sockets, store and clock of their own.
  *
  * <pre>{@code
  * Machine<HostEvent, HostAction> host = Orioleshed.host("suva-a-1", "suva-a", incarnation);
- * host.on(nowNanos, new HostEvent.WorldChanged(world));
+ * host.on(nowNanos, new HostEvent.FleetChanged(fleet));
  * List<HostAction> todo = host.on(nowNanos, new HostEvent.RequestArrived(request));
  * }</pre>
  */
@@ -30,7 +30,8 @@
      * @param domain its failure domain, not blank
      * @param incarnation grows with each start of the host; also seeds its random choices
      */
-    public static Machine<HostEvent, HostAction> host(String id, String domain, long incarnation) {
+    public static StateMachine<HostEvent, HostAction> host(
+            String id, String domain, long incarnation) {
         return new HostCore(
                 new HostId(id),
                 new FailureDomain(domain),
@@ -43,7 +44,7 @@
      * Returns the naive decisions that the others are compared with: round robin, no claims, no
      * preemption.
      */
-    public static Machine<HostEvent, HostAction> naiveHost() {
+    public static StateMachine<HostEvent, HostAction> naiveHost() {
         return new NaiveHost();
     }
 }
--- a/src/main/java/org/orioleshed/admin/AdminBackend.java
+++ b/src/main/java/org/orioleshed/admin/AdminBackend.java
@@ -30,20 +30,20 @@
     /** Tells which revision each host has in force. */
     CompletableFuture<AdminReply> settingsStatus();
 
-    /** Plans a move. */
-    CompletableFuture<AdminReply> planMove(MovePlan plan);
+    /** Plans a rollout. */
+    CompletableFuture<AdminReply> planRollout(RolloutPlan plan);
 
-    /** Lists all moves. */
-    CompletableFuture<AdminReply> moves();
+    /** Lists all rollouts. */
+    CompletableFuture<AdminReply> rollouts();
 
-    /** Shows one move with its evidence. */
-    CompletableFuture<AdminReply> move(String id);
+    /** Shows one rollout with its evidence. */
+    CompletableFuture<AdminReply> rollout(String id);
 
-    /** Takes a move back that has no outcome yet. */
-    CompletableFuture<AdminReply> takeMoveBack(String id, String author, String reason);
+    /** Takes a rollout back that has no outcome yet. */
+    CompletableFuture<AdminReply> rollBack(String id, String author, String reason);
 
     /**
-     * Waits for notices of moves.
+     * Waits for notices of rollouts.
      *
      * @param after the sequence number of the last notice seen; zero for none
      * @param waitMillis how long to wait when there is none, in milliseconds
@@ -101,7 +101,7 @@
     /**
      * A move to be planned.
      *
-     * @param id the move's name; empty to have one made
+     * @param id the rollout's name; empty to have one made
      * @param target the model or service, as {@code model:NAME} or {@code service:NAME}
      * @param from the version that traffic leaves
      * @param to the version that traffic goes to
@@ -111,7 +111,7 @@
      * @param author the operator
      * @param reason why
      */
-    record MovePlan(
+    record RolloutPlan(
             Optional<String> id,
             String target,
             String from,
@@ -122,13 +122,13 @@
             String author,
             String reason) {
         /** Copies the lists. */
-        public MovePlan {
+        public RolloutPlan {
             routes = List.copyOf(routes);
             loads = List.copyOf(loads);
         }
     }
 
-    /** Notices of moves, the oldest first, and the number to ask after next time. */
+    /** Notices of rollouts, the oldest first, and the number to ask after next time. */
     record Notices(List<Notice> notices, long last) {
         /** Copies the list. */
         public Notices {
@@ -136,6 +136,6 @@
         }
     }
 
-    /** One notice of a move. */
-    record Notice(long sequence, String move, String kind, long epochMillis, String detail) {}
+    /** One notice of a rollout. */
+    record Notice(long sequence, String rollout, String kind, long epochMillis, String detail) {}
 }
--- a/src/main/java/org/orioleshed/admin/AdminJson.java
+++ b/src/main/java/org/orioleshed/admin/AdminJson.java
@@ -50,7 +50,7 @@
         for (AdminBackend.Notice notice : notices.notices()) {
             list.addObject()
                     .put("sequence", notice.sequence())
-                    .put("move", notice.move())
+                    .put("move", notice.rollout())
                     .put("kind", notice.kind())
                     .put("epochMillis", notice.epochMillis())
                     .put("detail", notice.detail());
--- a/src/main/java/org/orioleshed/admin/AdminMain.java
+++ b/src/main/java/org/orioleshed/admin/AdminMain.java
@@ -38,11 +38,11 @@
                     name = "moves",
                     description = "Plan, follow and take back moves between versions",
                     commands = {
-                        MoveCommands.Plan.class,
-                        MoveCommands.ListAll.class,
-                        MoveCommands.Show.class,
-                        MoveCommands.TakeBack.class,
-                        MoveCommands.Watch.class
+                        RolloutCommands.Plan.class,
+                        RolloutCommands.ListAll.class,
+                        RolloutCommands.Show.class,
+                        RolloutCommands.RollBack.class,
+                        RolloutCommands.Watch.class
                     }),
             @Group(
                     name = "poison",
--- a/src/main/java/org/orioleshed/admin/AdminRoutes.java
+++ b/src/main/java/org/orioleshed/admin/AdminRoutes.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.orioleshed.admin.AdminBackend.MovePlan;
+import org.orioleshed.admin.AdminBackend.RolloutPlan;
 import org.orioleshed.admin.AdminBackend.SettingsChange;
 import org.orioleshed.settings.Operator;
 
@@ -24,7 +24,7 @@
         /** A reply of the backend; {@code audit} tells what was to be changed, empty for reads. */
         record Reply(CompletableFuture<AdminReply> future, String audit) implements Answer {}
 
-        /** Notices of moves. */
+        /** Notices of rollouts. */
         record Watch(CompletableFuture<AdminBackend.Notices> future) implements Answer {}
     }
 
@@ -41,7 +41,7 @@
         }
         return switch (path.get(0)) {
             case "settings" -> settings(call, operator);
-            case "moves" -> moves(call, operator);
+            case "moves" -> rollouts(call, operator);
             case "hosts" -> table(call, backend::hosts);
             case "servers" -> table(call, backend::servers);
             case "requests" -> requests(call);
@@ -98,12 +98,12 @@
         return new Answer.Reply(backend.changeSettings(change), audit);
     }
 
-    private Answer moves(AdminCall call, Operator operator) throws AdminException {
+    private Answer rollouts(AdminCall call, Operator operator) throws AdminException {
         List<String> path = call.path();
         requireLength(call, 3);
         if (path.size() == 1) {
             return switch (call.method()) {
-                case "GET" -> read(backend.moves());
+                case "GET" -> read(backend.rollouts());
                 case "POST" -> plan(call, operator);
                 default -> throw badMethod(call);
             };
@@ -116,20 +116,20 @@
                 long wait = call.queryNumber("waitMillis", MAX_WAIT_MILLIS, MAX_WAIT_MILLIS);
                 return new Answer.Watch(backend.notices(after, wait));
             }
-            return read(backend.move(id));
+            return read(backend.rollout(id));
         }
         if (!path.get(2).equals("take-back")) {
             throw unknown(call);
         }
         requirePost(call);
         return new Answer.Reply(
-                backend.takeMoveBack(id, operator.name(), call.text("reason")),
+                backend.rollBack(id, operator.name(), call.text("reason")),
                 "moves.takeBack move=" + id);
     }
 
     private Answer plan(AdminCall call, Operator operator) throws AdminException {
-        MovePlan plan =
-                new MovePlan(
+        RolloutPlan plan =
+                new RolloutPlan(
                         call.optionalText("id"),
                         call.text("target"),
                         call.text("from"),
@@ -148,7 +148,7 @@
         }
         String audit =
                 "moves.plan target=" + plan.target() + " from=" + plan.from() + " to=" + plan.to();
-        return new Answer.Reply(backend.planMove(plan), audit);
+        return new Answer.Reply(backend.planRollout(plan), audit);
     }
 
     private Answer requests(AdminCall call) throws AdminException {
--- a/src/main/java/org/orioleshed/admin/MoveCommands.java
+++ b/src/main/java/org/orioleshed/admin/RolloutCommands.java
@@ -17,11 +17,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands about moves. */
-final class MoveCommands {
-    private MoveCommands() {}
+/** Commands about rollouts. */
+final class RolloutCommands {
+    private RolloutCommands() {}
 
-    /** Plans a move. */
+    /** Plans a rollout. */
     @Command(name = "plan", description = "Plan a move from one version to the next")
     public static final class Plan extends AdminCommand {
         @Option(name = "--id", title = "name", description = "The move's name; made up if left out")
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Shows a move. */
+    /** Shows a rollout. */
     @Command(name = "show", description = "Show a move with its evidence")
     public static final class Show extends AdminCommand {
         @Arguments(title = "move", description = "The move's name")
@@ -122,9 +122,9 @@
         }
     }
 
-    /** Takes a move back. */
+    /** Takes a rollout back. */
     @Command(name = "take-back", description = "Take a move back that has no outcome yet")
-    public static final class TakeBack extends AdminCommand {
+    public static final class RollBack extends AdminCommand {
         @Arguments(title = "move", description = "The move's name")
         @Required
         @MaxOccurrences(occurrences = 1)
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Follows the notices of moves. */
+    /** Follows the notices of rollouts. */
     @Command(name = "watch", description = "Write notices of moves as they come, until stopped")
     public static final class Watch extends AdminCommand {
         @Option(name = "--after", title = "number", description = "Only notices after this one")
--- a/src/main/java/org/orioleshed/claim/DisownedClaims.java
+++ b/src/main/java/org/orioleshed/claim/AbandonedClaims.java
@@ -8,7 +8,7 @@
 import org.orioleshed.model.RunId;
 
 /** Claims given up while a write of them was under way or its answer lost; they may still land. */
-final class DisownedClaims {
+final class AbandonedClaims {
     static final int MAX_WATCHED = 10_000;
 
     private final Map<RunId, RequestKey> keyByRun = new LinkedHashMap<>();
--- a/src/main/java/org/orioleshed/claim/Bucket.java
+++ b/src/main/java/org/orioleshed/claim/Bucket.java
@@ -25,7 +25,7 @@
     private final BucketCalls calls;
     private final BucketQueue queue;
     private final KnownHead known = new KnownHead();
-    private final PageMove pageMove;
+    private final PageRotation pageRotation;
     private boolean pumping;
 
     /** All that registered up to here may rely on the head as it is known. */
@@ -36,8 +36,8 @@
         this.store = store;
         this.calls = new BucketCalls(prefix, store, this::pump);
         this.queue = new BucketQueue(limits);
-        this.pageMove =
-                new PageMove(
+        this.pageRotation =
+                new PageRotation(
                         limits,
                         calls,
                         known,
@@ -66,8 +66,8 @@
     }
 
     /** Gives up on a claim; should it land all the same, its key is freed again. */
-    void disown(RequestKey key, RunId run) {
-        queue.disown(key, run);
+    void abandon(RequestKey key, RunId run) {
+        queue.abandon(key, run);
     }
 
     boolean isClaiming(RunId run) {
@@ -86,7 +86,7 @@
     }
 
     void tick(long nowNanos) {
-        queue.expire(nowNanos, store.isAway());
+        queue.expire(nowNanos, store.isUnavailable());
         pump(nowNanos);
     }
 
@@ -101,7 +101,7 @@
     }
 
     private boolean mayRead() {
-        return !known.isKnown() && !store.isAway();
+        return !known.isKnown() && !store.isUnavailable();
     }
 
     private void step(long nowNanos) {
@@ -194,7 +194,7 @@
             return;
         }
         Claims.Result result =
-                claim.isOf(present.get()) ? new Claims.Result.Owned() : present.get().taken();
+                claim.isOf(present.get()) ? new Claims.Result.Acquired() : present.get().taken();
         queue.settle(nowNanos, claim, result);
     }
 
@@ -216,7 +216,7 @@
         if (next.isDue(nowNanos)) {
             writeHead(nowNanos, next.head(), next.ends());
         } else if (next.isFull()) {
-            pageMove.start(nowNanos);
+            pageRotation.start(nowNanos);
         }
     }
 
--- a/src/main/java/org/orioleshed/claim/BucketQueue.java
+++ b/src/main/java/org/orioleshed/claim/BucketQueue.java
@@ -22,7 +22,7 @@
     private final Map<RunId, PendingClaim> claims = new LinkedHashMap<>();
     private final List<PendingClaim> lookUps = new ArrayList<>();
     private final Map<RunId, PendingOutcome> outcomes = new LinkedHashMap<>();
-    private final DisownedClaims disowned = new DisownedClaims();
+    private final AbandonedClaims abandoned = new AbandonedClaims();
     private long registered;
 
     BucketQueue(ClaimLimits limits) {
@@ -58,7 +58,7 @@
     void addOutcome(long nowNanos, RequestKey key, RunId run, Outcome outcome, Runnable written) {
         if (outcome instanceof Outcome.NotRun) {
             claims.remove(run);
-            if (outcomes.size() >= DisownedClaims.MAX_WATCHED) {
+            if (outcomes.size() >= AbandonedClaims.MAX_WATCHED) {
                 return;
             }
         }
@@ -67,9 +67,9 @@
     }
 
     /** Gives up on a claim; should it land all the same, its key is freed again. */
-    void disown(RequestKey key, RunId run) {
+    void abandon(RequestKey key, RunId run) {
         claims.remove(run);
-        disowned.add(key, run);
+        abandoned.add(key, run);
     }
 
     boolean isClaiming(RunId run) {
@@ -82,7 +82,7 @@
      * @param mayLand whether a write was not heard of, so that a claim given up may stand unseen
      */
     boolean isIdle(boolean mayLand) {
-        return claims.isEmpty() && outcomes.isEmpty() && (disowned.isEmpty() || !mayLand);
+        return claims.isEmpty() && outcomes.isEmpty() && (abandoned.isEmpty() || !mayLand);
     }
 
     /**
@@ -93,7 +93,7 @@
     boolean isDue(long nowNanos, boolean mayRead) {
         return !claims.isEmpty()
                 || !lookUps.isEmpty()
-                || (mayRead && !disowned.isEmpty())
+                || (mayRead && !abandoned.isEmpty())
                 || outcomes.values().stream().anyMatch(outcome -> outcome.isDue(nowNanos));
     }
 
@@ -128,25 +128,25 @@
     }
 
     /** Tells whoever asked that the store is away, for all that waited too long. */
-    void expire(long nowNanos, boolean storeAway) {
-        expire(nowNanos, storeAway, claims.values().iterator());
-        expire(nowNanos, storeAway, lookUps.iterator());
+    void expire(long nowNanos, boolean storeUnavailable) {
+        expire(nowNanos, storeUnavailable, claims.values().iterator());
+        expire(nowNanos, storeUnavailable, lookUps.iterator());
     }
 
-    private void expire(long nowNanos, boolean storeAway, Iterator<PendingClaim> all) {
+    private void expire(long nowNanos, boolean storeUnavailable, Iterator<PendingClaim> all) {
         List<PendingClaim> late = new ArrayList<>();
         while (all.hasNext()) {
             PendingClaim claim = all.next();
-            if (nowNanos >= claim.untilNanos || storeAway) {
+            if (nowNanos >= claim.untilNanos || storeUnavailable) {
                 all.remove();
                 late.add(claim);
             }
         }
         for (PendingClaim claim : late) {
             if (claim.own) {
-                claim.run.ifPresent(run -> disown(claim.key, run));
+                claim.run.ifPresent(run -> abandon(claim.key, run));
             }
-            claim.settled.settled(nowNanos, new Claims.Result.Away());
+            claim.settled.settled(nowNanos, new Claims.Result.Unavailable());
         }
     }
 
@@ -173,10 +173,10 @@
     void settleLanded(long nowNanos, ClaimHead head) {
         for (PendingClaim claim : claims()) {
             if (head.find(claim.key, claim.run.orElseThrow()).isPresent()) {
-                settle(nowNanos, claim, new Claims.Result.Owned());
+                settle(nowNanos, claim, new Claims.Result.Acquired());
             }
         }
-        for (ClaimRecord landed : disowned.takeLanded(head)) {
+        for (ClaimRecord landed : abandoned.takeLanded(head)) {
             free(nowNanos, landed);
         }
         for (PendingOutcome outcome : outcomes()) {
--- a/src/main/java/org/orioleshed/claim/ClaimCore.java
+++ b/src/main/java/org/orioleshed/claim/ClaimCore.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Rendezvous;
-import org.orioleshed.fleet.World;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.HostId;
@@ -19,10 +19,10 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.request.Claims;
 import org.orioleshed.request.RequestMessage;
-import org.orioleshed.request.RequestMessage.ClaimAsked;
+import org.orioleshed.request.RequestMessage.ClaimReported;
+import org.orioleshed.request.RequestMessage.ClaimRequested;
 import org.orioleshed.request.RequestMessage.ClaimResult;
-import org.orioleshed.request.RequestMessage.ClaimTold;
-import org.orioleshed.request.RequestMessage.OutcomeAsked;
+import org.orioleshed.request.RequestMessage.OutcomeRequested;
 
 /**
  * The claims of this host. Keys are divided over buckets; each bucket has one writer at a time, the
@@ -53,10 +53,10 @@
     private final StoreCalls store;
     private final List<Bucket> buckets = new ArrayList<>();
     private final Map<RunId, Asked> asked = new LinkedHashMap<>();
-    private final Map<RunId, AskedOutcome> askedOutcomes = new LinkedHashMap<>();
+    private final Map<RunId, RequestedOutcome> askedOutcomes = new LinkedHashMap<>();
     private final Map<RunId, RequestKey> givenUp = new LinkedHashMap<>();
     private final Deque<Runnable> settled = new ArrayDeque<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private Claims.Listener listener;
 
     /** A claim that the bucket's writer was asked for. */
@@ -64,7 +64,7 @@
             RequestKey key, Optional<RunId> replaces, HostId writer, long fallBackNanos) {}
 
     /** An outcome that the bucket's writer was asked to record. */
-    private record AskedOutcome(RequestKey key, Outcome outcome, int tries, long nextNanos) {}
+    private record RequestedOutcome(RequestKey key, Outcome outcome, int tries, long nextNanos) {}
 
     /**
      * Makes the claims of a host that has asked the store nothing yet.
@@ -96,7 +96,7 @@
             return;
         }
         asked.put(run, new Asked(key, replaces, writer.get(), nowNanos + WRITER_NANOS));
-        send(writer.get(), new ClaimAsked(key, run, replaces));
+        send(writer.get(), new ClaimRequested(key, run, replaces));
     }
 
     private void claimHere(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces) {
@@ -112,11 +112,11 @@
     }
 
     @Override
-    public void disown(RequestKey key, RunId run) {
+    public void abandon(RequestKey key, RunId run) {
         asked.remove(run);
-        bucket(key).disown(key, run);
+        bucket(key).abandon(key, run);
         // The writer may have the claim yet, and this host may be gone when it lands.
-        otherWriter(key).ifPresent(writer -> send(writer, new OutcomeAsked(key, run, NEVER)));
+        otherWriter(key).ifPresent(writer -> send(writer, new OutcomeRequested(key, run, NEVER)));
         givenUp.put(run, key);
         if (givenUp.size() > MAX_GIVEN_UP) {
             givenUp.remove(givenUp.keySet().iterator().next());
@@ -131,14 +131,14 @@
             bucket(key).record(nowNanos, key, run, kept, () -> {});
             return;
         }
-        askOutcome(nowNanos, run, new AskedOutcome(key, kept, 0, 0), writer.get());
+        askOutcome(nowNanos, run, new RequestedOutcome(key, kept, 0, 0), writer.get());
     }
 
-    private void askOutcome(long nowNanos, RunId run, AskedOutcome outcome, HostId writer) {
+    private void askOutcome(long nowNanos, RunId run, RequestedOutcome outcome, HostId writer) {
         long next = nowNanos + OUTCOME_REPEAT_NANOS;
         askedOutcomes.put(
-                run, new AskedOutcome(outcome.key, outcome.outcome, outcome.tries + 1, next));
-        send(writer, new OutcomeAsked(outcome.key, run, outcome.outcome));
+                run, new RequestedOutcome(outcome.key, outcome.outcome, outcome.tries + 1, next));
+        send(writer, new OutcomeRequested(outcome.key, run, outcome.outcome));
     }
 
     /** Returns the outcome as far as the store keeps it. */
@@ -167,7 +167,7 @@
                     store.onAnswer(nowNanos, answered.ticket(), answered.answer());
             case HostEvent.RequestReceived received ->
                     received(nowNanos, received.from(), received.message());
-            case HostEvent.WorldChanged changed -> world = changed.world();
+            case HostEvent.FleetChanged changed -> fleet = changed.fleet();
             case HostEvent.Tick tick -> tick(nowNanos);
             default -> {}
         }
@@ -190,9 +190,9 @@
 
     private void received(long nowNanos, HostId from, RequestMessage message) {
         switch (message) {
-            case ClaimAsked claim -> onClaimAsked(nowNanos, from, claim);
-            case ClaimTold told -> onClaimTold(nowNanos, told);
-            case OutcomeAsked outcome ->
+            case ClaimRequested claim -> onClaimRequested(nowNanos, from, claim);
+            case ClaimReported told -> onClaimReported(nowNanos, told);
+            case OutcomeRequested outcome ->
                     bucket(outcome.key())
                             .record(
                                     nowNanos,
@@ -202,7 +202,7 @@
                                     () ->
                                             send(
                                                     from,
-                                                    new ClaimTold(
+                                                    new ClaimReported(
                                                             outcome.key(),
                                                             outcome.run(),
                                                             new ClaimResult.Recorded())));
@@ -210,7 +210,7 @@
         }
     }
 
-    private void onClaimAsked(long nowNanos, HostId from, ClaimAsked claim) {
+    private void onClaimRequested(long nowNanos, HostId from, ClaimRequested claim) {
         boolean ownRun = claim.run().request().host().equals(from);
         Bucket bucket = bucket(claim.key());
         if (!ownRun || bucket.isClaiming(claim.run())) {
@@ -222,19 +222,21 @@
                 claim.run(),
                 claim.replaces(),
                 false,
-                (now, result) -> send(from, new ClaimTold(claim.key(), claim.run(), told(result))));
+                (now, result) ->
+                        send(from, new ClaimReported(claim.key(), claim.run(), told(result))));
     }
 
     private static ClaimResult told(Claims.Result result) {
         return switch (result) {
-            case Claims.Result.Owned owned -> new ClaimResult.Owned();
-            case Claims.Result.Taken taken -> new ClaimResult.Taken(taken.owner(), taken.outcome());
-            case Claims.Result.Free free -> new ClaimResult.Away();
-            case Claims.Result.Away away -> new ClaimResult.Away();
+            case Claims.Result.Acquired owned -> new ClaimResult.Acquired();
+            case Claims.Result.Taken taken ->
+                    new ClaimResult.Taken(taken.holder(), taken.outcome());
+            case Claims.Result.Free free -> new ClaimResult.Unavailable();
+            case Claims.Result.Unavailable unavailable -> new ClaimResult.Unavailable();
         };
     }
 
-    private void onClaimTold(long nowNanos, ClaimTold told) {
+    private void onClaimReported(long nowNanos, ClaimReported told) {
         RunId run = told.run();
         if (told.result() instanceof ClaimResult.Recorded) {
             askedOutcomes.remove(run);
@@ -246,14 +248,16 @@
             return;
         }
         switch (told.result()) {
-            case ClaimResult.Owned owned -> settle(nowNanos, claim, run, new Claims.Result.Owned());
+            case ClaimResult.Acquired owned ->
+                    settle(nowNanos, claim, run, new Claims.Result.Acquired());
             case ClaimResult.Taken taken ->
                     settle(
                             nowNanos,
                             claim,
                             run,
-                            new Claims.Result.Taken(taken.owner(), taken.outcome()));
-            case ClaimResult.Away away -> claimHere(nowNanos, claim.key, run, claim.replaces);
+                            new Claims.Result.Taken(taken.holder(), taken.outcome()));
+            case ClaimResult.Unavailable unavailable ->
+                    claimHere(nowNanos, claim.key, run, claim.replaces);
             case ClaimResult.Recorded recorded -> {}
         }
     }
@@ -263,9 +267,9 @@
     }
 
     /** Frees a key whose claim landed after its call was given up. */
-    private void freeGivenUp(long nowNanos, ClaimTold told) {
+    private void freeGivenUp(long nowNanos, ClaimReported told) {
         RequestKey key = givenUp.get(told.run());
-        if (key != null && told.result() instanceof ClaimResult.Owned) {
+        if (key != null && told.result() instanceof ClaimResult.Acquired) {
             givenUp.remove(told.run());
             record(nowNanos, key, told.run(), NEVER);
         }
@@ -292,8 +296,8 @@
     }
 
     private void repeatOutcomes(long nowNanos) {
-        for (Map.Entry<RunId, AskedOutcome> entry : List.copyOf(askedOutcomes.entrySet())) {
-            AskedOutcome outcome = entry.getValue();
+        for (Map.Entry<RunId, RequestedOutcome> entry : List.copyOf(askedOutcomes.entrySet())) {
+            RequestedOutcome outcome = entry.getValue();
             if (nowNanos < outcome.nextNanos) {
                 continue;
             }
@@ -318,7 +322,7 @@
 
     /** Returns the host that should write claims on {@code key}, unless it is this one. */
     private Optional<HostId> otherWriter(RequestKey key) {
-        return Rendezvous.choose(world, PREFIX + bucketNumber(key))
+        return Rendezvous.choose(fleet, PREFIX + bucketNumber(key))
                 .filter(writer -> !writer.equals(self));
     }
 
--- a/src/main/java/org/orioleshed/claim/PageMove.java
+++ b/src/main/java/org/orioleshed/claim/PageRotation.java
@@ -12,7 +12,7 @@
  * then the head without them. A failure between the two leaves the claims in both, which is
  * harmless.
  */
-final class PageMove {
+final class PageRotation {
     private final ClaimLimits limits;
     private final BucketCalls calls;
     private final KnownHead known;
@@ -24,7 +24,7 @@
     }
 
     /** The page that the claims of a head go to. */
-    private record Move(ClaimHead head, PageRef target, boolean startsPage) {
+    private record Rotation(ClaimHead head, PageRef target, boolean startsPage) {
         /** Returns whether a page found in the target's slot is the target or makes room for it. */
         boolean accepts(long foundGeneration) {
             return startsPage
@@ -33,7 +33,7 @@
         }
     }
 
-    PageMove(ClaimLimits limits, BucketCalls calls, KnownHead known, Emptied emptied) {
+    PageRotation(ClaimLimits limits, BucketCalls calls, KnownHead known, Emptied emptied) {
         this.limits = limits;
         this.calls = calls;
         this.known = known;
@@ -47,33 +47,33 @@
             startPage(nowNanos, head);
             return;
         }
-        readTarget(nowNanos, new Move(head, head.pages().getLast(), false));
+        readTarget(nowNanos, new Rotation(head, head.pages().getLast(), false));
     }
 
     private void startPage(long nowNanos, ClaimHead head) {
         PageRef target = new PageRef(head.freeSlot(), head.nextGeneration(), 0, 0);
-        readTarget(nowNanos, new Move(head, target, true));
+        readTarget(nowNanos, new Rotation(head, target, true));
     }
 
-    private void readTarget(long nowNanos, Move move) {
+    private void readTarget(long nowNanos, Rotation rotation) {
         calls.readPage(
                 nowNanos,
-                move.target.slot(),
+                rotation.target.slot(),
                 (now, answer) -> {
                     if (answer instanceof StoreAnswer.Value value) {
                         calls.succeeded();
-                        writeTarget(now, move, value);
+                        writeTarget(now, rotation, value);
                     } else {
                         calls.failed(now);
                     }
                 });
     }
 
-    private void writeTarget(long nowNanos, Move move, StoreAnswer.Value value) {
+    private void writeTarget(long nowNanos, Rotation rotation, StoreAnswer.Value value) {
         Optional<ClaimPage> present = ClaimPage.in(value);
         long found = present.map(ClaimPage::generation).orElse(0L);
-        long generation = move.target.generation();
-        if (!move.accepts(found)) {
+        long generation = rotation.target.generation();
+        if (!rotation.accepts(found)) {
             startOver(nowNanos);
             return;
         }
@@ -81,21 +81,21 @@
                 found == generation
                         ? present.orElseThrow()
                         : new ClaimPage(generation, 0, List.of());
-        ClaimPage next = base.with(move.head.records().values());
-        if (!move.startsPage && next.bytes() > limits.pageBytes()) {
-            startPage(nowNanos, move.head);
+        ClaimPage next = base.with(rotation.head.records().values());
+        if (!rotation.startsPage && next.bytes() > limits.pageBytes()) {
+            startPage(nowNanos, rotation.head);
             return;
         }
         calls.swapPage(
                 nowNanos,
-                move.target.slot(),
+                rotation.target.slot(),
                 value.revision(),
                 next,
                 (now, answer) -> {
                     if (answer instanceof StoreAnswer.Swapped) {
                         calls.succeeded();
                         known.learn(next);
-                        emptied.write(now, without(now, move, next));
+                        emptied.write(now, without(now, rotation, next));
                     } else {
                         startOver(now);
                     }
@@ -107,12 +107,14 @@
         calls.failed(nowNanos);
     }
 
-    private ClaimHead without(long nowNanos, Move move, ClaimPage page) {
+    private ClaimHead without(long nowNanos, Rotation rotation, ClaimPage page) {
         long clockMillis = known.clockMillis(nowNanos);
-        List<PageRef> pages = new ArrayList<>(move.head.pages());
+        List<PageRef> pages = new ArrayList<>(rotation.head.pages());
         pages.removeIf(ref -> ref.generation() == page.generation());
-        pages.add(new PageRef(move.target.slot(), page.generation(), page.version(), clockMillis));
-        long nextGeneration = Math.max(move.head.nextGeneration(), page.generation() + 1);
+        pages.add(
+                new PageRef(
+                        rotation.target.slot(), page.generation(), page.version(), clockMillis));
+        long nextGeneration = Math.max(rotation.head.nextGeneration(), page.generation() + 1);
         return new ClaimHead(clockMillis, nextGeneration, Map.of(), List.copyOf(pages));
     }
 }
--- a/src/main/java/org/orioleshed/claim/StoreCalls.java
+++ b/src/main/java/org/orioleshed/claim/StoreCalls.java
@@ -41,7 +41,8 @@
 
     void swap(long nowNanos, String key, long expectedRevision, Payload value, Handler handler) {
         long ticket = register(nowNanos, handler);
-        out.accept(new HostAction.SwapStore(ticket, key, expectedRevision, value, timeoutMillis));
+        out.accept(
+                new HostAction.CompareAndSwap(ticket, key, expectedRevision, value, timeoutMillis));
     }
 
     /** Hands an answer to its call; late and repeated answers are dropped. */
@@ -51,7 +52,7 @@
             return;
         }
         boolean failed =
-                answer instanceof StoreAnswer.Unknown || answer instanceof StoreAnswer.Away;
+                answer instanceof StoreAnswer.Unknown || answer instanceof StoreAnswer.Unavailable;
         failures = failed ? failures + 1 : 0;
         call.handler.answered(nowNanos, answer);
     }
@@ -71,13 +72,13 @@
     }
 
     /** Returns whether the store has stopped answering. */
-    boolean isAway() {
+    boolean isUnavailable() {
         return failures >= AWAY_FAILURES;
     }
 
     /** Returns whether it is time to ask an absent store again. */
     boolean mayProbe(long nowNanos) {
-        if (!isAway() || nowNanos < nextProbeNanos || !calls.isEmpty()) {
+        if (!isUnavailable() || nowNanos < nextProbeNanos || !calls.isEmpty()) {
             return false;
         }
         nextProbeNanos = nowNanos + PROBE_NANOS;
--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.control.ControlEvent.FollowedKey;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.membership.Member;
 import org.orioleshed.membership.Membership;
 import org.orioleshed.membership.MembershipAction;
@@ -23,11 +23,11 @@
 import org.orioleshed.membership.PlatformMark;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
-import org.orioleshed.move.MoveCore;
-import org.orioleshed.move.MoveLimits;
 import org.orioleshed.peer.BadMessageException;
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
+import org.orioleshed.rollout.RolloutCore;
+import org.orioleshed.rollout.RolloutLimits;
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.settings.PeerSeed;
 import org.orioleshed.settings.ProposalEvent;
@@ -49,14 +49,14 @@
 
     private final EntrySettings own;
     private final PeerPort peers;
-    private final Consumer<World> worlds;
+    private final Consumer<FleetSnapshot> snapshots;
     private final InstantSource wallClock;
     private final Membership membership;
     private final SettingsSpread spread;
     private final PlatformLists lists = new PlatformLists();
     private final Map<FollowedKey, FollowedStore> followed = new LinkedHashMap<>();
     private final Proposals proposals;
-    private final MoveDriver moves;
+    private final RolloutDriver rollouts;
     private final long incarnation;
     private final MembershipCodec membershipCodec = new MembershipCodec();
     private final SettingsCodec settingsCodec = new SettingsCodec();
@@ -66,8 +66,8 @@
     private long revision;
     private long settingsStoreRevision;
     private Map<HostId, EntryHost> hosts = Map.of();
-    private boolean worldChanged = true;
-    private long nextMovesNanos;
+    private boolean fleetChanged = true;
+    private long nextRolloutsNanos;
     private long nowNanos;
 
     ControlCore(
@@ -75,14 +75,14 @@
             long incarnation,
             Store store,
             PeerPort peers,
-            Consumer<World> worlds,
+            Consumer<FleetSnapshot> snapshots,
             InstantSource wallClock,
             Consumer<ControlEvent> ring,
             ServerOrders orders,
             RandomGenerator random) {
         this.own = own;
         this.peers = peers;
-        this.worlds = worlds;
+        this.snapshots = snapshots;
         this.wallClock = wallClock;
         Member self =
                 new Member(
@@ -97,7 +97,7 @@
         this.spread = new SettingsSpread(random);
         this.proposals = new Proposals(store, ring, this::accepted);
         this.incarnation = incarnation;
-        this.moves = new MoveDriver(store, peers, orders, ring);
+        this.rollouts = new RolloutDriver(store, peers, orders, ring);
         for (FollowedKey key : FollowedKey.values()) {
             followed.put(key, new FollowedStore(key, store, ring, random));
         }
@@ -118,9 +118,9 @@
             each.on(now, new StoreFollower.Event.Tick());
         }
         proposals.tick(now);
-        if (now >= nextMovesNanos) {
-            nextMovesNanos = now + MOVES_NANOS;
-            moves.tick(now, wallClock.millis());
+        if (now >= nextRolloutsNanos) {
+            nextRolloutsNanos = now + MOVES_NANOS;
+            rollouts.tick(now, wallClock.millis());
         }
         finishRounds();
     }
@@ -147,36 +147,41 @@
                             proposed.answer());
             case ControlEvent.StatusWanted wanted -> startRound(wanted.answer());
             case ControlEvent.DocumentWanted wanted -> wanted.answer().complete(spread.document());
-            case ControlEvent.MoveHappened happened -> moves.on(now, happened.event());
-            case ControlEvent.MoveWanted wanted -> moves.start(now, wanted.wish(), wanted.answer());
-            case ControlEvent.MoveWriteAnswered answered ->
-                    moves.onWrite(
-                            now, answered.write(), new MoveWrite.Event.Answered(answered.result()));
-            case ControlEvent.MovesWanted wanted -> wanted.answer().complete(moves.status(now));
+            case ControlEvent.RolloutHappened happened -> rollouts.on(now, happened.event());
+            case ControlEvent.RolloutWanted wanted ->
+                    rollouts.start(now, wanted.wish(), wanted.answer());
+            case ControlEvent.RolloutWriteAnswered answered ->
+                    rollouts.onWrite(
+                            now,
+                            answered.write(),
+                            new RolloutWrite.Event.Answered(answered.result()));
+            case ControlEvent.RolloutsWanted wanted ->
+                    wanted.answer().complete(rollouts.status(now));
             case ControlEvent.NoticesWanted wanted ->
-                    moves.await(
+                    rollouts.await(
                             wanted.after(),
                             now + wanted.waitMillis() * NANOS_PER_MILLI,
                             wanted.answer());
-            case ControlEvent.DrainAsked asked -> onMembership(new MembershipEvent.LeaveAsked());
+            case ControlEvent.DrainRequested asked ->
+                    onMembership(new MembershipEvent.LeaveAsked());
         }
     }
 
-    /** Hands the world on if anything in it changed. */
+    /** Hands the fleet snapshot on if anything in it changed. */
     void publish() {
-        worldChanged |= moves.takeSplitChanged();
-        if (!worldChanged) {
+        fleetChanged |= rollouts.takeSplitChanged();
+        if (!fleetChanged) {
             return;
         }
-        worldChanged = false;
-        World world = world();
-        worlds.accept(world);
-        moves.worldChanged(nowNanos, world);
+        fleetChanged = false;
+        FleetSnapshot fleet = fleet();
+        snapshots.accept(fleet);
+        rollouts.fleetChanged(nowNanos, fleet);
     }
 
-    private World world() {
+    private FleetSnapshot fleet() {
         if (tree == null) {
-            return new World(0, hosts, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
+            return new FleetSnapshot(0, hosts, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
         }
         Map<ServerId, Boolean> leaving = new HashMap<>();
         for (PlatformMark mark : membership.marks()) {
@@ -184,15 +189,19 @@
                 leaving.put(new ServerId(mark.id()), mark.leaving());
             }
         }
-        moves.split().heldBack().forEach(server -> leaving.put(server, true));
-        return tree.world(
-                revision, hosts, leaving, moves.split().splits(), moves.split().currentVersions());
+        rollouts.split().heldBack().forEach(server -> leaving.put(server, true));
+        return tree.fleet(
+                revision,
+                hosts,
+                leaving,
+                rollouts.split().splits(),
+                rollouts.split().currentVersions());
     }
 
     void close() {
         followed.values().forEach(FollowedStore::close);
         proposals.close();
-        moves.close();
+        rollouts.close();
         rounds.values().forEach(round -> round.finish(Long.MAX_VALUE, spread.status(nowNanos)));
     }
 
@@ -208,7 +217,7 @@
                         onSettings(
                                 new SettingsEvent.Received(
                                         message.from(), settingsCodec.decode(body)));
-                case MOVE -> moves.receive(nowNanos, message.from(), body);
+                case MOVE -> rollouts.receive(nowNanos, message.from(), body);
                 case ROUTING, REQUEST, DISPATCH, CATALOG -> {}
             }
         } catch (BadMessageException e) {
@@ -240,7 +249,7 @@
             view.put(member.id(), member.toEntryHost());
         }
         hosts = view;
-        worldChanged = true;
+        fleetChanged = true;
         List<HostId> others = new ArrayList<>(view.keySet());
         others.remove(own.host());
         onSettings(new SettingsEvent.PeersChanged(others));
@@ -274,17 +283,17 @@
 
     private void adopt(SettingsAction.Adopt adopted) {
         tree = adopted.tree();
-        moves.begin(this::moveCore);
+        rollouts.begin(this::rolloutCore);
         revision = adopted.number();
-        worldChanged = true;
+        fleetChanged = true;
         logger.atInfo().log(
                 "event=settings_in_force revision=%d change=%s unconfirmed=%s",
                 adopted.number(), adopted.changeId(), spread.status(nowNanos).unconfirmed());
     }
 
-    private MoveCore moveCore() {
-        MoveLimits limits = MoveLimitsFrom.settings(tree.limits());
-        return new MoveCore(own.host(), own.domain(), incarnation, limits);
+    private RolloutCore rolloutCore() {
+        RolloutLimits limits = RolloutLimitsFrom.settings(tree.limits());
+        return new RolloutCore(own.host(), own.domain(), incarnation, limits);
     }
 
     private void accepted(ProposalResult.Accepted accepted) {
--- a/src/main/java/org/orioleshed/control/ControlDuty.java
+++ b/src/main/java/org/orioleshed/control/ControlDuty.java
@@ -13,19 +13,19 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import org.jctools.queues.MpscArrayQueue;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.MoveEvent;
-import org.orioleshed.move.MoveRecord;
-import org.orioleshed.move.MoveStatus;
-import org.orioleshed.move.RunResult;
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
+import org.orioleshed.rollout.RolloutEvent;
+import org.orioleshed.rollout.RolloutRecord;
+import org.orioleshed.rollout.RolloutStatus;
+import org.orioleshed.rollout.RunResult;
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.settings.ProposalResult;
 import org.orioleshed.settings.ProposedChange;
@@ -34,8 +34,9 @@
 
 /**
  * The control duty of one entry host: one thread that keeps membership, settings, the platform's
- * lists and moves, and hands on a new {@link World} whenever one of them changes. Serves with the
- * store away. All methods may be called from any thread and none blocks, but for {@link #close}.
+ * lists and rollouts, and hands on a new {@link FleetSnapshot} whenever one of them changes. Serves
+ * with the store away. All methods may be called from any thread and none blocks, but for {@link
+ * #close}.
  */
 public final class ControlDuty implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -63,7 +64,7 @@
      * @param store the platform's key-value service; not closed by the duty
      * @param peers sends to other entry hosts; told of their addresses
      * @param orders gives orders to backend servers
-     * @param worlds called on the duty's thread with each new world; must not block
+     * @param snapshots called on the duty's thread with each new fleet snapshot; must not block
      * @param nanoClock the monotonic clock, in nanoseconds
      * @param wallClock the wall clock, for the time of changes
      * @param random spreads load and chooses peers
@@ -74,7 +75,7 @@
             Store store,
             PeerPort peers,
             ServerOrders orders,
-            Consumer<World> worlds,
+            Consumer<FleetSnapshot> snapshots,
             LongSupplier nanoClock,
             InstantSource wallClock,
             RandomGenerator random) {
@@ -86,7 +87,7 @@
                         incarnation,
                         store,
                         peers,
-                        worlds,
+                        snapshots,
                         wallClock,
                         this::offerStore,
                         orders,
@@ -109,8 +110,8 @@
 
     /** Says that this host is about to stop: its peers take it out of their choices. */
     public void drain() {
-        if (!offer(new ControlEvent.DrainAsked())) {
-            offerStore(new ControlEvent.DrainAsked());
+        if (!offer(new ControlEvent.DrainRequested())) {
+            offerStore(new ControlEvent.DrainRequested());
         }
     }
 
@@ -143,42 +144,46 @@
 
     /**
      * Tells of a run that this host accepted and that ended on a backend server, as evidence for
-     * moves. Dropped, and counted, when the duty is far behind.
+     * rollouts. Dropped, and counted, when the duty is far behind.
      */
     public void observed(RouteId route, VersionId version, ServerId server, RunResult result) {
         offer(
-                new ControlEvent.MoveHappened(
-                        new MoveEvent.Observed(route, version, server, result)));
+                new ControlEvent.RolloutHappened(
+                        new RolloutEvent.Observed(route, version, server, result)));
     }
 
-    /** Records a new move. */
-    public CompletableFuture<MoveWriteResult> planMove(MoveRecord planned) {
-        CompletableFuture<MoveWriteResult> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.MoveWanted(new MoveWrite.Wish.Plan(planned), answer), answer);
+    /** Records a new rollout. */
+    public CompletableFuture<RolloutWriteResult> planRollout(RolloutRecord planned) {
+        CompletableFuture<RolloutWriteResult> answer = new CompletableFuture<>();
+        return ask(
+                new ControlEvent.RolloutWanted(new RolloutWrite.Wish.Plan(planned), answer),
+                answer);
     }
 
-    /** Takes a move back that has no outcome yet. */
-    public CompletableFuture<MoveWriteResult> takeMoveBack(
-            MoveId move, String author, String reason) {
-        CompletableFuture<MoveWriteResult> answer = new CompletableFuture<>();
-        MoveWrite.Wish wish = new MoveWrite.Wish.TakeBack(move, author, reason, wallClock.millis());
-        return ask(new ControlEvent.MoveWanted(wish, answer), answer);
+    /** Takes a rollout back that has no outcome yet. */
+    public CompletableFuture<RolloutWriteResult> rollBack(
+            RolloutId rollout, String author, String reason) {
+        CompletableFuture<RolloutWriteResult> answer = new CompletableFuture<>();
+        RolloutWrite.Wish wish =
+                new RolloutWrite.Wish.RollBack(rollout, author, reason, wallClock.millis());
+        return ask(new ControlEvent.RolloutWanted(wish, answer), answer);
     }
 
-    /** Returns how this host sees each move. */
-    public CompletableFuture<List<MoveStatus>> moves() {
-        CompletableFuture<List<MoveStatus>> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.MovesWanted(answer), answer);
+    /** Returns how this host sees each rollout. */
+    public CompletableFuture<List<RolloutStatus>> rollouts() {
+        CompletableFuture<List<RolloutStatus>> answer = new CompletableFuture<>();
+        return ask(new ControlEvent.RolloutsWanted(answer), answer);
     }
 
     /**
-     * Returns the notices of moves after a sequence number, once there are any or the time is over.
+     * Returns the notices of rollouts after a sequence number, once there are any or the time is
+     * over.
      *
      * @param after the sequence number of the last notice seen; zero for none
      * @param waitMillis how long to wait, in milliseconds
      */
-    public CompletableFuture<List<MoveNotice>> notices(long after, long waitMillis) {
-        CompletableFuture<List<MoveNotice>> answer = new CompletableFuture<>();
+    public CompletableFuture<List<RolloutNotice>> notices(long after, long waitMillis) {
+        CompletableFuture<List<RolloutNotice>> answer = new CompletableFuture<>();
         return ask(new ControlEvent.NoticesWanted(after, waitMillis, answer), answer);
     }
 
--- a/src/main/java/org/orioleshed/control/ControlEvent.java
+++ b/src/main/java/org/orioleshed/control/ControlEvent.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
-import org.orioleshed.move.MoveEvent;
-import org.orioleshed.move.MoveStatus;
 import org.orioleshed.peer.MessageKind;
+import org.orioleshed.rollout.RolloutEvent;
+import org.orioleshed.rollout.RolloutStatus;
 import org.orioleshed.settings.ProposalResult;
 import org.orioleshed.settings.ProposedChange;
 import org.orioleshed.settings.SettingsDocument;
@@ -40,20 +40,20 @@
     record StatusWanted(CompletableFuture<ControlStatus> answer) implements ControlEvent {}
 
     /** Something happened to moves. */
-    record MoveHappened(MoveEvent event) implements ControlEvent {}
+    record RolloutHappened(RolloutEvent event) implements ControlEvent {}
 
-    /** An operator wants something of a move. */
-    record MoveWanted(MoveWrite.Wish wish, CompletableFuture<MoveWriteResult> answer)
+    /** An operator wants something of a rollout. */
+    record RolloutWanted(RolloutWrite.Wish wish, CompletableFuture<RolloutWriteResult> answer)
             implements ControlEvent {}
 
-    /** The store answered an operator's wish about a move. */
-    record MoveWriteAnswered(long write, Store.Result result) implements ControlEvent {}
+    /** The store answered an operator's wish about a rollout. */
+    record RolloutWriteAnswered(long write, Store.Result result) implements ControlEvent {}
 
     /** Someone wants to know how moves stand. */
-    record MovesWanted(CompletableFuture<List<MoveStatus>> answer) implements ControlEvent {}
+    record RolloutsWanted(CompletableFuture<List<RolloutStatus>> answer) implements ControlEvent {}
 
-    /** Someone waits for notices of moves. */
-    record NoticesWanted(long after, long waitMillis, CompletableFuture<List<MoveNotice>> answer)
+    /** Someone waits for notices of rollouts. */
+    record NoticesWanted(long after, long waitMillis, CompletableFuture<List<RolloutNotice>> answer)
             implements ControlEvent {}
 
     /** Someone wants the settings' document in force. */
@@ -61,7 +61,7 @@
             implements ControlEvent {}
 
     /** This host is about to stop. */
-    record DrainAsked() implements ControlEvent {}
+    record DrainRequested() implements ControlEvent {}
 
     /** The parts of the store that the control duty follows. */
     enum FollowedKey {
--- a/src/main/java/org/orioleshed/control/HttpServerOrders.java
+++ b/src/main/java/org/orioleshed/control/HttpServerOrders.java
@@ -14,7 +14,7 @@
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.ServerOrder;
+import org.orioleshed.rollout.ServerOrder;
 
 /** Gives orders over HTTP. Orders are idempotent, so a lost answer needs no care here. */
 public final class HttpServerOrders implements ServerOrders {
--- a/src/main/java/org/orioleshed/control/Proposals.java
+++ b/src/main/java/org/orioleshed/control/Proposals.java
@@ -71,7 +71,7 @@
             switch (action) {
                 case ProposalAction.ReadStore read ->
                         ask(number, store.get(FollowedKey.SETTINGS.key(), CALL_TIMEOUT_MILLIS));
-                case ProposalAction.SwapStore swap ->
+                case ProposalAction.CompareAndSwap swap ->
                         ask(
                                 number,
                                 store.swap(
--- a/src/main/java/org/orioleshed/control/MoveLimitsFrom.java
+++ b/src/main/java/org/orioleshed/control/RolloutLimitsFrom.java
@@ -1,20 +1,20 @@
 package org.orioleshed.control;
 
-import org.orioleshed.move.MoveLimits;
+import org.orioleshed.rollout.RolloutLimits;
 import org.orioleshed.settings.Limits;
 
 /** Takes the limits of moves from the settings; what they do not state is the default. */
-final class MoveLimitsFrom {
-    private MoveLimitsFrom() {}
+final class RolloutLimitsFrom {
+    private RolloutLimitsFrom() {}
 
-    static MoveLimits settings(Limits stated) {
-        MoveLimits base = MoveLimits.DEFAULT;
-        return new MoveLimits(
+    static RolloutLimits settings(Limits stated) {
+        RolloutLimits base = RolloutLimits.DEFAULT;
+        return new RolloutLimits(
                 stated.moveShares(),
                 base.serviceFactor(),
                 base.stepProof(),
                 base.fullProof(),
-                base.fuseLevel(),
+                base.breakerLevel(),
                 base.failureGap(),
                 base.slowGap(),
                 stated.moveSoakFraction(),
--- a/src/main/java/org/orioleshed/control/MoveNotices.java
+++ b/src/main/java/org/orioleshed/control/RolloutNotices.java
@@ -5,25 +5,25 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.orioleshed.move.MoveAction;
+import org.orioleshed.rollout.RolloutAction;
 
-/** The latest notices of moves, and those who wait for the next. */
-final class MoveNotices {
+/** The latest notices of rollouts, and those who wait for the next. */
+final class RolloutNotices {
     private static final int KEPT = 500;
     private static final int MAX_WAITERS = 64;
 
     private record Waiter(
-            long after, long deadlineNanos, CompletableFuture<List<MoveNotice>> answer) {}
+            long after, long deadlineNanos, CompletableFuture<List<RolloutNotice>> answer) {}
 
-    private final ArrayDeque<MoveNotice> kept = new ArrayDeque<>();
+    private final ArrayDeque<RolloutNotice> kept = new ArrayDeque<>();
     private final List<Waiter> waiters = new ArrayList<>();
     private long last;
 
-    void add(MoveAction.Notice notice) {
+    void add(RolloutAction.Notice notice) {
         kept.addLast(
-                new MoveNotice(
+                new RolloutNotice(
                         ++last,
-                        notice.move(),
+                        notice.rollout(),
                         notice.kind(),
                         notice.epochMillis(),
                         notice.detail()));
@@ -33,7 +33,7 @@
     }
 
     /** Answers with the notices after a sequence number, at the latest at the deadline. */
-    void await(long after, long deadlineNanos, CompletableFuture<List<MoveNotice>> answer) {
+    void await(long after, long deadlineNanos, CompletableFuture<List<RolloutNotice>> answer) {
         if (waiters.size() >= MAX_WAITERS) {
             answer.complete(after(after));
             return;
@@ -45,7 +45,7 @@
         Iterator<Waiter> each = waiters.iterator();
         while (each.hasNext()) {
             Waiter waiter = each.next();
-            List<MoveNotice> news = after(waiter.after());
+            List<RolloutNotice> news = after(waiter.after());
             if (!news.isEmpty() || nowNanos >= waiter.deadlineNanos()) {
                 each.remove();
                 waiter.answer().complete(news);
@@ -53,7 +53,7 @@
         }
     }
 
-    private List<MoveNotice> after(long sequence) {
+    private List<RolloutNotice> after(long sequence) {
         return kept.stream().filter(notice -> notice.sequence() > sequence).toList();
     }
 }
--- a/src/main/java/org/orioleshed/control/MoveWrite.java
+++ b/src/main/java/org/orioleshed/control/RolloutWrite.java
@@ -2,30 +2,33 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.orioleshed.model.Machine;
-import org.orioleshed.model.MoveId;
-import org.orioleshed.move.BadRecordException;
-import org.orioleshed.move.MoveRecord;
-import org.orioleshed.move.MoveState;
+import org.orioleshed.model.RolloutId;
+import org.orioleshed.model.StateMachine;
+import org.orioleshed.rollout.BadRecordException;
+import org.orioleshed.rollout.RolloutRecord;
+import org.orioleshed.rollout.RolloutState;
 import org.orioleshed.store.Store;
 
-/** Brings an operator's wish about one move into the store; a lost answer is settled by reading. */
-final class MoveWrite implements Machine<MoveWrite.Event, MoveWrite.Action> {
+/**
+ * Brings an operator's wish about one rollout into the store; a lost answer is settled by reading.
+ */
+final class RolloutWrite implements StateMachine<RolloutWrite.Event, RolloutWrite.Action> {
     /** What an operator wants. */
     sealed interface Wish {
-        /** Returns the move. */
-        MoveId move();
+        /** Returns the rollout. */
+        RolloutId rollout();
 
-        /** A new move. */
-        record Plan(MoveRecord record) implements Wish {
+        /** A new rollout. */
+        record Plan(RolloutRecord record) implements Wish {
             @Override
-            public MoveId move() {
+            public RolloutId rollout() {
                 return record.id();
             }
         }
 
-        /** Take a move back that has no outcome. */
-        record TakeBack(MoveId move, String author, String reason, long atMillis) implements Wish {}
+        /** Take a rollout back that has no outcome. */
+        record RollBack(RolloutId rollout, String author, String reason, long atMillis)
+                implements Wish {}
     }
 
     /** What can happen. */
@@ -43,10 +46,10 @@
         record Read() implements Action {}
 
         /** Replace the record if it is still at {@code expectedRevision}. */
-        record Swap(long expectedRevision, MoveRecord record) implements Action {}
+        record Swap(long expectedRevision, RolloutRecord record) implements Action {}
 
         /** The last action; the revision is zero when it is not known. */
-        record Settled(MoveWriteResult result, long revision) implements Action {}
+        record Settled(RolloutWriteResult result, long revision) implements Action {}
     }
 
     private static final long RETRY_NANOS = 100_000_000;
@@ -55,16 +58,16 @@
     private final long deadlineNanos;
     private boolean waiting;
     private boolean mayBeWritten;
-    private MoveRecord wanted;
+    private RolloutRecord wanted;
     private long retryNanos;
 
-    MoveWrite(Wish wish, long deadlineNanos) {
+    RolloutWrite(Wish wish, long deadlineNanos) {
         this.wish = wish;
         this.deadlineNanos = deadlineNanos;
     }
 
-    MoveId move() {
-        return wish.move();
+    RolloutId rollout() {
+        return wish.rollout();
     }
 
     @Override
@@ -91,7 +94,7 @@
             case Store.Result.Entries entries -> judge(entries.entries().stream().findFirst());
             case Store.Result.Conflict conflict -> judge(conflict.present());
             case Store.Result.Swapped swapped ->
-                    settle(new MoveWriteResult.Written(wanted), swapped.revision());
+                    settle(new RolloutWriteResult.Written(wanted), swapped.revision());
             case Store.Result.Away away when !mayBeWritten -> giveUp(away.detail());
             default -> {
                 mayBeWritten |= wanted != null;
@@ -106,38 +109,38 @@
         try {
             return switch (wish) {
                 case Wish.Plan plan -> judgePlan(plan.record(), entry);
-                case Wish.TakeBack back -> judgeBack(back, entry);
+                case Wish.RollBack back -> judgeRollBack(back, entry);
             };
         } catch (BadRecordException e) {
-            return settle(new MoveWriteResult.Unreadable(String.valueOf(e.getMessage())), 0);
+            return settle(new RolloutWriteResult.Unreadable(String.valueOf(e.getMessage())), 0);
         }
     }
 
-    private List<Action> judgePlan(MoveRecord planned, Optional<Store.Entry> entry)
+    private List<Action> judgePlan(RolloutRecord planned, Optional<Store.Entry> entry)
             throws BadRecordException {
         if (entry.isEmpty()) {
             return swap(0, planned);
         }
-        MoveRecord present = MoveRecord.parse(entry.get().value());
+        RolloutRecord present = RolloutRecord.parse(entry.get().value());
         boolean own =
                 present.plannedMillis() == planned.plannedMillis()
                         && present.author().equals(planned.author())
                         && present.completeByMillis() == planned.completeByMillis();
         return own && mayBeWritten
-                ? settle(new MoveWriteResult.Written(present), entry.get().revision())
-                : settle(new MoveWriteResult.Exists(present), entry.get().revision());
+                ? settle(new RolloutWriteResult.Written(present), entry.get().revision())
+                : settle(new RolloutWriteResult.Exists(present), entry.get().revision());
     }
 
-    private List<Action> judgeBack(Wish.TakeBack back, Optional<Store.Entry> entry)
+    private List<Action> judgeRollBack(Wish.RollBack back, Optional<Store.Entry> entry)
             throws BadRecordException {
         if (entry.isEmpty()) {
-            return settle(new MoveWriteResult.NotFound(back.move()), 0);
+            return settle(new RolloutWriteResult.NotFound(back.rollout()), 0);
         }
-        MoveRecord present = MoveRecord.parse(entry.get().value());
+        RolloutRecord present = RolloutRecord.parse(entry.get().value());
         if (!present.state().isOutcome()) {
-            MoveRecord taken =
+            RolloutRecord taken =
                     present.decided(
-                            MoveState.TAKEN_BACK,
+                            RolloutState.TAKEN_BACK,
                             back.atMillis(),
                             present.fence(),
                             back.author(),
@@ -146,11 +149,11 @@
         }
         boolean own = mayBeWritten && present.equals(wanted);
         return own
-                ? settle(new MoveWriteResult.Written(present), entry.get().revision())
-                : settle(new MoveWriteResult.Decided(present), entry.get().revision());
+                ? settle(new RolloutWriteResult.Written(present), entry.get().revision())
+                : settle(new RolloutWriteResult.Decided(present), entry.get().revision());
     }
 
-    private List<Action> swap(long expectedRevision, MoveRecord record) {
+    private List<Action> swap(long expectedRevision, RolloutRecord record) {
         wanted = record;
         waiting = true;
         return List.of(new Action.Swap(expectedRevision, record));
@@ -159,12 +162,12 @@
     private List<Action> giveUp(String detail) {
         return settle(
                 mayBeWritten
-                        ? new MoveWriteResult.InDoubt(detail)
-                        : new MoveWriteResult.StoreAway(detail),
+                        ? new RolloutWriteResult.InDoubt(detail)
+                        : new RolloutWriteResult.StoreAway(detail),
                 0);
     }
 
-    private List<Action> settle(MoveWriteResult result, long revision) {
+    private List<Action> settle(RolloutWriteResult result, long revision) {
         waiting = true;
         return List.of(new Action.Settled(result, revision));
     }
--- a/src/main/java/org/orioleshed/control/ServerOrders.java
+++ b/src/main/java/org/orioleshed/control/ServerOrders.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.ServerOrder;
+import org.orioleshed.rollout.ServerOrder;
 
 /** A port to backend servers that take orders. Futures never fail. */
 public interface ServerOrders {
--- a/src/main/java/org/orioleshed/control/StoreFollower.java
+++ b/src/main/java/org/orioleshed/control/StoreFollower.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import org.orioleshed.model.Machine;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.store.Store;
 
 /**
@@ -10,7 +10,7 @@
  * intervals, whatever its watch says, since a watch may have gone silent; any other host reads once
  * after its start. Failures are retried after a growing, uneven time.
  */
-final class StoreFollower implements Machine<StoreFollower.Event, StoreFollower.Action> {
+final class StoreFollower implements StateMachine<StoreFollower.Event, StoreFollower.Action> {
     /** How much a host asks of the store. */
     enum Mode {
         /** Until the store answered once. */
--- a/src/main/java/org/orioleshed/dispatch/Scheduler.java
+++ b/src/main/java/org/orioleshed/dispatch/Scheduler.java
@@ -13,16 +13,16 @@
 import org.orioleshed.catalog.PoolServer;
 import org.orioleshed.dispatch.DispatchAction.Reason;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
+import org.orioleshed.model.StateMachine;
 
 /**
  * The home of pools: one queue for each pool, ordered by urgency, before servers that get no more
  * at once than they can run. Everything that hosts see of the servers comes here, so no two
  * requests are sent to the same idle place.
  */
-public final class Scheduler implements Machine<DispatchEvent, DispatchAction> {
+public final class Scheduler implements StateMachine<DispatchEvent, DispatchAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** When no server of a pool is known, one may come within this time. */
--- a/src/main/java/org/orioleshed/entry/AdminReplies.java
+++ b/src/main/java/org/orioleshed/entry/AdminReplies.java
@@ -5,9 +5,9 @@
 import java.util.Locale;
 import java.util.Optional;
 import org.orioleshed.admin.AdminReply;
-import org.orioleshed.control.MoveWriteResult;
-import org.orioleshed.move.MoveRecord;
-import org.orioleshed.move.MoveStatus;
+import org.orioleshed.control.RolloutWriteResult;
+import org.orioleshed.rollout.RolloutRecord;
+import org.orioleshed.rollout.RolloutStatus;
 import org.orioleshed.settings.Problem;
 import org.orioleshed.settings.ProposalResult;
 import org.orioleshed.settings.SettingsChange;
@@ -45,32 +45,32 @@
                 problem.path(), found + "allowed: " + problem.allowed(), problem.nearest());
     }
 
-    static AdminReply of(MoveWriteResult result) {
+    static AdminReply of(RolloutWriteResult result) {
         return switch (result) {
-            case MoveWriteResult.Written written -> accepted(written.record());
-            case MoveWriteResult.Exists exists ->
+            case RolloutWriteResult.Written written -> accepted(written.record());
+            case RolloutWriteResult.Exists exists ->
                     new AdminReply.Conflict(0, "the move exists: " + exists.record());
-            case MoveWriteResult.Decided decided ->
+            case RolloutWriteResult.Decided decided ->
                     new AdminReply.Conflict(
                             0, "the move has its outcome: " + name(decided.record()));
-            case MoveWriteResult.NotFound missing ->
-                    new AdminReply.NotFound("move " + missing.move());
-            case MoveWriteResult.Unreadable bad -> new AdminReply.StoreAway(bad.detail());
-            case MoveWriteResult.StoreAway away -> new AdminReply.StoreAway(away.detail());
-            case MoveWriteResult.InDoubt doubt -> new AdminReply.Unknown("", doubt.detail());
+            case RolloutWriteResult.NotFound missing ->
+                    new AdminReply.NotFound("move " + missing.rollout());
+            case RolloutWriteResult.Unreadable bad -> new AdminReply.StoreAway(bad.detail());
+            case RolloutWriteResult.StoreAway away -> new AdminReply.StoreAway(away.detail());
+            case RolloutWriteResult.InDoubt doubt -> new AdminReply.Unknown("", doubt.detail());
         };
     }
 
-    private static AdminReply accepted(MoveRecord record) {
+    private static AdminReply accepted(RolloutRecord record) {
         return new AdminReply.Accepted(record.id().value(), 0, name(record));
     }
 
-    private static String name(MoveRecord record) {
+    private static String name(RolloutRecord record) {
         return record.state().name().toLowerCase(Locale.ROOT);
     }
 
-    static AdminReply table(List<MoveStatus> moves) {
-        List<List<String>> rows = moves.stream().map(AdminReplies::row).toList();
+    static AdminReply table(List<RolloutStatus> rollouts) {
+        List<List<String>> rows = rollouts.stream().map(AdminReplies::row).toList();
         return new AdminReply.Table(
                 List.of(
                         "move",
@@ -89,19 +89,19 @@
                 rows);
     }
 
-    private static List<String> row(MoveStatus move) {
-        MoveRecord record = move.record();
+    private static List<String> row(RolloutStatus rollout) {
+        RolloutRecord record = rollout.record();
         return List.of(
                 record.id().value(),
                 record.from().value(),
                 record.to().value(),
                 name(record),
                 Integer.toString(record.step()),
-                String.format(Locale.ROOT, "%.3f", move.share()),
-                Long.toString(move.newRuns()),
-                String.format(Locale.ROOT, "%.1f", move.alarm()),
-                String.format(Locale.ROOT, "%.1f", move.proof()),
-                move.fuse().orElse(""),
+                String.format(Locale.ROOT, "%.3f", rollout.share()),
+                Long.toString(rollout.newRuns()),
+                String.format(Locale.ROOT, "%.1f", rollout.alarm()),
+                String.format(Locale.ROOT, "%.1f", rollout.proof()),
+                rollout.breaker().orElse(""),
                 Long.toString(record.completeByMillis()),
                 Long.toString(record.decidedMillis()),
                 record.reason());
--- a/src/main/java/org/orioleshed/entry/CallerDoor.java
+++ b/src/main/java/org/orioleshed/entry/CallerHandler.java
@@ -11,10 +11,10 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
@@ -27,7 +27,7 @@
 import org.orioleshed.model.Work;
 
 /** Checks what callers send and turns it into requests. */
-final class CallerDoor {
+final class CallerHandler {
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
     private static final int FORBIDDEN = 403;
@@ -39,20 +39,20 @@
     private final HostId self;
     private final long incarnation;
     private final AtomicLong sequence = new AtomicLong();
-    private volatile World world = World.EMPTY;
-    private volatile KeyRing keys = new KeyRing(World.EMPTY);
+    private volatile FleetSnapshot fleet = FleetSnapshot.EMPTY;
+    private volatile KeyRing keys = new KeyRing(FleetSnapshot.EMPTY);
 
-    CallerDoor(HostId self, long incarnation) {
+    CallerHandler(HostId self, long incarnation) {
         this.self = self;
         this.incarnation = incarnation;
     }
 
-    /** Takes the world that requests are checked against. */
-    void world(World newWorld) {
-        if (newWorld.workspaces() != world.workspaces()) {
-            keys = new KeyRing(newWorld);
+    /** Takes the fleet snapshot that requests are checked against. */
+    void fleet(FleetSnapshot newFleet) {
+        if (newFleet.workspaces() != fleet.workspaces()) {
+            keys = new KeyRing(newFleet);
         }
-        world = newWorld;
+        fleet = newFleet;
     }
 
     /** Returns the workspace of the caller's bearer key. */
@@ -209,7 +209,7 @@
     private Route route(String name) {
         return name.isBlank() || name.length() > MAX_KEY_LENGTH
                 ? null
-                : world.routes().get(new RouteId(name));
+                : fleet.routes().get(new RouteId(name));
     }
 
     private static Optional<String> prompt(JsonNode messages) {
--- a/src/main/java/org/orioleshed/entry/CallerServer.java
+++ b/src/main/java/org/orioleshed/entry/CallerServer.java
@@ -32,7 +32,7 @@
     private static final int BACKLOG = 1_024;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private final CallerDoor door;
+    private final CallerHandler handler;
     private final HostActions actions;
     private final HostDuty duty;
     private final EntryLimits limits;
@@ -47,7 +47,7 @@
 
     CallerServer(
             InetSocketAddress listen,
-            CallerDoor door,
+            CallerHandler handler,
             HostActions actions,
             HostDuty duty,
             EntryLimits limits,
@@ -55,7 +55,7 @@
             EntryMetrics entryMetrics,
             BooleanSupplier ready)
             throws IOException {
-        this.door = door;
+        this.handler = handler;
         this.actions = actions;
         this.duty = duty;
         this.limits = limits;
@@ -67,7 +67,8 @@
         server.setExecutor(threads);
         server.createContext("/v1/chat/completions", guarded(this::chat));
         server.createContext("/v1/services/", guarded(this::service));
-        server.createContext("/v1/requests/", guarded(new FateDoor(door, actions)::answer));
+        server.createContext(
+                "/v1/requests/", guarded(new RequestStatusHandler(handler, actions)::answer));
         server.createContext("/healthz", guarded(http -> text(http, OK, "alive")));
         server.createContext("/readyz", guarded(this::readiness));
         server.createContext("/metrics", guarded(http -> text(http, OK, metricsText.write())));
@@ -118,7 +119,7 @@
         if (body == null) {
             return;
         }
-        admit(http, door.chat(http.getRequestHeaders(), body, System.nanoTime()));
+        admit(http, handler.chat(http.getRequestHeaders(), body, System.nanoTime()));
     }
 
     private void service(HttpExchange http) throws IOException {
@@ -133,7 +134,7 @@
         }
         admit(
                 http,
-                door.service(
+                handler.service(
                         http.getRequestHeaders(),
                         path.get(3),
                         path.get(4),
--- a/src/main/java/org/orioleshed/entry/CallerSession.java
+++ b/src/main/java/org/orioleshed/entry/CallerSession.java
@@ -70,7 +70,7 @@
         } else {
             whole.append(tokens.text().text());
         }
-        events.accept(new HostEvent.CallerTook(exchange.request().id(), tokens.count()));
+        events.accept(new HostEvent.CallerConsumed(exchange.request().id(), tokens.count()));
     }
 
     private void keepAlive() throws IOException {
--- a/src/main/java/org/orioleshed/entry/EntryAdmin.java
+++ b/src/main/java/org/orioleshed/entry/EntryAdmin.java
@@ -12,22 +12,22 @@
 import org.orioleshed.admin.AdminReply;
 import org.orioleshed.control.ControlDuty;
 import org.orioleshed.control.ControlStatus;
-import org.orioleshed.control.MoveNotice;
+import org.orioleshed.control.RolloutNotice;
 import org.orioleshed.fleet.BackendServer;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ModelId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Request;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.MoveRecord;
-import org.orioleshed.move.MoveStatus;
-import org.orioleshed.routing.Homes;
+import org.orioleshed.rollout.RolloutRecord;
+import org.orioleshed.rollout.RolloutStatus;
+import org.orioleshed.routing.ServerOwners;
 import org.orioleshed.settings.Problem;
 import org.orioleshed.settings.ProposedChange;
 import org.orioleshed.settings.SettingsDocument;
@@ -44,19 +44,19 @@
     private final HostDuty duty;
     private final HostActions actions;
     private final PoisonDesk poison;
-    private final Supplier<World> world;
+    private final Supplier<FleetSnapshot> fleet;
 
     EntryAdmin(
             ControlDuty control,
             HostDuty duty,
             HostActions actions,
             PoisonDesk poison,
-            Supplier<World> world) {
+            Supplier<FleetSnapshot> fleet) {
         this.control = control;
         this.duty = duty;
         this.actions = actions;
         this.poison = poison;
-        this.world = world;
+        this.fleet = fleet;
     }
 
     @Override
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public CompletableFuture<AdminReply> planMove(MovePlan plan) {
+    public CompletableFuture<AdminReply> planRollout(RolloutPlan plan) {
         Optional<Target> target = target(plan.target());
         List<RouteId> routes =
                 plan.routes().isEmpty()
@@ -169,9 +169,9 @@
         if (!problems.isEmpty()) {
             return CompletableFuture.completedFuture(new AdminReply.Rejected(problems));
         }
-        MoveRecord record =
-                MoveRecord.plan(
-                        new MoveId(plan.id().orElseGet(() -> "move-" + UUID.randomUUID())),
+        RolloutRecord record =
+                RolloutRecord.plan(
+                        new RolloutId(plan.id().orElseGet(() -> "move-" + UUID.randomUUID())),
                         target.get(),
                         new VersionId(plan.from()),
                         new VersionId(plan.to()),
@@ -181,11 +181,11 @@
                         plan.loads().stream().map(ServerId::new).toList(),
                         plan.author(),
                         plan.reason());
-        return control.planMove(record).thenApply(AdminReplies::of);
+        return control.planRollout(record).thenApply(AdminReplies::of);
     }
 
     private List<AdminReply.Problem> problems(
-            MovePlan plan, Optional<Target> target, List<RouteId> routes) {
+            RolloutPlan plan, Optional<Target> target, List<RouteId> routes) {
         List<AdminReply.Problem> problems = new ArrayList<>();
         if (target.isEmpty()) {
             problems.add(problem("target", "must be model:NAME or service:NAME"));
@@ -200,7 +200,7 @@
             problems.add(problem("target", "no route leads to it"));
         }
         for (RouteId route : routes) {
-            Route known = world.get().routes().get(route);
+            Route known = fleet.get().routes().get(route);
             if (known == null || !target.map(known.target()::equals).orElse(true)) {
                 problems.add(problem("routes", "no route of the target: " + route));
             }
@@ -213,7 +213,7 @@
     }
 
     private List<RouteId> routesOf(Target target) {
-        return world.get().routes().values().stream()
+        return fleet.get().routes().values().stream()
                 .filter(route -> route.target().equals(target))
                 .map(Route::id)
                 .sorted()
@@ -233,24 +233,26 @@
     }
 
     @Override
-    public CompletableFuture<AdminReply> moves() {
-        return control.moves().thenApply(AdminReplies::table);
+    public CompletableFuture<AdminReply> rollouts() {
+        return control.rollouts().thenApply(AdminReplies::table);
     }
 
     @Override
-    public CompletableFuture<AdminReply> move(String id) {
-        return control.moves().thenApply(moves -> one(moves, id));
+    public CompletableFuture<AdminReply> rollout(String id) {
+        return control.rollouts().thenApply(rollouts -> one(rollouts, id));
     }
 
-    private static AdminReply one(List<MoveStatus> moves, String id) {
-        List<MoveStatus> found =
-                moves.stream().filter(move -> move.record().id().value().equals(id)).toList();
+    private static AdminReply one(List<RolloutStatus> rollouts, String id) {
+        List<RolloutStatus> found =
+                rollouts.stream()
+                        .filter(rollout -> rollout.record().id().value().equals(id))
+                        .toList();
         return found.isEmpty() ? new AdminReply.NotFound("move " + id) : AdminReplies.table(found);
     }
 
     @Override
-    public CompletableFuture<AdminReply> takeMoveBack(String id, String author, String reason) {
-        return control.takeMoveBack(new MoveId(id), author, reason).thenApply(AdminReplies::of);
+    public CompletableFuture<AdminReply> rollBack(String id, String author, String reason) {
+        return control.rollBack(new RolloutId(id), author, reason).thenApply(AdminReplies::of);
     }
 
     @Override
@@ -258,14 +260,14 @@
         return control.notices(after, waitMillis).thenApply(told -> notices(after, told));
     }
 
-    private static Notices notices(long after, List<MoveNotice> told) {
+    private static Notices notices(long after, List<RolloutNotice> told) {
         List<Notice> notices =
                 told.stream()
                         .map(
                                 notice ->
                                         new Notice(
                                                 notice.sequence(),
-                                                notice.move().value(),
+                                                notice.rollout().value(),
                                                 notice.kind().name().toLowerCase(Locale.ROOT),
                                                 notice.epochMillis(),
                                                 notice.detail()))
@@ -276,7 +278,7 @@
     @Override
     public CompletableFuture<AdminReply> hosts() {
         List<List<String>> rows =
-                world.get().hosts().values().stream()
+                fleet.get().hosts().values().stream()
                         .sorted(Comparator.comparing(host -> host.id()))
                         .map(
                                 host ->
@@ -292,12 +294,12 @@
 
     @Override
     public CompletableFuture<AdminReply> servers() {
-        World now = world.get();
-        Homes homes = Homes.of(now);
+        FleetSnapshot now = fleet.get();
+        ServerOwners owners = ServerOwners.of(now);
         List<List<String>> rows =
                 now.servers().values().stream()
                         .sorted(Comparator.comparing(BackendServer::id))
-                        .map(server -> row(server, homes))
+                        .map(server -> row(server, owners))
                         .toList();
         return CompletableFuture.completedFuture(
                 new AdminReply.Table(
@@ -305,13 +307,13 @@
                         rows));
     }
 
-    private static List<String> row(BackendServer server, Homes homes) {
+    private static List<String> row(BackendServer server, ServerOwners owners) {
         return List.of(
                 server.id().value(),
                 server.domain().value(),
                 server.version().value(),
                 server.generation(),
-                homes.home(server.id()).map(HostId::value).orElse("none"),
+                owners.owner(server.id()).map(HostId::value).orElse("none"),
                 server.leaving() ? "leaving" : "serving");
     }
 
--- a/src/main/java/org/orioleshed/entry/EntryProcess.java
+++ b/src/main/java/org/orioleshed/entry/EntryProcess.java
@@ -20,18 +20,18 @@
 import org.orioleshed.control.ControlDuty;
 import org.orioleshed.control.HttpServerOrders;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostCore;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.host.HostLimits;
 import org.orioleshed.host.NaiveHost;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerLimits;
 import org.orioleshed.peer.PeerNetwork;
-import org.orioleshed.routing.Homes;
+import org.orioleshed.routing.ServerOwners;
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.store.Store;
 
@@ -58,7 +58,7 @@
     private final PeerNetwork peers;
     private final PeerMail mail;
     private final PoisonDesk poison;
-    private final CallerDoor door;
+    private final CallerHandler handler;
     private final CallerServer callers;
     private final ControlDuty control;
     private final HttpClient orderClient =
@@ -67,9 +67,9 @@
                     Executors.newVirtualThreadPerTaskExecutor());
     private AdminServer admin;
     private final ReportPoller reports;
-    private volatile World world = World.EMPTY;
+    private volatile FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private volatile List<BackendServer> ownServers = List.of();
-    private Homes homes = Homes.NONE;
+    private ServerOwners owners = ServerOwners.NONE;
 
     EntryProcess(EntrySettings settings, Store store) throws IOException {
         this.settings = settings;
@@ -77,7 +77,7 @@
         this.logThread = Thread.ofPlatform().name("decision-log").daemon().unstarted(log);
         this.mail = new PeerMail(metrics);
         this.actions = new HostActions(entryMetrics, log, store, mail);
-        Machine<HostEvent, HostAction> core = core();
+        StateMachine<HostEvent, HostAction> core = core();
         this.duty = new HostDuty(core, actions, limits);
         this.backends = new Backends(BackendLimits.DEFAULT, duty::add);
         actions.connect(backends, duty::add);
@@ -89,11 +89,11 @@
                         PeerLimits.DEFAULT,
                         this::received);
         mail.connect(peers);
-        this.door = new CallerDoor(settings.host(), incarnation);
+        this.handler = new CallerHandler(settings.host(), incarnation);
         this.callers =
                 new CallerServer(
                         settings.callerAddress(),
-                        door,
+                        handler,
                         actions,
                         duty,
                         limits,
@@ -125,7 +125,7 @@
         gauges();
     }
 
-    private Machine<HostEvent, HostAction> core() {
+    private StateMachine<HostEvent, HostAction> core() {
         return switch (settings.policy()) {
             case NAIVE -> new NaiveHost();
             case ORIOLESHED ->
@@ -165,10 +165,10 @@
         stopAsked.await();
         callers.drain();
         control.drain();
-        duty.add(new HostEvent.DrainAsked());
+        duty.add(new HostEvent.DrainRequested());
         boolean finished = actions.drained().await(settings.drainMillis(), TimeUnit.MILLISECONDS);
         if (!finished) {
-            duty.add(new HostEvent.DrainOver());
+            duty.add(new HostEvent.DrainTimedOut());
         }
         awaitLastWrites();
         logger.atInfo().log(
@@ -192,7 +192,7 @@
                 AdminServer.start(
                         settings.adminAddress().get(),
                         settings.operators(),
-                        new EntryAdmin(control, duty, actions, poison, () -> world));
+                        new EntryAdmin(control, duty, actions, poison, () -> fleet));
     }
 
     private void stopAndWait() {
@@ -209,18 +209,18 @@
         }
     }
 
-    private void changed(World newWorld) {
-        actions.world(newWorld);
-        door.world(newWorld);
-        homes = homes.in(newWorld);
-        ownServers = newWorld.servers().values().stream().filter(this::isHomeOf).toList();
-        duty.add(new HostEvent.WorldChanged(newWorld));
+    private void changed(FleetSnapshot newFleet) {
+        actions.fleet(newFleet);
+        handler.fleet(newFleet);
+        owners = owners.in(newFleet);
+        ownServers = newFleet.servers().values().stream().filter(this::isOwnerOf).toList();
+        duty.add(new HostEvent.FleetChanged(newFleet));
         // Readiness goes by this: last, so that a host that is ready knows its callers and servers.
-        world = newWorld;
+        fleet = newFleet;
     }
 
-    private boolean isHomeOf(BackendServer server) {
-        return homes.home(server.id()).filter(settings.host()::equals).isPresent();
+    private boolean isOwnerOf(BackendServer server) {
+        return owners.owner(server.id()).filter(settings.host()::equals).isPresent();
     }
 
     private void received(HostId from, MessageKind kind, byte[] body) {
@@ -232,7 +232,7 @@
     }
 
     private boolean ready() {
-        return world.settingsRevision() > 0;
+        return fleet.settingsRevision() > 0;
     }
 
     private void gauges() {
@@ -242,7 +242,7 @@
         metrics.register("peers.sentBytes", (Gauge<Long>) peers::sentBytes);
         metrics.register("control.dropped", (Gauge<Long>) control::droppedMessages);
         metrics.register("peers.dropped", (Gauge<Long>) peers::droppedMessages);
-        metrics.register("settings.revision", (Gauge<Long>) () -> world.settingsRevision());
+        metrics.register("settings.revision", (Gauge<Long>) () -> fleet.settingsRevision());
     }
 
     private void awaitLog() {
--- a/src/main/java/org/orioleshed/entry/HostActions.java
+++ b/src/main/java/org/orioleshed/entry/HostActions.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.orioleshed.backend.Backends;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.host.HostEvent.StoreAnswer;
@@ -20,7 +20,7 @@
 import org.orioleshed.model.RequestKey;
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 import org.orioleshed.routing.RunEnd;
 import org.orioleshed.store.Store;
 
@@ -32,7 +32,7 @@
     private static final long READ_TIMEOUT_MILLIS = 1_000;
 
     private final Map<RequestId, CallerExchange> callers = new ConcurrentHashMap<>();
-    private final Map<Long, CompletableFuture<Fate>> fates = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<RequestStatus>> statuses = new ConcurrentHashMap<>();
     private final AtomicLong tickets = new AtomicLong();
     private final CountDownLatch drained = new CountDownLatch(1);
     private final EntryMetrics metrics;
@@ -41,8 +41,8 @@
     private final PeerMessages peers;
     private Backends backends;
     private Consumer<HostEvent> events;
-    private volatile Consumer<HostAction.Observe> observer = observed -> {};
-    private volatile World world = World.EMPTY;
+    private volatile Consumer<HostAction.RecordResult> observer = observed -> {};
+    private volatile FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     HostActions(EntryMetrics metrics, DecisionLog log, Store store, PeerMessages peers) {
         this.metrics = metrics;
@@ -61,17 +61,17 @@
     }
 
     /** Takes the one who hears of evidence about versions. */
-    void observer(Consumer<HostAction.Observe> newObserver) {
+    void observer(Consumer<HostAction.RecordResult> newObserver) {
         observer = newObserver;
     }
 
-    /** Takes the world in which servers are looked up. */
-    void world(World newWorld) {
-        world = newWorld;
+    /** Takes the fleet snapshot in which servers are looked up. */
+    void fleet(FleetSnapshot newFleet) {
+        fleet = newFleet;
     }
 
-    World world() {
-        return world;
+    FleetSnapshot fleet() {
+        return fleet;
     }
 
     /** Registers the thread that serves a caller. */
@@ -93,13 +93,13 @@
         return callers.size();
     }
 
-    /** Asks the decisions for the fate of a key. */
-    CompletableFuture<Fate> fate(RequestKey key) {
+    /** Asks the decisions for the request status of a key. */
+    CompletableFuture<RequestStatus> requestStatus(RequestKey key) {
         long ticket = tickets.incrementAndGet();
-        CompletableFuture<Fate> future = new CompletableFuture<>();
-        fates.put(ticket, future);
-        events.accept(new HostEvent.FateAsked(ticket, key));
-        return future.whenComplete((fate, error) -> fates.remove(ticket));
+        CompletableFuture<RequestStatus> future = new CompletableFuture<>();
+        statuses.put(ticket, future);
+        events.accept(new HostEvent.StatusRequested(ticket, key));
+        return future.whenComplete((requestStatus, error) -> statuses.remove(ticket));
     }
 
     /** Returns the latch that opens when a drain is over. */
@@ -117,7 +117,7 @@
                     caller(answer.request())
                             .ifPresent(
                                     exchange -> exchange.end(answer.outcome(), System.nanoTime()));
-            case HostAction.TellFate told -> tell(told);
+            case HostAction.ReplyStatus told -> tell(told);
             case HostAction.SendRouting send -> peers.send(send.to(), send.message());
             case HostAction.SendRequest send -> peers.send(send.to(), send.message());
             case HostAction.StartRun start -> start(start);
@@ -127,7 +127,7 @@
             case HostAction.ReadStore read ->
                     store.get(read.key(), READ_TIMEOUT_MILLIS)
                             .thenAccept(result -> answer(read.ticket(), result));
-            case HostAction.SwapStore swap ->
+            case HostAction.CompareAndSwap swap ->
                     store.swap(
                                     swap.key(),
                                     swap.expectedRevision(),
@@ -135,7 +135,7 @@
                                     0,
                                     swap.timeoutMillis())
                             .thenAccept(result -> answer(swap.ticket(), result));
-            case HostAction.Observe observed -> observer.accept(observed);
+            case HostAction.RecordResult observed -> observer.accept(observed);
             case HostAction.Log line -> {
                 metrics.decided(line.decision());
                 log.add(line.decision());
@@ -148,15 +148,15 @@
         return Optional.ofNullable(callers.get(request));
     }
 
-    private void tell(HostAction.TellFate told) {
-        CompletableFuture<Fate> future = fates.get(told.ticket());
+    private void tell(HostAction.ReplyStatus told) {
+        CompletableFuture<RequestStatus> future = statuses.get(told.ticket());
         if (future != null) {
-            future.complete(told.fate());
+            future.complete(told.status());
         }
     }
 
     private void start(HostAction.StartRun start) {
-        BackendServer server = world.servers().get(start.server());
+        BackendServer server = fleet.servers().get(start.server());
         if (server == null) {
             unknownServer(start.run(), start.server());
             return;
@@ -165,7 +165,7 @@
     }
 
     private void cancel(HostAction.CancelRun cancel) {
-        BackendServer server = world.servers().get(cancel.server());
+        BackendServer server = fleet.servers().get(cancel.server());
         if (server == null) {
             unknownServer(cancel.run(), cancel.server());
             return;
@@ -178,7 +178,7 @@
     }
 
     private void call(HostAction.CallService call) {
-        BackendServer server = world.servers().get(call.server());
+        BackendServer server = fleet.servers().get(call.server());
         if (server == null) {
             events.accept(
                     new HostEvent.CallEnded(
@@ -205,7 +205,7 @@
             case Store.Result.Conflict conflict -> conflict(conflict.present());
             case Store.Result.Lease lease -> new StoreAnswer.Unknown("unexpected answer");
             case Store.Result.Unknown unknown -> new StoreAnswer.Unknown(unknown.detail());
-            case Store.Result.Away away -> new StoreAnswer.Away(away.detail());
+            case Store.Result.Away away -> new StoreAnswer.Unavailable(away.detail());
         };
     }
 
--- a/src/main/java/org/orioleshed/entry/HostDuty.java
+++ b/src/main/java/org/orioleshed/entry/HostDuty.java
@@ -9,7 +9,7 @@
 import org.jctools.queues.atomic.MpscAtomicArrayQueue;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
-import org.orioleshed.model.Machine;
+import org.orioleshed.model.StateMachine;
 
 /**
  * The thread that owns the host's decisions: takes events from a bounded ring and hands the actions
@@ -23,7 +23,7 @@
     private static final int BATCH = 256;
     private static final int MAX_QUESTIONS = 64;
 
-    private final Machine<HostEvent, HostAction> core;
+    private final StateMachine<HostEvent, HostAction> core;
     private final HostActions actions;
     private final MpscAtomicArrayQueue<HostEvent> ring;
     private final MpscAtomicArrayQueue<Runnable> questions =
@@ -34,7 +34,7 @@
     private volatile boolean idle;
     private volatile boolean closed;
 
-    HostDuty(Machine<HostEvent, HostAction> core, HostActions actions, EntryLimits limits) {
+    HostDuty(StateMachine<HostEvent, HostAction> core, HostActions actions, EntryLimits limits) {
         this.core = core;
         this.actions = actions;
         this.ring = new MpscAtomicArrayQueue<>(limits.ringEvents());
--- a/src/main/java/org/orioleshed/entry/PeerMessages.java
+++ b/src/main/java/org/orioleshed/entry/PeerMessages.java
@@ -9,6 +9,6 @@
     /** Sends a message about offers and runs; may be lost. */
     void send(HostId to, RoutingMessage message);
 
-    /** Sends a message about keys, fates and poison; may be lost. */
+    /** Sends a message about keys, request statuses and poison; may be lost. */
     void send(HostId to, RequestMessage message);
 }
--- a/src/main/java/org/orioleshed/entry/PoisonDesk.java
+++ b/src/main/java/org/orioleshed/entry/PoisonDesk.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.orioleshed.admin.AdminReply;
 import org.orioleshed.host.HostCore;
-import org.orioleshed.request.HeldContent;
+import org.orioleshed.request.QuarantinedContent;
 
 /** Lists and releases content that crashed servers. To be used on the decisions' thread only. */
 final class PoisonDesk {
@@ -19,13 +19,13 @@
 
     AdminReply list(long nowNanos) {
         List<List<String>> rows =
-                held(nowNanos).stream()
+                quarantined(nowNanos).stream()
                         .map(
                                 content ->
                                         List.of(
                                                 content.fingerprint().toString(),
                                                 Integer.toString(content.crashes()),
-                                                content.held() ? "held" : "suspect",
+                                                content.quarantined() ? "held" : "suspect",
                                                 Long.toString(content.remainingMillis())))
                         .toList();
         return new AdminReply.Table(
@@ -33,8 +33,10 @@
     }
 
     AdminReply clear(long nowNanos, Optional<String> fingerprint) {
-        List<HeldContent> chosen =
-                held(nowNanos).stream().filter(content -> matches(content, fingerprint)).toList();
+        List<QuarantinedContent> chosen =
+                quarantined(nowNanos).stream()
+                        .filter(content -> matches(content, fingerprint))
+                        .toList();
         if (chosen.isEmpty() && fingerprint.isPresent()) {
             return new AdminReply.NotFound("content " + fingerprint.get());
         }
@@ -46,11 +48,11 @@
         return new AdminReply.Accepted("", 0, "released " + chosen.size());
     }
 
-    private static boolean matches(HeldContent content, Optional<String> fingerprint) {
+    private static boolean matches(QuarantinedContent content, Optional<String> fingerprint) {
         return fingerprint.map(content.fingerprint().toString()::equals).orElse(true);
     }
 
-    private List<HeldContent> held(long nowNanos) {
+    private List<QuarantinedContent> quarantined(long nowNanos) {
         return core.map(known -> known.poison(nowNanos)).orElse(List.of());
     }
 }
--- a/src/main/java/org/orioleshed/entry/FateDoor.java
+++ b/src/main/java/org/orioleshed/entry/RequestStatusHandler.java
@@ -13,10 +13,10 @@
 import org.orioleshed.fleet.Workspace;
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.RequestKey;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 
-/** Tells callers the fate of their keys: {@code GET /v1/requests/{key}}. */
-final class FateDoor {
+/** Tells callers the request status of their keys: {@code GET /v1/requests/{key}}. */
+final class RequestStatusHandler {
     /** What the path starts with. */
     static final String PATH = "/v1/requests/";
 
@@ -28,11 +28,11 @@
     private static final int MAX_KEY_LENGTH = 200;
     private static final long TIMEOUT_MILLIS = 2_000;
 
-    private final CallerDoor door;
+    private final CallerHandler handler;
     private final HostActions actions;
 
-    FateDoor(CallerDoor door, HostActions actions) {
-        this.door = door;
+    RequestStatusHandler(CallerHandler handler, HostActions actions) {
+        this.handler = handler;
         this.actions = actions;
     }
 
@@ -42,7 +42,7 @@
             refuse(http, METHOD_NOT_ALLOWED, "bad_method", "use GET");
             return;
         }
-        Optional<Workspace> workspace = door.workspace(http.getRequestHeaders());
+        Optional<Workspace> workspace = handler.workspace(http.getRequestHeaders());
         if (workspace.isEmpty()) {
             refuse(http, UNAUTHORIZED, "unauthorized", "send a known bearer key");
             return;
@@ -67,8 +67,9 @@
 
     private void tell(HttpExchange http, RequestKey key) throws IOException {
         try {
-            Fate fate = actions.fate(key).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            CallerReply.send(http, OK, describe(fate).getBytes(StandardCharsets.UTF_8));
+            RequestStatus requestStatus =
+                    actions.requestStatus(key).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            CallerReply.send(http, OK, describe(requestStatus).getBytes(StandardCharsets.UTF_8));
         } catch (TimeoutException | ExecutionException e) {
             CallerServer.refuse(http, Outcome.NotRunReason.OVERLOAD);
         } catch (InterruptedException e) {
@@ -81,12 +82,12 @@
         CallerReply.sendError(http, CallerError.of(new BadRequest(status, code, message)));
     }
 
-    private static String describe(Fate fate) {
+    private static String describe(RequestStatus requestStatus) {
         ObjectNode root = JSON.createObjectNode();
-        switch (fate) {
-            case Fate.Unknown unknown -> root.put("fate", "unknown");
-            case Fate.Pending pending -> root.put("fate", "pending");
-            case Fate.Final known -> describe(known.outcome(), root);
+        switch (requestStatus) {
+            case RequestStatus.Unknown unknown -> root.put("fate", "unknown");
+            case RequestStatus.Pending pending -> root.put("fate", "pending");
+            case RequestStatus.Final known -> describe(known.outcome(), root);
         }
         return root.toString();
     }
--- a/src/main/java/org/orioleshed/fleet/EntryHost.java
+++ b/src/main/java/org/orioleshed/fleet/EntryHost.java
@@ -23,7 +23,7 @@
     public enum State {
         /** Answers its heartbeats. */
         ALIVE,
-        /** Missed heartbeats; keeps its homes until it is declared dead. */
+        /** Missed heartbeats; stays the owner of its servers until it is declared dead. */
         SUSPECT,
         /** Finishes what runs and takes nothing new. */
         LEAVING,
@@ -31,7 +31,7 @@
         DEAD
     }
 
-    /** Returns whether the host may be the home of backend servers. */
+    /** Returns whether the host may be the owner of backend servers. */
     public boolean takesWork() {
         return state == State.ALIVE || state == State.SUSPECT;
     }
--- a/src/main/java/org/orioleshed/fleet/World.java
+++ b/src/main/java/org/orioleshed/fleet/FleetSnapshot.java
@@ -11,18 +11,18 @@
 
 /**
  * What one entry host holds true of the fleet at one moment: its membership view, the settings in
- * force, and the division of traffic between versions. Immutable; a change brings a new one.
+ * force, and the traffic split between versions. Immutable; a change brings a new one.
  *
  * @param settingsRevision the revision of the settings in force; zero when none is known yet
  * @param hosts the entry hosts of the membership view, the dead left out
  * @param servers the backend servers
  * @param routes the routes
  * @param workspaces the workspaces
- * @param splits for each route with a move under way, how its traffic divides
- * @param currentVersions for each route without a move under way, the version to use; a route that
- *     is missing takes any version
+ * @param splits for each route with a rollout under way, how its traffic divides
+ * @param currentVersions for each route without a rollout under way, the version to use; a route
+ *     that is missing takes any version
  */
-public record World(
+public record FleetSnapshot(
         long settingsRevision,
         Map<HostId, EntryHost> hosts,
         Map<ServerId, BackendServer> servers,
@@ -30,12 +30,12 @@
         Map<WorkspaceId, Workspace> workspaces,
         Map<RouteId, VersionSplit> splits,
         Map<RouteId, VersionId> currentVersions) {
-    /** The world of a host that has heard nothing yet. */
-    public static final World EMPTY =
-            new World(0, Map.of(), Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
+    /** The fleet snapshot of a host that has heard nothing yet. */
+    public static final FleetSnapshot EMPTY =
+            new FleetSnapshot(0, Map.of(), Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
 
     /** Copies the maps. */
-    public World {
+    public FleetSnapshot {
         hosts = Map.copyOf(hosts);
         servers = Map.copyOf(servers);
         routes = Map.copyOf(routes);
--- a/src/main/java/org/orioleshed/fleet/Rendezvous.java
+++ b/src/main/java/org/orioleshed/fleet/Rendezvous.java
@@ -30,9 +30,9 @@
         return Optional.ofNullable(best);
     }
 
-    /** Returns the host among those of {@code world} that take work. */
-    public static Optional<HostId> choose(World world, String item) {
-        return choose(takingWork(world), item);
+    /** Returns the host among those of {@code fleet} that take work. */
+    public static Optional<HostId> choose(FleetSnapshot fleet, String item) {
+        return choose(takingWork(fleet), item);
     }
 
     /** Returns {@code hosts} in the order in which they would be chosen, the best first. */
@@ -46,15 +46,15 @@
     }
 
     /**
-     * Returns the {@code count} best hosts among those of {@code world} that take work, the best
+     * Returns the {@code count} best hosts among those of {@code fleet} that take work, the best
      * first.
      */
-    public static List<HostId> choose(World world, String item, int count) {
-        return ranked(takingWork(world), item).stream().limit(count).toList();
+    public static List<HostId> choose(FleetSnapshot fleet, String item, int count) {
+        return ranked(takingWork(fleet), item).stream().limit(count).toList();
     }
 
-    private static List<HostId> takingWork(World world) {
-        return world.hosts().values().stream()
+    private static List<HostId> takingWork(FleetSnapshot fleet) {
+        return fleet.hosts().values().stream()
                 .filter(EntryHost::takesWork)
                 .map(EntryHost::id)
                 .toList();
--- a/src/main/java/org/orioleshed/fleet/VersionSplit.java
+++ b/src/main/java/org/orioleshed/fleet/VersionSplit.java
@@ -3,11 +3,11 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * How a target's traffic divides over two versions while a move is under way.
+ * How a target's traffic divides over two versions while a rollout is under way.
  *
  * @param from the version that traffic leaves
  * @param to the version that traffic goes to
- * @param toShare the share of requests for {@code to}, from 0 to 1; 0 once a fuse has blown
+ * @param toShare the share of requests for {@code to}, from 0 to 1; 0 once a breaker has tripped
  */
 public record VersionSplit(VersionId from, VersionId to, double toShare) {
     /**
--- a/src/main/java/org/orioleshed/fleet/package-info.java
+++ b/src/main/java/org/orioleshed/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** The world that decisions are made about: entry hosts, backend servers, workspaces, routes. */
+/**
+ * The fleet snapshot that decisions are made about: entry hosts, backend servers, workspaces,
+ * routes.
+ */
 package org.orioleshed.fleet;
--- a/src/main/java/org/orioleshed/host/HostAction.java
+++ b/src/main/java/org/orioleshed/host/HostAction.java
@@ -8,9 +8,9 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.RunResult;
-import org.orioleshed.request.Fate;
 import org.orioleshed.request.RequestMessage;
+import org.orioleshed.request.RequestStatus;
+import org.orioleshed.rollout.RunResult;
 import org.orioleshed.routing.RoutingMessage;
 
 /** What an entry host can do. */
@@ -22,13 +22,13 @@
     /** End the caller's request; the last action for it. */
     record Answer(RequestId request, Outcome outcome) implements HostAction {}
 
-    /** Answer {@link HostEvent.FateAsked}. */
-    record TellFate(long ticket, Fate fate) implements HostAction {}
+    /** Answer {@link HostEvent.StatusRequested}. */
+    record ReplyStatus(long ticket, RequestStatus status) implements HostAction {}
 
     /** Send a message about offers and runs. */
     record SendRouting(HostId to, RoutingMessage message) implements HostAction {}
 
-    /** Send a message about keys, fates and poison. */
+    /** Send a message about keys, request statuses and poison. */
     record SendRequest(HostId to, RequestMessage message) implements HostAction {}
 
     /** Start a run on an engine, from {@code resumeFromToken}. */
@@ -57,17 +57,17 @@
      * Replace a key's value if its modification revision is still {@code expectedRevision}; zero:
      * no such key.
      */
-    record SwapStore(
+    record CompareAndSwap(
             long ticket, String key, long expectedRevision, Payload value, long timeoutMillis)
             implements HostAction {}
 
     /** Hand evidence about a version to the duty that judges moves. */
-    record Observe(RouteId route, VersionId version, ServerId server, RunResult result)
+    record RecordResult(RouteId route, VersionId version, ServerId server, RunResult result)
             implements HostAction {}
 
     /** Write a decision to the log. */
     record Log(Decision decision) implements HostAction {}
 
-    /** The host has nothing left to finish after {@link HostEvent.DrainAsked}. */
+    /** The host has nothing left to finish after {@link HostEvent.DrainRequested}. */
     record Drained() implements HostAction {}
 }
--- a/src/main/java/org/orioleshed/host/HostCore.java
+++ b/src/main/java/org/orioleshed/host/HostCore.java
@@ -11,48 +11,48 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.claim.ClaimCore;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.Request;
 import org.orioleshed.model.ServerId;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.model.VersionId;
 import org.orioleshed.model.Work;
-import org.orioleshed.request.AcceptingSide;
-import org.orioleshed.request.HeldContent;
+import org.orioleshed.request.AcceptedRequests;
 import org.orioleshed.request.Placement;
+import org.orioleshed.request.QuarantinedContent;
 import org.orioleshed.routing.Candidate;
-import org.orioleshed.routing.HomeCore;
+import org.orioleshed.routing.OwnerCore;
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.ServerChooser;
 
 /**
  * All decisions of one entry host: the accepting side of its callers' requests, the claims of calls
- * that may not be repeated, and the homes of its backend servers. Messages of the host to itself
+ * that may not be repeated, and the owners of its backend servers. Messages of the host to itself
  * are handled at once, before {@link #on} returns. Not safe for use by several threads.
  */
-public final class HostCore implements Machine<HostEvent, HostAction> {
+public final class HostCore implements StateMachine<HostEvent, HostAction> {
     /** How long a host that shuts down waits for outcomes to be recorded. */
     private static final long MAX_RECORDING_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private final HostId self;
-    private final HomeCore homes;
+    private final OwnerCore owners;
     private final ServerChooser chooser;
     private final ClaimCore claims;
-    private final AcceptingSide accepting;
+    private final AcceptedRequests accepting;
     private final RunEvidence evidence;
     private final Deque<HostEvent> events = new ArrayDeque<>();
     private List<HostAction> actions = new ArrayList<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private long eventNanos;
     private boolean draining;
     private OptionalLong idleSinceNanos = OptionalLong.empty();
     private boolean drained;
 
     /**
-     * Makes the core of a host that has heard nothing yet: it needs {@link HostEvent.WorldChanged}
+     * Makes the core of a host that has heard nothing yet: it needs {@link HostEvent.FleetChanged}
      * before it can place a request.
      *
      * @param self the host
@@ -69,11 +69,11 @@
             HostLimits limits,
             RandomGenerator random) {
         this.self = self;
-        this.homes = new HomeCore(self, limits.routing());
+        this.owners = new OwnerCore(self, limits.routing());
         this.chooser = new ServerChooser(self, limits.routing());
         this.claims = new ClaimCore(self, limits.claim(), this::act);
         this.accepting =
-                new AcceptingSide(
+                new AcceptedRequests(
                         self,
                         domain,
                         incarnation,
@@ -90,7 +90,7 @@
      * {@inheritDoc}
      *
      * <p>{@link HostAction.Drained} comes once, as the last action, after {@link
-     * HostEvent.DrainAsked}.
+     * HostEvent.DrainRequested}.
      */
     @Override
     public List<HostAction> on(long nowNanos, HostEvent event) {
@@ -107,7 +107,7 @@
     }
 
     /** Returns the content that is held or under suspicion, for operators. */
-    public List<HeldContent> poison(long nowNanos) {
+    public List<QuarantinedContent> poison(long nowNanos) {
         return accepting.poison(nowNanos);
     }
 
@@ -129,7 +129,7 @@
 
     /** Returns whether nothing is left to finish; outcomes are waited for a bounded time only. */
     private boolean isDone(long nowNanos) {
-        if (!homes.isIdle() || !accepting.isIdle()) {
+        if (!owners.isIdle() || !accepting.isIdle()) {
             idleSinceNanos = OptionalLong.empty();
             return false;
         }
@@ -143,8 +143,8 @@
         eventNanos = nowNanos;
         evidence.before(nowNanos, event);
         switch (event) {
-            case HostEvent.WorldChanged changed -> world = changed.world();
-            case HostEvent.DrainAsked asked -> draining = true;
+            case HostEvent.FleetChanged changed -> fleet = changed.fleet();
+            case HostEvent.DrainRequested asked -> draining = true;
             case HostEvent.RoutingReceived received -> {
                 chooser.learn(nowNanos, received.message());
                 if (refusePoison(nowNanos, received)) {
@@ -153,7 +153,7 @@
             }
             default -> {}
         }
-        homes.on(nowNanos, event).forEach(this::actOfHomes);
+        owners.on(nowNanos, event).forEach(this::actOfOwners);
         claims.on(nowNanos, event);
         accepting.on(nowNanos, event);
         claims.deliver();
@@ -162,7 +162,7 @@
     /** Refuses an offer of content that is held, whoever accepted it. */
     private boolean refusePoison(long nowNanos, HostEvent.RoutingReceived received) {
         if (!(received.message() instanceof RoutingMessage.Offered offered)
-                || !accepting.isHeld(nowNanos, offered.offer().fingerprint())) {
+                || !accepting.isQuarantined(nowNanos, offered.offer().fingerprint())) {
             return false;
         }
         RoutingMessage refusal =
@@ -176,8 +176,8 @@
         return true;
     }
 
-    /** The homes being drained is not the host being drained. */
-    private void actOfHomes(HostAction action) {
+    /** The owner core being drained is not the host being drained. */
+    private void actOfOwners(HostAction action) {
         if (!(action instanceof HostAction.Drained)) {
             act(action);
         }
@@ -208,11 +208,11 @@
             boolean resumes = resumeFromToken > 0;
             int wanted = resumes ? Integer.MAX_VALUE : count;
             List<Candidate> all =
-                    chooser.choose(world, request, version, excluded, wanted, nowNanos);
+                    chooser.choose(fleet, request, version, excluded, wanted, nowNanos);
             List<Candidate> fit = resumes ? resumable(all) : all;
             return fit.stream()
                     .limit(count)
-                    .map(c -> new Choice(c.server(), c.home(), c.toString()))
+                    .map(c -> new Choice(c.server(), c.owner(), c.toString()))
                     .toList();
         }
 
@@ -234,7 +234,7 @@
                     all.stream()
                             .filter(
                                     c -> {
-                                        BackendServer server = world.servers().get(c.server());
+                                        BackendServer server = fleet.servers().get(c.server());
                                         return server != null && server.canResume();
                                     })
                             .toList();
--- a/src/main/java/org/orioleshed/host/HostEvent.java
+++ b/src/main/java/org/orioleshed/host/HostEvent.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.Request;
@@ -23,18 +23,18 @@
     record CallerGone(RequestId request) implements HostEvent {}
 
     /** The caller's connection took {@code tokens} more tokens. */
-    record CallerTook(RequestId request, int tokens) implements HostEvent {}
+    record CallerConsumed(RequestId request, int tokens) implements HostEvent {}
 
     /**
-     * A caller asks for the fate of a key; answered by {@link HostAction.TellFate} with the same
-     * ticket.
+     * A caller asks for the request status of a key; answered by {@link HostAction.ReplyStatus}
+     * with the same ticket.
      */
-    record FateAsked(long ticket, RequestKey key) implements HostEvent {}
+    record StatusRequested(long ticket, RequestKey key) implements HostEvent {}
 
     /** A message about offers and runs. */
     record RoutingReceived(HostId from, RoutingMessage message) implements HostEvent {}
 
-    /** A message about keys, fates and poison. */
+    /** A message about keys, request statuses and poison. */
     record RequestReceived(HostId from, RequestMessage message) implements HostEvent {}
 
     /** A run's engine accepted it. */
@@ -71,13 +71,15 @@
     record StoreAnswered(long ticket, StoreAnswer answer) implements HostEvent {}
 
     /** The membership view, the settings or the division of versions changed. */
-    record WorldChanged(World world) implements HostEvent {}
+    record FleetChanged(FleetSnapshot fleet) implements HostEvent {}
 
     /** The process was asked to stop: take nothing new, finish what runs. */
-    record DrainAsked() implements HostEvent {}
+    record DrainRequested() implements HostEvent {}
 
-    /** The time to finish after {@link DrainAsked} is over: what is left gets its outcome now. */
-    record DrainOver() implements HostEvent {}
+    /**
+     * The time to finish after {@link DrainRequested} is over: what is left gets its outcome now.
+     */
+    record DrainTimedOut() implements HostEvent {}
 
     /**
      * The host's wall clock, for daily windows only; comes at the start and at least every minute.
@@ -119,6 +121,6 @@
         record Unknown(String detail) implements StoreAnswer {}
 
         /** The store refused or was not asked: a write did not take effect. */
-        record Away(String detail) implements StoreAnswer {}
+        record Unavailable(String detail) implements StoreAnswer {}
     }
 }
--- a/src/main/java/org/orioleshed/host/HostLimits.java
+++ b/src/main/java/org/orioleshed/host/HostLimits.java
@@ -7,7 +7,7 @@
 /**
  * The bounds of an entry host's decisions.
  *
- * @param routing the bounds of the homes
+ * @param routing the bounds of the owners
  * @param request the bounds of the accepting side
  * @param claim the bounds of claims
  */
--- a/src/main/java/org/orioleshed/host/NaiveHost.java
+++ b/src/main/java/org/orioleshed/host/NaiveHost.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import org.orioleshed.fleet.BackendServer;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
-import org.orioleshed.fleet.World;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.Request;
 import org.orioleshed.model.RequestId;
 import org.orioleshed.model.RunId;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.model.Work;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 import org.orioleshed.routing.RunEnd;
 
 /**
  * The naive scheduler that the others are compared with: round robin over all servers of a route,
  * first come first served in the engines, no claims, no preemption, no retry.
  */
-public final class NaiveHost implements Machine<HostEvent, HostAction> {
+public final class NaiveHost implements StateMachine<HostEvent, HostAction> {
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Map<RequestId, Running> running = new HashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private int turn;
     private boolean draining;
 
@@ -50,10 +50,12 @@
             }
             case HostEvent.RunEnded ended -> finish(ended.run(), outcome(ended.end()), actions);
             case HostEvent.CallEnded ended -> finish(ended.run(), outcome(ended.end()), actions);
-            case HostEvent.FateAsked asked ->
-                    actions.add(new HostAction.TellFate(asked.ticket(), new Fate.Unknown()));
-            case HostEvent.WorldChanged changed -> world = changed.world();
-            case HostEvent.DrainAsked asked -> draining = true;
+            case HostEvent.StatusRequested asked ->
+                    actions.add(
+                            new HostAction.ReplyStatus(
+                                    asked.ticket(), new RequestStatus.Unknown()));
+            case HostEvent.FleetChanged changed -> fleet = changed.fleet();
+            case HostEvent.DrainRequested asked -> draining = true;
             case HostEvent.Tick tick -> expire(nowNanos, actions);
             default -> {}
         }
@@ -68,11 +70,11 @@
             refuse(request, Outcome.NotRunReason.DRAINING, actions);
             return;
         }
-        Route route = world.routes().get(request.route());
+        Route route = fleet.routes().get(request.route());
         List<BackendServer> servers =
                 route == null
                         ? List.of()
-                        : world.serversOf(route.target()).stream()
+                        : fleet.serversOf(route.target()).stream()
                                 .filter(server -> !server.leaving())
                                 .sorted(Comparator.comparing(BackendServer::id))
                                 .toList();
--- a/src/main/java/org/orioleshed/host/RunEvidence.java
+++ b/src/main/java/org/orioleshed/host/RunEvidence.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.Request;
 import org.orioleshed.model.RequestId;
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Work;
-import org.orioleshed.move.RunResult;
+import org.orioleshed.rollout.RunResult;
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.RunEnd;
 
@@ -31,7 +31,7 @@
 
     private final Map<ServerId, Double> loads = new HashMap<>();
     private final Consumer<HostAction> out;
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     private static final class Run {
         final RunId id;
@@ -64,9 +64,9 @@
             case HostEvent.RunEnded ended -> end(nowNanos, ended.run(), ended.end());
             case HostEvent.CallEnded ended -> end(nowNanos, ended.run(), ended.end());
             case HostEvent.CallerGone gone -> forget(nowNanos, gone.request());
-            case HostEvent.WorldChanged changed -> {
-                world = changed.world();
-                loads.keySet().retainAll(world.servers().keySet());
+            case HostEvent.FleetChanged changed -> {
+                fleet = changed.fleet();
+                loads.keySet().retainAll(fleet.servers().keySet());
             }
             default -> {}
         }
@@ -102,7 +102,7 @@
     }
 
     private void learnLoad(RoutingMessage.ServerLoad load) {
-        BackendServer server = world.servers().get(load.server());
+        BackendServer server = fleet.servers().get(load.server());
         if (server != null) {
             loads.put(load.server(), load.running() / (double) Math.max(1, server.places()));
         }
@@ -165,7 +165,7 @@
             return;
         }
         runs.remove(id.request());
-        BackendServer server = world.servers().get(run.server);
+        BackendServer server = fleet.servers().get(run.server);
         if (server == null) {
             return;
         }
@@ -182,7 +182,8 @@
                         run.load,
                         run.request.fingerprint());
         out.accept(
-                new HostAction.Observe(run.request.route(), server.version(), server.id(), result));
+                new HostAction.RecordResult(
+                        run.request.route(), server.version(), server.id(), result));
     }
 
     private static long millisSince(long nowNanos, long thenNanos) {
--- a/src/main/java/org/orioleshed/load/AdminClient.java
+++ b/src/main/java/org/orioleshed/load/AdminClient.java
@@ -50,7 +50,7 @@
     }
 
     /** Returns what a host tells of a move. */
-    Answer move(Host host, String id) throws IOException, InterruptedException {
+    Answer rollout(Host host, String id) throws IOException, InterruptedException {
         return call(host, "GET", "moves/" + id, null);
     }
 
--- a/src/main/java/org/orioleshed/load/MoveTrial.java
+++ b/src/main/java/org/orioleshed/load/RolloutTrial.java
@@ -13,7 +13,7 @@
  * One move, planned through the admin API and judged from outside: by the record in the store and
  * by the runs that the engines of each version saw.
  */
-final class MoveTrial {
+final class RolloutTrial {
     private static final long POLL_MILLIS = 100;
     private static final long SHOWN_MILLIS = 1_000;
     private static final long SHARE_WINDOW_MILLIS = 10_000;
@@ -32,7 +32,7 @@
     private String problem = "";
     private String reason = "";
 
-    MoveTrial(AdminClient admin, StoreClient store, FleetLayout layout, String id, boolean bad) {
+    RolloutTrial(AdminClient admin, StoreClient store, FleetLayout layout, String id, boolean bad) {
         this.admin = admin;
         this.store = store;
         this.layout = layout;
@@ -64,16 +64,16 @@
 
     private void look() throws InterruptedException {
         try {
-            JsonNode move = store.value("orioleshed/moves/" + id);
-            String state = move.path("state").asText();
+            JsonNode rollout = store.value("orioleshed/moves/" + id);
+            String state = rollout.path("state").asText();
             boolean outcome = state.equals("COMPLETED") || state.equals("TAKEN_BACK");
             if (outcome && !outcomes.contains(state)) {
                 outcomes.add(state);
-                reason = move.path("reason").asText();
+                reason = rollout.path("reason").asText();
                 outcomeMillis = System.currentTimeMillis();
                 shownMillis = shownMillis == 0 ? outcomeMillis : shownMillis;
             }
-            if (shownMillis == 0 && anyFuse()) {
+            if (shownMillis == 0 && anyBreaker()) {
                 shownMillis = System.currentTimeMillis();
             }
         } catch (IOException e) {
@@ -81,13 +81,13 @@
         }
     }
 
-    private boolean anyFuse() throws IOException, InterruptedException {
+    private boolean anyBreaker() throws IOException, InterruptedException {
         for (Host host : layout.hosts()) {
-            JsonNode table = admin.move(host, id).body();
+            JsonNode table = admin.rollout(host, id).body();
             JsonNode row = table.path("rows").path(0);
             for (int i = 0; i < row.size(); i++) {
-                boolean fuse = table.path("columns").path(i).asText().equals("fuse");
-                if (fuse && !row.path(i).asText().isEmpty()) {
+                boolean breaker = table.path("columns").path(i).asText().equals("fuse");
+                if (breaker && !row.path(i).asText().isEmpty()) {
                     return true;
                 }
             }
@@ -100,19 +100,19 @@
         boolean completed = outcomes.contains("COMPLETED");
         boolean inTime = completed && outcomeMillis <= completeByMillis;
         boolean takenBack = outcomes.contains("TAKEN_BACK");
-        ObjectNode moves = json.putObject("moves");
-        moves.put("goodTotal", bad ? 0 : 1);
-        moves.put("goodInTime", !bad && inTime ? 1 : 0);
-        moves.put("badTotal", bad ? 1 : 0);
-        moves.put("badTakenBack", bad && takenBack ? 1 : 0);
-        moves.put("badShareMax", bad ? shareMax(ledger.runs()) : 0);
-        moves.put("badRequestsAfterFault", bad ? runsAfterFault(ledger.runs()) : 0);
-        moves.put("outcomesPerMove", outcomes.size());
-        moves.put("newVersionRuns", ledger.runs().stream().filter(this::isNew).count());
-        moves.put("outcomeAfterMillis", outcomeMillis == 0 ? -1 : outcomeMillis - plannedMillis);
-        moves.put("reason", reason);
-        moves.put("faultShownAfterMillis", shownMillis == 0 ? -1 : shownMillis - plannedMillis);
-        moves.put("problem", problem);
+        ObjectNode rollouts = json.putObject("moves");
+        rollouts.put("goodTotal", bad ? 0 : 1);
+        rollouts.put("goodInTime", !bad && inTime ? 1 : 0);
+        rollouts.put("badTotal", bad ? 1 : 0);
+        rollouts.put("badTakenBack", bad && takenBack ? 1 : 0);
+        rollouts.put("badShareMax", bad ? shareMax(ledger.runs()) : 0);
+        rollouts.put("badRequestsAfterFault", bad ? runsAfterFault(ledger.runs()) : 0);
+        rollouts.put("outcomesPerMove", outcomes.size());
+        rollouts.put("newVersionRuns", ledger.runs().stream().filter(this::isNew).count());
+        rollouts.put("outcomeAfterMillis", outcomeMillis == 0 ? -1 : outcomeMillis - plannedMillis);
+        rollouts.put("reason", reason);
+        rollouts.put("faultShownAfterMillis", shownMillis == 0 ? -1 : shownMillis - plannedMillis);
+        rollouts.put("problem", problem);
     }
 
     private boolean isNew(RunRecord run) {
--- a/src/main/java/org/orioleshed/load/Scenario.java
+++ b/src/main/java/org/orioleshed/load/Scenario.java
@@ -78,13 +78,13 @@
                             "a move to a good new version",
                             BUSY,
                             true,
-                            List.of(new Step.Move(0, COMPLETE_BY))),
+                            List.of(new Step.Rollout(0, COMPLETE_BY))),
                     new Scenario(
                             "bad-version",
                             "a move to a bad new version, with --fault KIND",
                             BUSY,
                             true,
-                            List.of(new Step.Move(0, COMPLETE_BY))));
+                            List.of(new Step.Rollout(0, COMPLETE_BY))));
 
     static List<Scenario> all() {
         return ALL;
--- a/src/main/java/org/orioleshed/load/Step.java
+++ b/src/main/java/org/orioleshed/load/Step.java
@@ -44,5 +44,5 @@
      *
      * @param completeBy when it must be completed, as a share of the length
      */
-    record Move(double at, double completeBy) implements Step {}
+    record Rollout(double at, double completeBy) implements Step {}
 }
--- a/src/main/java/org/orioleshed/load/Steps.java
+++ b/src/main/java/org/orioleshed/load/Steps.java
@@ -22,7 +22,7 @@
     private final AdminClient admin;
     private final List<Thread> running = new CopyOnWriteArrayList<>();
     private final List<SettingsTrial> settings = new CopyOnWriteArrayList<>();
-    private final List<MoveTrial> moves = new CopyOnWriteArrayList<>();
+    private final List<RolloutTrial> rollouts = new CopyOnWriteArrayList<>();
     private long startMillis;
 
     Steps(Http http, FleetLayout layout, Scenario scenario, double seconds, PrintStream out) {
@@ -46,7 +46,7 @@
     /** Adds what the steps saw to a report. */
     void report(ObjectNode json, Ledger ledger) {
         settings.forEach(trial -> trial.report(json));
-        moves.forEach(trial -> trial.report(json, ledger));
+        rollouts.forEach(trial -> trial.report(json, ledger));
     }
 
     /** Waits for the steps that still watch something. */
@@ -68,7 +68,7 @@
                 case Step.StoreFaults faults -> setFaults(layout.storeUrl(), faults.faults());
                 case Step.Processes processes -> {}
                 case Step.Operators operators -> operate(operators);
-                case Step.Move move -> move(move);
+                case Step.Rollout rollout -> rollout(rollout);
             }
         } catch (IOException e) {
             out.println("step failed " + step + " " + e);
@@ -83,10 +83,10 @@
         trial.run(step.operators(), startMillis + millis(step.until()));
     }
 
-    private void move(Step.Move step) throws IOException, InterruptedException {
+    private void rollout(Step.Rollout step) throws IOException, InterruptedException {
         StoreClient store = new StoreClient(http, layout.storeUrl());
-        MoveTrial trial = new MoveTrial(admin, store, layout, "move-1", scenario.bad());
-        moves.add(trial);
+        RolloutTrial trial = new RolloutTrial(admin, store, layout, "move-1", scenario.bad());
+        rollouts.add(trial);
         long endMillis = startMillis + millis(1) + LOOK_AFTER_END_MILLIS;
         trial.run(startMillis + millis(step.completeBy()), endMillis);
     }
--- a/src/main/java/org/orioleshed/membership/Membership.java
+++ b/src/main/java/org/orioleshed/membership/Membership.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
+import org.orioleshed.model.StateMachine;
 
 /**
  * One host's view of the fleet. Each host pings one other in each period, whatever the fleet's
  * size; news rides on pings and answers, and goes to a few hosts at once when it is fresh. A host
  * that does not answer, not even to others, is suspected; it has some seconds to refute that.
  */
-public final class Membership implements Machine<MembershipEvent, MembershipAction> {
+public final class Membership implements StateMachine<MembershipEvent, MembershipAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int RUMORS_PER_MESSAGE = 8;
     private static final int RUMORS_PER_VIEW_PART = 128;
--- a/src/main/java/org/orioleshed/model/MoveId.java
+++ b/src/main/java/org/orioleshed/model/RolloutId.java
@@ -5,14 +5,14 @@
  *
  * @param value the id, not blank, at most 200 characters
  */
-public record MoveId(String value) implements Comparable<MoveId> {
+public record RolloutId(String value) implements Comparable<RolloutId> {
     /** Checks the argument. */
-    public MoveId {
+    public RolloutId {
         Ids.require(value, "move");
     }
 
     @Override
-    public int compareTo(MoveId other) {
+    public int compareTo(RolloutId other) {
         return value.compareTo(other.value);
     }
 
--- a/src/main/java/org/orioleshed/model/Machine.java
+++ b/src/main/java/org/orioleshed/model/StateMachine.java
@@ -8,7 +8,7 @@
  * @param <E> the sealed type of its events
  * @param <A> the sealed type of its actions
  */
-public interface Machine<E, A> {
+public interface StateMachine<E, A> {
     /**
      * Takes an event and returns what to do about it, in order.
      *
--- a/src/main/java/org/orioleshed/request/AcceptingSide.java
+++ b/src/main/java/org/orioleshed/request/AcceptedRequests.java
@@ -11,9 +11,9 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Rendezvous;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.FailureDomain;
@@ -36,7 +36,7 @@
  * The accepting side of an entry host: every request that its callers sent, from the door to the
  * one final outcome. Owned by one thread.
  */
-public final class AcceptingSide implements Claims.Listener {
+public final class AcceptedRequests implements Claims.Listener {
     /** The share of the host's room that each tier below the first leaves to those above. */
     private static final double RESERVE_PER_RANK = 0.15;
 
@@ -52,10 +52,10 @@
     private final ServiceRequests services;
     private final HostId self;
     private final KeyDirectory directory;
-    private final FateInquiries inquiries;
+    private final StatusInquiries inquiries;
     private final Map<RequestKey, KeyedRequest> byKey = new HashMap<>();
     private final Map<WorkspaceId, Integer> perWorkspace = new HashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private boolean draining;
 
     /**
@@ -70,7 +70,7 @@
      * @param claims the claims of non-repeatable calls
      * @param out takes the actions, in order
      */
-    public AcceptingSide(
+    public AcceptedRequests(
             HostId self,
             FailureDomain domain,
             long incarnation,
@@ -83,7 +83,7 @@
         this.limits = limits;
         this.out = out;
         this.directory = new KeyDirectory(limits.resultMillis());
-        this.inquiries = new FateInquiries(claims, out);
+        this.inquiries = new StatusInquiries(claims, out);
         this.poison =
                 new PoisonWatch(
                         self, new Poison(limits.poisonMillis(), limits.poisonEntries()), out);
@@ -102,8 +102,10 @@
                 models.onCallerGone(nowNanos, gone.request());
                 services.onCallerGone(nowNanos, gone.request());
             }
-            case HostEvent.CallerTook took -> models.onCallerTook(took.request(), took.tokens());
-            case HostEvent.FateAsked asked -> fateAsked(nowNanos, asked.ticket(), asked.key());
+            case HostEvent.CallerConsumed took ->
+                    models.onCallerConsumed(took.request(), took.tokens());
+            case HostEvent.StatusRequested asked ->
+                    statusRequested(nowNanos, asked.ticket(), asked.key());
             case HostEvent.RoutingReceived received ->
                     routed(nowNanos, received.from(), received.message());
             case HostEvent.RequestReceived received ->
@@ -111,9 +113,9 @@
             case HostEvent.RunEnded ended -> models.onEnded(nowNanos, ended.run(), ended.end());
             case HostEvent.CallEnded ended ->
                     services.onCallEnded(nowNanos, ended.run(), ended.server(), ended.end());
-            case HostEvent.WorldChanged changed -> worldChanged(nowNanos, changed.world());
-            case HostEvent.DrainAsked asked -> drain(nowNanos);
-            case HostEvent.DrainOver over -> {
+            case HostEvent.FleetChanged changed -> fleetChanged(nowNanos, changed.fleet());
+            case HostEvent.DrainRequested asked -> drain(nowNanos);
+            case HostEvent.DrainTimedOut over -> {
                 models.giveUp(nowNanos);
                 services.giveUp(nowNanos);
             }
@@ -138,12 +140,12 @@
     }
 
     /** Returns whether content must not be run. */
-    public boolean isHeld(long nowNanos, Fingerprint fingerprint) {
-        return poison.isHeld(nowNanos, fingerprint);
+    public boolean isQuarantined(long nowNanos, Fingerprint fingerprint) {
+        return poison.isQuarantined(nowNanos, fingerprint);
     }
 
     /** Returns the content that is held or under suspicion. */
-    public List<HeldContent> poison(long nowNanos) {
+    public List<QuarantinedContent> poison(long nowNanos) {
         return poison.list(nowNanos);
     }
 
@@ -181,7 +183,7 @@
             replay(request, recent.get());
             return;
         }
-        if (poison.isHeld(nowNanos, request.fingerprint())) {
+        if (poison.isQuarantined(nowNanos, request.fingerprint())) {
             refuse(request, NotRunReason.POISON, -1);
             return;
         }
@@ -234,11 +236,11 @@
     }
 
     private List<HostId> directoriesOf(RequestKey key) {
-        return Rendezvous.choose(world, "keys/" + key, DIRECTORY_HOSTS);
+        return Rendezvous.choose(fleet, "keys/" + key, DIRECTORY_HOSTS);
     }
 
     /** Enters keys anew whose part of the directory went to another host. */
-    private void moveKeys(long nowNanos) {
+    private void rolloutKeys(long nowNanos) {
         for (Execution execution : models.all()) {
             List<HostId> before = execution.directories;
             execution.directories = directoriesOf(execution.request.key());
@@ -294,7 +296,7 @@
 
     /** Returns whether there is room for a request, and makes room among lower tiers if not. */
     private boolean admit(long nowNanos, Request request) {
-        Workspace workspace = world.workspaces().get(request.workspace());
+        Workspace workspace = fleet.workspaces().get(request.workspace());
         int held = perWorkspace.getOrDefault(request.workspace(), 0);
         if (workspace != null && held >= workspace.maxWaiting()) {
             boolean room = evict(nowNanos, request, Optional.of(request.workspace()));
@@ -351,10 +353,10 @@
         out.accept(new HostAction.Answer(request.id(), outcome));
     }
 
-    private void fateAsked(long nowNanos, long ticket, RequestKey key) {
-        Fate here = fate(nowNanos, key);
+    private void statusRequested(long nowNanos, long ticket, RequestKey key) {
+        RequestStatus here = status(nowNanos, key);
         if (!othersMayKnowMore(here)) {
-            out.accept(new HostAction.TellFate(ticket, here));
+            out.accept(new HostAction.ReplyStatus(ticket, here));
             return;
         }
         List<HostId> hosts = directoriesOf(key);
@@ -366,27 +368,27 @@
     }
 
     /** What this host didn't run, or doesn't know, another one may have run under the key. */
-    private static boolean othersMayKnowMore(Fate here) {
+    private static boolean othersMayKnowMore(RequestStatus here) {
         return switch (here) {
-            case Fate.Unknown unknown -> true;
-            case Fate.Pending pending -> false;
-            case Fate.Final end ->
+            case RequestStatus.Unknown unknown -> true;
+            case RequestStatus.Pending pending -> false;
+            case RequestStatus.Final end ->
                     end.outcome() instanceof Outcome.NotRun
                             || end.outcome() instanceof Outcome.InDoubt;
         };
     }
 
-    private Fate fate(long nowNanos, RequestKey key) {
+    private RequestStatus status(long nowNanos, RequestKey key) {
         KeyedRequest running = byKey.get(key);
         boolean relays =
                 running instanceof Execution execution
                         && execution.state instanceof Execution.Relaying;
         if (running != null && !relays) {
-            return new Fate.Pending();
+            return new RequestStatus.Pending();
         }
         return results.get(nowNanos, key)
-                .<Fate>map(result -> new Fate.Final(result.outcome()))
-                .orElseGet(Fate.Unknown::new);
+                .<RequestStatus>map(result -> new RequestStatus.Final(result.outcome()))
+                .orElseGet(RequestStatus.Unknown::new);
     }
 
     private void routed(long nowNanos, HostId from, RoutingMessage message) {
@@ -403,8 +405,8 @@
         switch (message) {
             case RequestMessage.PoisonSeen seen -> poison.onSeen(nowNanos, seen);
             case RequestMessage.PoisonCleared cleared -> poison.onCleared(cleared);
-            case RequestMessage.FateAsked asked -> tellFate(nowNanos, from, asked);
-            case RequestMessage.FateTold told -> fateTold(nowNanos, from, told);
+            case RequestMessage.StatusRequested asked -> reportStatus(nowNanos, from, asked);
+            case RequestMessage.StatusReported told -> statusReported(nowNanos, from, told);
             case RequestMessage.KeyOpened opened -> {
                 Optional<RequestId> holder =
                         directory.open(nowNanos, opened.key(), opened.request());
@@ -414,23 +416,23 @@
             case RequestMessage.KeyHolder holder -> holderTold(nowNanos, from, holder);
             case RequestMessage.KeyClosed closed ->
                     directory.close(nowNanos, closed.key(), closed.request(), closed.mayRunAgain());
-            case RequestMessage.KeyAsked asked -> {
+            case RequestMessage.KeyRequested asked -> {
                 Optional<RequestId> holder = directory.holder(nowNanos, asked.key());
                 send(from, new RequestMessage.KeyHolder(asked.key(), Optional.empty(), holder));
             }
-            case RequestMessage.ClaimAsked asked -> {}
-            case RequestMessage.ClaimTold told -> {}
-            case RequestMessage.OutcomeAsked asked -> {}
+            case RequestMessage.ClaimRequested asked -> {}
+            case RequestMessage.ClaimReported told -> {}
+            case RequestMessage.OutcomeRequested asked -> {}
         }
     }
 
-    private void fateTold(long nowNanos, HostId from, RequestMessage.FateTold told) {
-        inquiries.onFate(told);
+    private void statusReported(long nowNanos, HostId from, RequestMessage.StatusReported told) {
+        inquiries.onStatus(told);
         KeyedRequest running = byKey.get(told.key());
         if (running instanceof ServiceCall call) {
-            services.onFate(nowNanos, call, from, told);
+            services.onStatus(nowNanos, call, from, told);
         } else if (running instanceof Execution execution && told.claim().isEmpty()) {
-            models.onFate(nowNanos, execution, from, told);
+            models.onStatus(nowNanos, execution, from, told);
         }
     }
 
@@ -447,33 +449,36 @@
         }
     }
 
-    private void tellFate(long nowNanos, HostId from, RequestMessage.FateAsked asked) {
+    private void reportStatus(long nowNanos, HostId from, RequestMessage.StatusRequested asked) {
         if (asked.claim().isPresent()) {
-            Fate fate = services.fateOf(asked.claim().get());
-            send(from, new RequestMessage.FateTold(asked.key(), asked.claim(), fate, List.of()));
+            RequestStatus status = services.statusOf(asked.claim().get());
+            send(
+                    from,
+                    new RequestMessage.StatusReported(
+                            asked.key(), asked.claim(), status, List.of()));
             return;
         }
         List<Piece> pieces =
                 results.get(nowNanos, asked.key()).map(Results.Result::pieces).orElseGet(List::of);
-        Fate fate = fate(nowNanos, asked.key());
-        send(from, new RequestMessage.FateTold(asked.key(), asked.claim(), fate, pieces));
-    }
-
-    private void worldChanged(long nowNanos, World changed) {
-        boolean hostsChanged = !takingWork(changed).equals(takingWork(world));
-        world = changed;
-        poison.onWorld(nowNanos, changed);
-        directory.onWorld(changed);
-        inquiries.onWorld(changed);
-        models.onWorld(nowNanos, changed);
-        services.onWorld(nowNanos, changed);
+        RequestStatus status = status(nowNanos, asked.key());
+        send(from, new RequestMessage.StatusReported(asked.key(), asked.claim(), status, pieces));
+    }
+
+    private void fleetChanged(long nowNanos, FleetSnapshot changed) {
+        boolean hostsChanged = !takingWork(changed).equals(takingWork(fleet));
+        fleet = changed;
+        poison.onFleet(nowNanos, changed);
+        directory.onFleet(changed);
+        inquiries.onFleet(changed);
+        models.onFleet(nowNanos, changed);
+        services.onFleet(nowNanos, changed);
         if (hostsChanged) {
-            moveKeys(nowNanos);
+            rolloutKeys(nowNanos);
         }
     }
 
-    private static Set<HostId> takingWork(World world) {
-        return world.hosts().values().stream()
+    private static Set<HostId> takingWork(FleetSnapshot fleet) {
+        return fleet.hosts().values().stream()
                 .filter(EntryHost::takesWork)
                 .map(EntryHost::id)
                 .collect(Collectors.toSet());
--- a/src/main/java/org/orioleshed/request/CallerStreams.java
+++ b/src/main/java/org/orioleshed/request/CallerStreams.java
@@ -14,7 +14,7 @@
 
 /** What the callers of model requests get of the streams, and what they have taken. */
 final class CallerStreams {
-    /** Homes hear of more credit in steps of this part of it. */
+    /** Owners hear of more credit in steps of this part of it. */
     private static final int CREDIT_STEPS = 4;
 
     private final RequestLimits limits;
@@ -73,7 +73,7 @@
         giveCredit(execution);
     }
 
-    /** Lets the home send on, as far as the slowest caller has taken. */
+    /** Lets the owner send on, as far as the slowest caller has taken. */
     void giveCredit(Execution execution) {
         if (!(execution.state instanceof Running running)) {
             return;
@@ -86,7 +86,7 @@
         execution.creditLimit = limit;
         out.accept(
                 new HostAction.SendRouting(
-                        running.home, new RoutingMessage.Credit(running.run, more)));
+                        running.owner, new RoutingMessage.Credit(running.run, more)));
     }
 
     /** Gives one caller the outcome and forgets it. */
--- a/src/main/java/org/orioleshed/request/Claims.java
+++ b/src/main/java/org/orioleshed/request/Claims.java
@@ -18,7 +18,7 @@
     void claim(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces);
 
     /** Gives up on a claim under way; if it lands later, its run is never sent. */
-    void disown(RequestKey key, RunId run);
+    void abandon(RequestKey key, RunId run);
 
     /** Records the outcome of a claimed run in the next group of writes. */
     void record(long nowNanos, RequestKey key, RunId run, Outcome outcome);
@@ -29,18 +29,18 @@
     /** What became of a claim. */
     sealed interface Result {
         /** The claim stands in the store; the run may be sent. */
-        record Owned() implements Result {}
+        record Acquired() implements Result {}
 
         /**
          * Another run has the key.
          *
-         * @param owner the run that claimed the key; names the host and its incarnation
+         * @param holder the run that claimed the key; names the host and its incarnation
          * @param outcome its outcome, when recorded
          */
-        record Taken(RunId owner, Optional<Outcome> outcome) implements Result {
+        record Taken(RunId holder, Optional<Outcome> outcome) implements Result {
             /** Returns the host that claimed the key. */
             public HostId host() {
-                return owner.request().host();
+                return holder.request().host();
             }
         }
 
@@ -48,12 +48,12 @@
         record Free() implements Result {}
 
         /** The store did not answer in time, or refused. */
-        record Away() implements Result {}
+        record Unavailable() implements Result {}
     }
 
     /** Hears what became of claims. */
     interface Listener {
-        /** A claim under way was settled. Never called for a disowned one. */
+        /** A claim under way was settled. Never called for an abandoned one. */
         void onClaimed(long nowNanos, RequestKey key, RunId run, Result result);
 
         /** A key was looked up. */
--- a/src/main/java/org/orioleshed/request/Execution.java
+++ b/src/main/java/org/orioleshed/request/Execution.java
@@ -43,7 +43,7 @@
     /** When the host first found no server for the request; zero when it found one. */
     long noServerSinceNanos;
 
-    /** The offset up to which the home may send tokens. */
+    /** The offset up to which the owner may send tokens. */
     int creditLimit;
 
     Execution(Request request, State state) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Offered to homes, no grant yet. */
+    /** Offered to owners, no grant yet. */
     static final class Offering implements State {
         final RunId run;
         final Map<ServerId, Offered> offers = new LinkedHashMap<>();
@@ -116,20 +116,20 @@
         }
     }
 
-    /** One offer and the home that it went to. */
-    record Offered(HostId home) {}
+    /** One offer and the owner that it went to. */
+    record Offered(HostId owner) {}
 
-    /** Placed on a server by its home. */
+    /** Placed on a server by its owner. */
     static final class Running implements State {
         final RunId run;
         final ServerId server;
-        final HostId home;
-        final long homeIncarnation;
+        final HostId owner;
+        final long ownerIncarnation;
 
         /** Whether an earlier run may have reached an engine. */
         final boolean ranBefore;
 
-        /** When to ask the home whether it has the run, as it stays silent. */
+        /** When to ask the owner whether it has the run, as it stays silent. */
         long probeNanos = Long.MAX_VALUE;
 
         long probeDelayNanos;
@@ -144,11 +144,16 @@
         long gapEndsNanos = Long.MAX_VALUE;
         OptionalInt totalTokens = OptionalInt.empty();
 
-        Running(RunId run, ServerId server, HostId home, long homeIncarnation, boolean ranBefore) {
+        Running(
+                RunId run,
+                ServerId server,
+                HostId owner,
+                long ownerIncarnation,
+                boolean ranBefore) {
             this.run = run;
             this.server = server;
-            this.home = home;
-            this.homeIncarnation = homeIncarnation;
+            this.owner = owner;
+            this.ownerIncarnation = ownerIncarnation;
             this.ranBefore = ranBefore;
         }
 
--- a/src/main/java/org/orioleshed/request/KeyDirectory.java
+++ b/src/main/java/org/orioleshed/request/KeyDirectory.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.RequestId;
 import org.orioleshed.model.RequestKey;
 
@@ -22,7 +22,7 @@
 
     private final long keptNanos;
     private final LinkedHashMap<RequestKey, Entry> entries = new LinkedHashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     KeyDirectory(long keptMillis) {
         this.keptNanos = TimeUnit.MILLISECONDS.toNanos(keptMillis);
@@ -30,8 +30,8 @@
 
     private record Entry(RequestId holder, boolean open, long untilNanos) {}
 
-    void onWorld(World changed) {
-        world = changed;
+    void onFleet(FleetSnapshot changed) {
+        fleet = changed;
     }
 
     /**
@@ -77,7 +77,7 @@
     }
 
     private boolean lives(RequestId holder) {
-        EntryHost host = world.hosts().get(holder.host());
+        EntryHost host = fleet.hosts().get(holder.host());
         return host != null
                 && host.state() != EntryHost.State.DEAD
                 && host.incarnation() <= holder.incarnation();
--- a/src/main/java/org/orioleshed/request/ModelRequests.java
+++ b/src/main/java/org/orioleshed/request/ModelRequests.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.Decision;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.model.HostId;
@@ -37,7 +37,7 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * The model requests that this host accepted: offers to homes, the stream to the callers, retries,
+ * The model requests that this host accepted: offers to owners, the stream to the callers, retries,
  * and the one outcome.
  */
 final class ModelRequests {
@@ -47,7 +47,7 @@
     /** How long a suspect waits while the same content runs. */
     private static final long SUSPECT_WAIT_MILLIS = 200;
 
-    /** How long a stream may pause before its home is asked whether it has the run. */
+    /** How long a stream may pause before its owner is asked whether it has the run. */
     private static final long PROBE_MILLIS = 2_000;
 
     /** How often the host that runs a key is asked for its outcome. */
@@ -71,7 +71,7 @@
     private final Consumer<HostAction> out;
     private final Closed onClosed;
     private final Map<RequestId, Execution> byRequest = new LinkedHashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private boolean draining;
 
     /** Hears of executions that are over. */
@@ -149,7 +149,7 @@
 
     /** Waits for the outcome of the same key on another host. */
     private void relay(long nowNanos, Execution execution, RequestId holder) {
-        EntryHost host = world.hosts().get(holder.host());
+        EntryHost host = fleet.hosts().get(holder.host());
         execution.mayHaveRun = true;
         if (host == null || host.state() == EntryHost.State.DEAD) {
             awaitOrphan(nowNanos, execution);
@@ -159,27 +159,28 @@
         RequestKey key = execution.request.key();
         out.accept(
                 new HostAction.SendRequest(
-                        holder.host(), new RequestMessage.FateAsked(key, Optional.empty())));
+                        holder.host(), new RequestMessage.StatusRequested(key, Optional.empty())));
     }
 
-    /** Gives the homes time to cancel the run that a dead host left on an engine. */
+    /** Gives the owners time to cancel the run that a dead host left on an engine. */
     private void awaitOrphan(long nowNanos, Execution execution) {
         execution.awaitsOrphan = true;
         waitUntil(execution, nowNanos + nanos(limits.orphanMillis()));
     }
 
-    /** Hears the fate of a key that runs on another host. */
-    void onFate(long nowNanos, Execution execution, HostId from, RequestMessage.FateTold told) {
+    /** Hears the request status of a key that runs on another host. */
+    void onStatus(
+            long nowNanos, Execution execution, HostId from, RequestMessage.StatusReported told) {
         if (!(execution.state instanceof Relaying relaying)
                 || !relaying.holder().host().equals(from)) {
             return;
         }
-        switch (told.fate()) {
-            case Fate.Pending pending -> {}
-            case Fate.Unknown unknown -> runAfterAll(nowNanos, execution, true);
-            case Fate.Final end when end.outcome() instanceof Outcome.Answered answered ->
+        switch (told.status()) {
+            case RequestStatus.Pending pending -> {}
+            case RequestStatus.Unknown unknown -> runAfterAll(nowNanos, execution, true);
+            case RequestStatus.Final end when end.outcome() instanceof Outcome.Answered answered ->
                     relayAnswer(nowNanos, execution, answered, told.pieces());
-            case Fate.Final end ->
+            case RequestStatus.Final end ->
                     runAfterAll(nowNanos, execution, !(end.outcome() instanceof Outcome.NotRun));
         }
         wakes.schedule(execution);
@@ -222,21 +223,21 @@
         return streams.knows(caller);
     }
 
-    void onWorld(long nowNanos, World changed) {
-        world = changed;
-        servers.onWorld(changed);
+    void onFleet(long nowNanos, FleetSnapshot changed) {
+        fleet = changed;
+        servers.onFleet(changed);
         for (Execution execution : List.copyOf(byRequest.values())) {
             switch (execution.state) {
                 case Offering offering ->
-                        offers.dropLostHomes(nowNanos, world, execution, offering);
-                case Running running -> checkHome(nowNanos, execution, running);
+                        offers.dropLostOwners(nowNanos, fleet, execution, offering);
+                case Running running -> checkOwner(nowNanos, execution, running);
                 case Relaying relaying -> relay(nowNanos, execution, relaying.holder());
                 case Waiting waiting -> {}
                 case Ending ending -> {}
             }
             wakes.schedule(execution);
         }
-        canceller.tick(nowNanos, world);
+        canceller.tick(nowNanos, fleet);
     }
 
     /** Answers what waits; what runs goes on. */
@@ -285,7 +286,7 @@
         dismiss(nowNanos, execution, caller, outcome);
     }
 
-    void onCallerTook(RequestId caller, int tokens) {
+    void onCallerConsumed(RequestId caller, int tokens) {
         streams.took(caller, tokens);
     }
 
@@ -317,8 +318,8 @@
     }
 
     /**
-     * A home that was asked grants a place once more, so it does not have the run: it never got the
-     * body, or forgot the run in a restart.
+     * An owner that was asked grants a place once more, so it does not have the run: it never got
+     * the body, or forgot the run in a restart.
      */
     private void placeAgain(
             long nowNanos, Execution execution, Running running, RoutingMessage.Granted granted) {
@@ -331,7 +332,7 @@
             sendBody(execution, running);
             return;
         }
-        withdraw(running.home, granted);
+        withdraw(running.owner, granted);
         cancelAtEngine(nowNanos, execution, running, "home-forgot");
     }
 
@@ -339,14 +340,14 @@
             long nowNanos, Execution execution, Running running, String reason) {
         log("resume", execution, running.server, reason);
         execution.state = new Ending(running.run, running.server);
-        canceller.atEngine(nowNanos, world, running.run, running.server, running.home);
+        canceller.atEngine(nowNanos, fleet, running.run, running.server, running.owner);
     }
 
     private void sendBody(Execution execution, Running running) {
         int known = execution.transcript.tokens();
         out.accept(
                 new HostAction.SendRouting(
-                        running.home,
+                        running.owner,
                         new RoutingMessage.Placed(
                                 running.run,
                                 running.server,
@@ -356,9 +357,9 @@
     }
 
     private void place(
-            long nowNanos, Execution execution, Offering offering, ServerId server, HostId home) {
+            long nowNanos, Execution execution, Offering offering, ServerId server, HostId owner) {
         offers.withdraw(offering, Optional.of(server));
-        if (poison.isHeld(nowNanos, execution.request.fingerprint())) {
+        if (poison.isQuarantined(nowNanos, execution.request.fingerprint())) {
             offers.withdraw(offering, Optional.empty());
             end(nowNanos, execution, poisoned(execution));
             return;
@@ -367,9 +368,11 @@
         execution.transcript.dropAhead();
         execution.creditLimit = Math.max(known, execution.takenTokens() + limits.creditTokens());
         long incarnation =
-                Optional.ofNullable(world.hosts().get(home)).map(EntryHost::incarnation).orElse(0L);
+                Optional.ofNullable(fleet.hosts().get(owner))
+                        .map(EntryHost::incarnation)
+                        .orElse(0L);
         Running running =
-                new Running(offering.run, server, home, incarnation, execution.mayHaveRun);
+                new Running(offering.run, server, owner, incarnation, execution.mayHaveRun);
         Work.Generate work = (Work.Generate) execution.request.work();
         long prefillMillis = 1_000L * (work.promptTokens() + known) / SLOWEST_PREFILL;
         running.silentAtNanos = nowNanos + nanos(2 * limits.silenceMillis() + prefillMillis);
@@ -457,7 +460,7 @@
         end(nowNanos, execution, new Outcome.Answered(known, Payload.EMPTY));
     }
 
-    /** Takes the end of a run from its home, or from an engine that was asked directly. */
+    /** Takes the end of a run from its owner, or from an engine that was asked directly. */
     void onEnded(long nowNanos, RunId run, RunEnd end) {
         if (end instanceof RunEnd.Broken broken
                 && !broken.confirmedEnded()
@@ -509,7 +512,7 @@
                 offer(nowNanos, execution);
             }
             case RunEnd.NeverStarted never -> {
-                // The first body may have been started by an earlier incarnation of the home.
+                // The first body may have been started by an earlier incarnation of the owner.
                 execution.mayHaveRun = running.ranBefore || running.placedAgain;
                 backOff(nowNanos, execution, 0);
             }
@@ -530,7 +533,7 @@
                 crash(nowNanos, execution, running.server, broken);
                 if (!broken.confirmedEnded()) {
                     execution.state = new Ending(running.run, running.server);
-                    canceller.atEngine(nowNanos, world, running.run, running.server, running.home);
+                    canceller.atEngine(nowNanos, fleet, running.run, running.server, running.owner);
                     return;
                 }
                 failed(nowNanos, execution, running.server, true, spent());
@@ -550,7 +553,7 @@
             return;
         }
         Optional<VersionId> version =
-                Optional.ofNullable(world.servers().get(server)).map(BackendServer::version);
+                Optional.ofNullable(fleet.servers().get(server)).map(BackendServer::version);
         poison.crashed(
                 nowNanos,
                 execution.request.fingerprint(),
@@ -571,12 +574,12 @@
         backOff(nowNanos, execution, execution.failures);
     }
 
-    private void checkHome(long nowNanos, Execution execution, Running running) {
-        EntryHost home = world.hosts().get(running.home);
+    private void checkOwner(long nowNanos, Execution execution, Running running) {
+        EntryHost owner = fleet.hosts().get(running.owner);
         boolean alive =
-                home != null
-                        && home.state() != EntryHost.State.DEAD
-                        && home.incarnation() == running.homeIncarnation;
+                owner != null
+                        && owner.state() != EntryHost.State.DEAD
+                        && owner.incarnation() == running.ownerIncarnation;
         if (alive || finishedAwaitingPieces(running)) {
             return;
         }
@@ -589,7 +592,7 @@
 
     /** Does what time asks for. */
     void tick(long nowNanos) {
-        canceller.tick(nowNanos, world);
+        canceller.tick(nowNanos, fleet);
         for (Execution execution = wakes.poll(nowNanos);
                 execution != null;
                 execution = wakes.poll(nowNanos)) {
@@ -646,7 +649,7 @@
         }
         log("resume", execution, running.server, "silent");
         execution.state = new Ending(running.run, running.server);
-        canceller.viaHome(nowNanos, world, running.run, running.server, running.home);
+        canceller.viaOwner(nowNanos, fleet, running.run, running.server, running.owner);
     }
 
     private void endLateCallers(long nowNanos, Execution execution) {
@@ -687,7 +690,7 @@
             case Offering offering -> offers.withdraw(offering, Optional.empty());
             case Running running -> {
                 if (!finishedAwaitingPieces(running) && !(outcome instanceof Outcome.Answered)) {
-                    canceller.viaHome(nowNanos, world, running.run, running.server, running.home);
+                    canceller.viaOwner(nowNanos, fleet, running.run, running.server, running.owner);
                 }
             }
             case Waiting waiting -> {}
@@ -701,7 +704,7 @@
 
     private void offer(long nowNanos, Execution execution) {
         Request request = execution.request;
-        if (poison.isHeld(nowNanos, request.fingerprint())) {
+        if (poison.isQuarantined(nowNanos, request.fingerprint())) {
             end(nowNanos, execution, poisoned(execution));
             return;
         }
--- a/src/main/java/org/orioleshed/request/OfferRounds.java
+++ b/src/main/java/org/orioleshed/request/OfferRounds.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.Decision;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.model.HostId;
@@ -22,7 +22,7 @@
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** Offers requests to homes: to a few at first, to more as time passes or homes refuse. */
+/** Offers requests to owners: to a few at first, to more as time passes or owners refuse. */
 final class OfferRounds {
     /** What a message between hosts may take, taken off the time remaining. */
     private static final long HOP_MILLIS = 5;
@@ -80,16 +80,17 @@
                 Math.min(2 * offering.repeatDelayNanos, nanos(MAX_REPEAT_MILLIS));
         offering.repeatNanos = nowNanos + offering.repeatDelayNanos;
         offering.offers.forEach(
-                (server, offer) -> send(nowNanos, execution, offering, server, offer.home()));
+                (server, offer) -> send(nowNanos, execution, offering, server, offer.owner()));
     }
 
     /** Takes back the offers made to hosts that are gone, so that others can get them. */
-    void dropLostHomes(long nowNanos, World world, Execution execution, Offering offering) {
+    void dropLostOwners(
+            long nowNanos, FleetSnapshot fleet, Execution execution, Offering offering) {
         boolean lost = false;
         Iterator<Map.Entry<ServerId, Offered>> all = offering.offers.entrySet().iterator();
         while (all.hasNext()) {
-            EntryHost home = world.hosts().get(all.next().getValue().home());
-            if (home == null || home.state() == EntryHost.State.DEAD) {
+            EntryHost owner = fleet.hosts().get(all.next().getValue().owner());
+            if (owner == null || owner.state() == EntryHost.State.DEAD) {
                 all.remove();
                 lost = true;
             }
@@ -104,24 +105,26 @@
         offering.offers.forEach(
                 (server, offer) -> {
                     if (placed.filter(server::equals).isEmpty()) {
-                        withdraw(offering, server, offer.home());
+                        withdraw(offering, server, offer.owner());
                     }
                 });
     }
 
-    /** Offers a placed run again: a home that has it ignores that, one that lost it grants anew. */
+    /**
+     * Offers a placed run again: an owner that has it ignores that, one that lost it grants anew.
+     */
     void probe(long nowNanos, Execution execution, Execution.Running running) {
         out.accept(
                 new HostAction.SendRouting(
-                        running.home,
+                        running.owner,
                         new RoutingMessage.Offered(
                                 running.run, running.server, describe(nowNanos, execution))));
     }
 
-    private void withdraw(Offering offering, ServerId server, HostId home) {
+    private void withdraw(Offering offering, ServerId server, HostId owner) {
         out.accept(
                 new HostAction.SendRouting(
-                        home, new RoutingMessage.Withdrawn(offering.run, server)));
+                        owner, new RoutingMessage.Withdrawn(offering.run, server)));
     }
 
     private void offerNext(long nowNanos, Execution execution, Offering offering) {
@@ -141,15 +144,15 @@
         }
         Choice choice = offering.untried.removeFirst();
         offering.tried.add(choice.server());
-        offering.offers.put(choice.server(), new Offered(choice.home()));
-        send(nowNanos, execution, offering, choice.server(), choice.home());
+        offering.offers.put(choice.server(), new Offered(choice.owner()));
+        send(nowNanos, execution, offering, choice.server(), choice.owner());
     }
 
     private void send(
-            long nowNanos, Execution execution, Offering offering, ServerId server, HostId home) {
+            long nowNanos, Execution execution, Offering offering, ServerId server, HostId owner) {
         out.accept(
                 new HostAction.SendRouting(
-                        home,
+                        owner,
                         new RoutingMessage.Offered(
                                 offering.run, server, describe(nowNanos, execution))));
     }
@@ -197,7 +200,7 @@
                         .allMatch(r -> r.reason() == RoutingMessage.RefusalReason.OVERLOAD);
     }
 
-    /** Returns the shortest wait that a refusing home expects, in milliseconds. */
+    /** Returns the shortest wait that a refusing owner expects, in milliseconds. */
     static long shortestWaitMillis(List<Refused> refusals) {
         List<Long> waits = new ArrayList<>();
         refusals.forEach(r -> waits.add(r.expectedWaitMillis()));
--- a/src/main/java/org/orioleshed/request/Placement.java
+++ b/src/main/java/org/orioleshed/request/Placement.java
@@ -37,8 +37,8 @@
      * A server and the host to offer to.
      *
      * @param server the server
-     * @param home its home
+     * @param owner its owner
      * @param label the server and its score, for the log
      */
-    record Choice(ServerId server, HostId home, String label) {}
+    record Choice(ServerId server, HostId owner, String label) {}
 }
--- a/src/main/java/org/orioleshed/request/Poison.java
+++ b/src/main/java/org/orioleshed/request/Poison.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.VersionSplit;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
@@ -67,18 +67,18 @@
     }
 
     /** Returns whether content must not be run. */
-    boolean isHeld(long nowNanos, World world, Fingerprint fingerprint) {
+    boolean isQuarantined(long nowNanos, FleetSnapshot fleet, Fingerprint fingerprint) {
         expire(nowNanos, fingerprint);
         Entry entry = entries.get(fingerprint);
-        return entry != null && isHeld(world, entry);
+        return entry != null && isQuarantined(fleet, entry);
     }
 
-    private static boolean isHeld(World world, Entry entry) {
+    private static boolean isQuarantined(FleetSnapshot fleet, Entry entry) {
         if (entry.crashes.size() < CRASHES) {
             return false;
         }
         Set<VersionId> moving = new HashSet<>();
-        for (VersionSplit split : world.splits().values()) {
+        for (VersionSplit split : fleet.splits().values()) {
             moving.add(split.to());
         }
         return entry.crashes.stream()
@@ -92,9 +92,9 @@
     }
 
     /** Clears a suspect that ran well; returns whether there was one. */
-    boolean succeeded(World world, Fingerprint fingerprint) {
+    boolean succeeded(FleetSnapshot fleet, Fingerprint fingerprint) {
         Entry entry = entries.get(fingerprint);
-        if (entry == null || isHeld(world, entry)) {
+        if (entry == null || isQuarantined(fleet, entry)) {
             return false;
         }
         entries.remove(fingerprint);
@@ -116,16 +116,16 @@
     }
 
     /** Returns all content under suspicion. */
-    List<HeldContent> list(long nowNanos, World world) {
-        List<HeldContent> all = new ArrayList<>();
+    List<QuarantinedContent> list(long nowNanos, FleetSnapshot fleet) {
+        List<QuarantinedContent> all = new ArrayList<>();
         for (Map.Entry<Fingerprint, Entry> entry : entries.entrySet()) {
             long remaining = entry.getValue().untilNanos - nowNanos;
             if (remaining > 0) {
                 all.add(
-                        new HeldContent(
+                        new QuarantinedContent(
                                 entry.getKey(),
                                 entry.getValue().crashes.size(),
-                                isHeld(world, entry.getValue()),
+                                isQuarantined(fleet, entry.getValue()),
                                 TimeUnit.NANOSECONDS.toMillis(remaining)));
             }
         }
--- a/src/main/java/org/orioleshed/request/PoisonWatch.java
+++ b/src/main/java/org/orioleshed/request/PoisonWatch.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
@@ -17,7 +17,7 @@
     private final HostId self;
     private final Poison poison;
     private final Consumer<HostAction> out;
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private long repeatNanos = Long.MAX_VALUE;
 
     PoisonWatch(HostId self, Poison poison, Consumer<HostAction> out) {
@@ -27,9 +27,9 @@
     }
 
     /** Learns of the fleet, and tells hosts that are new what they may have missed. */
-    void onWorld(long nowNanos, World changed) {
-        Set<HostId> known = world.hosts().keySet();
-        world = changed;
+    void onFleet(long nowNanos, FleetSnapshot changed) {
+        Set<HostId> known = fleet.hosts().keySet();
+        fleet = changed;
         for (HostId host : changed.hosts().keySet()) {
             if (!known.contains(host) && !host.equals(self)) {
                 tellLatest(host);
@@ -44,7 +44,7 @@
             return;
         }
         repeatNanos = nowNanos + REPEAT_NANOS;
-        for (HostId host : world.hosts().keySet()) {
+        for (HostId host : fleet.hosts().keySet()) {
             if (!host.equals(self)) {
                 tellLatest(host);
             }
@@ -66,8 +66,8 @@
         return new RequestMessage.PoisonSeen(content, crash.server(), crash.run(), crash.version());
     }
 
-    boolean isHeld(long nowNanos, Fingerprint fingerprint) {
-        return poison.isHeld(nowNanos, world, fingerprint);
+    boolean isQuarantined(long nowNanos, Fingerprint fingerprint) {
+        return poison.isQuarantined(nowNanos, fleet, fingerprint);
     }
 
     boolean isSuspect(long nowNanos, Fingerprint fingerprint) {
@@ -83,7 +83,7 @@
 
     /** Clears a suspect that ran well here, and tells the others. */
     void succeeded(long nowNanos, Fingerprint fingerprint) {
-        if (poison.isSuspect(nowNanos, fingerprint) && poison.succeeded(world, fingerprint)) {
+        if (poison.isSuspect(nowNanos, fingerprint) && poison.succeeded(fleet, fingerprint)) {
             tellAll(new RequestMessage.PoisonCleared(fingerprint));
         }
     }
@@ -103,12 +103,12 @@
         poison.clear(cleared.fingerprint());
     }
 
-    List<HeldContent> list(long nowNanos) {
-        return poison.list(nowNanos, world);
+    List<QuarantinedContent> list(long nowNanos) {
+        return poison.list(nowNanos, fleet);
     }
 
     private void tellAll(RequestMessage message) {
-        for (HostId host : world.hosts().keySet()) {
+        for (HostId host : fleet.hosts().keySet()) {
             if (!host.equals(self)) {
                 out.accept(new HostAction.SendRequest(host, message));
             }
--- a/src/main/java/org/orioleshed/request/HeldContent.java
+++ b/src/main/java/org/orioleshed/request/QuarantinedContent.java
@@ -7,8 +7,8 @@
  *
  * @param fingerprint the content
  * @param crashes the crashes counted
- * @param held whether it must not be run; a suspect only, if not
+ * @param quarantined whether it must not be run; a suspect only, if not
  * @param remainingMillis how long the mark still stands, in milliseconds
  */
-public record HeldContent(
-        Fingerprint fingerprint, int crashes, boolean held, long remainingMillis) {}
+public record QuarantinedContent(
+        Fingerprint fingerprint, int crashes, boolean quarantined, long remainingMillis) {}
--- a/src/main/java/org/orioleshed/request/RequestCodec.java
+++ b/src/main/java/org/orioleshed/request/RequestCodec.java
@@ -11,19 +11,19 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.peer.BadMessageException;
 import org.orioleshed.peer.MessageCodec;
-import org.orioleshed.request.RequestMessage.ClaimAsked;
+import org.orioleshed.request.RequestMessage.ClaimReported;
+import org.orioleshed.request.RequestMessage.ClaimRequested;
 import org.orioleshed.request.RequestMessage.ClaimResult;
-import org.orioleshed.request.RequestMessage.ClaimTold;
-import org.orioleshed.request.RequestMessage.FateAsked;
-import org.orioleshed.request.RequestMessage.FateTold;
-import org.orioleshed.request.RequestMessage.KeyAsked;
 import org.orioleshed.request.RequestMessage.KeyClosed;
 import org.orioleshed.request.RequestMessage.KeyHolder;
 import org.orioleshed.request.RequestMessage.KeyOpened;
-import org.orioleshed.request.RequestMessage.OutcomeAsked;
+import org.orioleshed.request.RequestMessage.KeyRequested;
+import org.orioleshed.request.RequestMessage.OutcomeRequested;
 import org.orioleshed.request.RequestMessage.Piece;
 import org.orioleshed.request.RequestMessage.PoisonCleared;
 import org.orioleshed.request.RequestMessage.PoisonSeen;
+import org.orioleshed.request.RequestMessage.StatusReported;
+import org.orioleshed.request.RequestMessage.StatusRequested;
 import org.orioleshed.wire.RequestWire;
 
 /** The protobuf form of {@link RequestMessage}. */
@@ -45,12 +45,12 @@
                             .setKey(WireForms.of(closed.key()))
                             .setRequest(WireForms.of(closed.request()))
                             .setMayRunAgain(closed.mayRunAgain());
-            case KeyAsked asked -> form.setKeyAsked(WireForms.of(asked.key()));
-            case FateAsked asked -> form.setFateAsked(fateAsked(asked));
-            case FateTold told -> form.setFateTold(fateTold(told));
-            case ClaimAsked asked -> form.setClaimAsked(claimAsked(asked));
-            case ClaimTold told -> form.setClaimTold(claimTold(told));
-            case OutcomeAsked asked ->
+            case KeyRequested asked -> form.setKeyAsked(WireForms.of(asked.key()));
+            case StatusRequested asked -> form.setFateAsked(statusRequested(asked));
+            case StatusReported told -> form.setFateTold(statusReported(told));
+            case ClaimRequested asked -> form.setClaimAsked(claimRequested(asked));
+            case ClaimReported told -> form.setClaimTold(claimReported(told));
+            case OutcomeRequested asked ->
                     form.getOutcomeAskedBuilder()
                             .setKey(WireForms.of(asked.key()))
                             .setRun(WireForms.of(asked.run()))
@@ -83,13 +83,13 @@
                             WireForms.key(form.getKeyClosed().getKey()),
                             WireForms.request(form.getKeyClosed().getRequest()),
                             form.getKeyClosed().getMayRunAgain());
-            case KEY_ASKED -> new KeyAsked(WireForms.key(form.getKeyAsked()));
-            case FATE_ASKED -> fateAsked(form.getFateAsked());
-            case FATE_TOLD -> fateTold(form.getFateTold());
-            case CLAIM_ASKED -> claimAsked(form.getClaimAsked());
-            case CLAIM_TOLD -> claimTold(form.getClaimTold());
+            case KEY_ASKED -> new KeyRequested(WireForms.key(form.getKeyAsked()));
+            case FATE_ASKED -> statusRequested(form.getFateAsked());
+            case FATE_TOLD -> statusReported(form.getFateTold());
+            case CLAIM_ASKED -> claimRequested(form.getClaimAsked());
+            case CLAIM_TOLD -> claimReported(form.getClaimTold());
             case OUTCOME_ASKED ->
-                    new OutcomeAsked(
+                    new OutcomeRequested(
                             WireForms.key(form.getOutcomeAsked().getKey()),
                             WireForms.run(form.getOutcomeAsked().getRun()),
                             WireForms.outcome(form.getOutcomeAsked().getOutcome()));
@@ -138,24 +138,24 @@
         return new KeyHolder(WireForms.key(form.getKey()), asker, holder);
     }
 
-    private static RequestWire.FateAsked fateAsked(FateAsked asked) {
+    private static RequestWire.FateAsked statusRequested(StatusRequested asked) {
         RequestWire.FateAsked.Builder form =
                 RequestWire.FateAsked.newBuilder().setKey(WireForms.of(asked.key()));
         asked.claim().ifPresent(claim -> form.setClaim(WireForms.of(claim)));
         return form.build();
     }
 
-    private static FateAsked fateAsked(RequestWire.FateAsked form) {
+    private static StatusRequested statusRequested(RequestWire.FateAsked form) {
         Optional<RunId> claim =
                 form.hasClaim() ? Optional.of(WireForms.run(form.getClaim())) : Optional.empty();
-        return new FateAsked(WireForms.key(form.getKey()), claim);
+        return new StatusRequested(WireForms.key(form.getKey()), claim);
     }
 
-    private static RequestWire.FateTold fateTold(FateTold told) {
+    private static RequestWire.FateTold statusReported(StatusReported told) {
         RequestWire.FateTold.Builder form =
                 RequestWire.FateTold.newBuilder()
                         .setKey(WireForms.of(told.key()))
-                        .setFate(fate(told.fate()));
+                        .setFate(status(told.status()));
         told.claim().ifPresent(claim -> form.setClaim(WireForms.of(claim)));
         for (Piece piece : told.pieces()) {
             form.addPiecesBuilder()
@@ -166,7 +166,7 @@
         return form.build();
     }
 
-    private static FateTold fateTold(RequestWire.FateTold form) {
+    private static StatusReported statusReported(RequestWire.FateTold form) {
         Optional<RunId> claim =
                 form.hasClaim() ? Optional.of(WireForms.run(form.getClaim())) : Optional.empty();
         List<Piece> pieces = new ArrayList<>();
@@ -177,31 +177,32 @@
                             piece.getCount(),
                             WireForms.payload(piece.getText())));
         }
-        return new FateTold(WireForms.key(form.getKey()), claim, fate(form.getFate()), pieces);
+        return new StatusReported(
+                WireForms.key(form.getKey()), claim, status(form.getFate()), pieces);
     }
 
-    private static RequestWire.Fate fate(Fate fate) {
+    private static RequestWire.Fate status(RequestStatus status) {
         RequestWire.Fate.Builder form = RequestWire.Fate.newBuilder();
-        switch (fate) {
-            case Fate.Unknown unknown -> form.setState(RequestWire.Fate.State.UNKNOWN);
-            case Fate.Pending pending -> form.setState(RequestWire.Fate.State.PENDING);
-            case Fate.Final end ->
+        switch (status) {
+            case RequestStatus.Unknown unknown -> form.setState(RequestWire.Fate.State.UNKNOWN);
+            case RequestStatus.Pending pending -> form.setState(RequestWire.Fate.State.PENDING);
+            case RequestStatus.Final end ->
                     form.setState(RequestWire.Fate.State.FINAL)
                             .setOutcome(WireForms.of(end.outcome()));
         }
         return form.build();
     }
 
-    private static Fate fate(RequestWire.Fate form) {
+    private static RequestStatus status(RequestWire.Fate form) {
         return switch (form.getState()) {
-            case UNKNOWN -> new Fate.Unknown();
-            case PENDING -> new Fate.Pending();
-            case FINAL -> new Fate.Final(WireForms.outcome(form.getOutcome()));
+            case UNKNOWN -> new RequestStatus.Unknown();
+            case PENDING -> new RequestStatus.Pending();
+            case FINAL -> new RequestStatus.Final(WireForms.outcome(form.getOutcome()));
             case UNSET, UNRECOGNIZED -> throw new IllegalArgumentException("no such fate");
         };
     }
 
-    private static RequestWire.ClaimAsked claimAsked(ClaimAsked asked) {
+    private static RequestWire.ClaimAsked claimRequested(ClaimRequested asked) {
         RequestWire.ClaimAsked.Builder form =
                 RequestWire.ClaimAsked.newBuilder()
                         .setKey(WireForms.of(asked.key()))
@@ -210,42 +211,44 @@
         return form.build();
     }
 
-    private static ClaimAsked claimAsked(RequestWire.ClaimAsked form) {
+    private static ClaimRequested claimRequested(RequestWire.ClaimAsked form) {
         Optional<RunId> replaces =
                 form.hasReplaces()
                         ? Optional.of(WireForms.run(form.getReplaces()))
                         : Optional.empty();
-        return new ClaimAsked(WireForms.key(form.getKey()), WireForms.run(form.getRun()), replaces);
+        return new ClaimRequested(
+                WireForms.key(form.getKey()), WireForms.run(form.getRun()), replaces);
     }
 
-    private static RequestWire.ClaimTold claimTold(ClaimTold told) {
+    private static RequestWire.ClaimTold claimReported(ClaimReported told) {
         RequestWire.ClaimTold.Builder form =
                 RequestWire.ClaimTold.newBuilder()
                         .setKey(WireForms.of(told.key()))
                         .setRun(WireForms.of(told.run()));
         switch (told.result()) {
-            case ClaimResult.Owned owned -> form.setResult(RequestWire.ClaimTold.Result.OWNED);
-            case ClaimResult.Away away -> form.setResult(RequestWire.ClaimTold.Result.AWAY);
+            case ClaimResult.Acquired owned -> form.setResult(RequestWire.ClaimTold.Result.OWNED);
+            case ClaimResult.Unavailable unavailable ->
+                    form.setResult(RequestWire.ClaimTold.Result.AWAY);
             case ClaimResult.Recorded recorded ->
                     form.setResult(RequestWire.ClaimTold.Result.RECORDED);
             case ClaimResult.Taken taken -> {
                 form.setResult(RequestWire.ClaimTold.Result.TAKEN);
-                form.setOwner(WireForms.of(taken.owner()));
+                form.setOwner(WireForms.of(taken.holder()));
                 taken.outcome().ifPresent(outcome -> form.setOutcome(WireForms.of(outcome)));
             }
         }
         return form.build();
     }
 
-    private static ClaimTold claimTold(RequestWire.ClaimTold form) {
-        return new ClaimTold(
+    private static ClaimReported claimReported(RequestWire.ClaimTold form) {
+        return new ClaimReported(
                 WireForms.key(form.getKey()), WireForms.run(form.getRun()), claimResult(form));
     }
 
     private static ClaimResult claimResult(RequestWire.ClaimTold form) {
         return switch (form.getResult()) {
-            case OWNED -> new ClaimResult.Owned();
-            case AWAY -> new ClaimResult.Away();
+            case OWNED -> new ClaimResult.Acquired();
+            case AWAY -> new ClaimResult.Unavailable();
             case RECORDED -> new ClaimResult.Recorded();
             case TAKEN -> {
                 Optional<Outcome> outcome =
--- a/src/main/java/org/orioleshed/request/RequestLimits.java
+++ b/src/main/java/org/orioleshed/request/RequestLimits.java
@@ -3,9 +3,9 @@
 /**
  * The bounds that the accepting side keeps to.
  *
- * @param offersAtOnce how many homes get the first offer of a request
+ * @param offersAtOnce how many owners get the first offer of a request
  * @param offerRepeatMillis when an unanswered offer is sent again first; doubles each time
- * @param widenMillis when an urgent offer without a grant goes to one more home; eight times as
+ * @param widenMillis when an urgent offer without a grant goes to one more owner; eight times as
  *     long for each rank below
  * @param backoffBaseMillis the longest wait before the first retry; doubles each time
  * @param backoffMaxMillis the longest wait before any retry
