--- a/src/main/java/org/orioleshed/request/RequestMessage.java
+++ b/src/main/java/org/orioleshed/request/RequestMessage.java
@@ -11,7 +11,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What hosts say to each other about keys, fates and content that crashes servers. */
+/** What hosts say to each other about keys, request statuses and content that crashes servers. */
 public sealed interface RequestMessage {
     /**
      * A server crashed while content ran on it.
@@ -66,29 +66,30 @@
      *
      * @param key the key
      */
-    record KeyAsked(RequestKey key) implements RequestMessage {}
+    record KeyRequested(RequestKey key) implements RequestMessage {}
 
     /**
      * To the host that accepted a request with the key: what became of it? Answered by {@link
-     * FateTold}.
+     * StatusReported}.
      *
      * @param key the key
      * @param claim the claimed run asked about; empty for the key's latest request
      */
-    record FateAsked(RequestKey key, Optional<RunId> claim) implements RequestMessage {}
+    record StatusRequested(RequestKey key, Optional<RunId> claim) implements RequestMessage {}
 
     /**
      * Accepting host to asker.
      *
      * @param key the key
      * @param claim as asked
-     * @param fate what is known of it
-     * @param pieces a model's whole answer, when {@code fate} is an answer; empty otherwise
+     * @param status what is known of it
+     * @param pieces a model's whole answer, when {@code status} is an answer; empty otherwise
      */
-    record FateTold(RequestKey key, Optional<RunId> claim, Fate fate, List<Piece> pieces)
+    record StatusReported(
+            RequestKey key, Optional<RunId> claim, RequestStatus status, List<Piece> pieces)
             implements RequestMessage {
         /** Copies the list. */
-        public FateTold {
+        public StatusReported {
             pieces = List.copyOf(pieces);
         }
     }
@@ -104,23 +105,23 @@
 
     /**
      * To the host that writes the key's page of claims: claim it for a run of the asker. Answered
-     * by {@link ClaimTold}; may be repeated.
+     * by {@link ClaimReported}; may be repeated.
      *
      * @param key the key
      * @param run the run to claim it for
      * @param replaces an earlier claim that is proved never to be sent
      */
-    record ClaimAsked(RequestKey key, RunId run, Optional<RunId> replaces)
+    record ClaimRequested(RequestKey key, RunId run, Optional<RunId> replaces)
             implements RequestMessage {}
 
     /**
-     * Writer to asker: what became of {@link ClaimAsked} or {@link OutcomeAsked}.
+     * Writer to asker: what became of {@link ClaimRequested} or {@link OutcomeRequested}.
      *
      * @param key the key
      * @param run the run asked for
      * @param result what became of it
      */
-    record ClaimTold(RequestKey key, RunId run, ClaimResult result) implements RequestMessage {}
+    record ClaimReported(RequestKey key, RunId run, ClaimResult result) implements RequestMessage {}
 
     /**
      * To the host that writes the key's page of claims: record the outcome of a claimed run. May be
@@ -130,18 +131,18 @@
      * @param run the claimed run
      * @param outcome its outcome
      */
-    record OutcomeAsked(RequestKey key, RunId run, Outcome outcome) implements RequestMessage {}
+    record OutcomeRequested(RequestKey key, RunId run, Outcome outcome) implements RequestMessage {}
 
     /** What became of a claim asked for, or of an outcome to be recorded. */
     sealed interface ClaimResult {
         /** The claim stands in the store. */
-        record Owned() implements ClaimResult {}
+        record Acquired() implements ClaimResult {}
 
         /** Another run has the key; its outcome is given when it is recorded. */
-        record Taken(RunId owner, Optional<Outcome> outcome) implements ClaimResult {}
+        record Taken(RunId holder, Optional<Outcome> outcome) implements ClaimResult {}
 
         /** The store is away, or the host asked is not the writer. */
-        record Away() implements ClaimResult {}
+        record Unavailable() implements ClaimResult {}
 
         /** The outcome stands in the store. */
         record Recorded() implements ClaimResult {}
--- a/src/main/java/org/orioleshed/request/Fate.java
+++ b/src/main/java/org/orioleshed/request/RequestStatus.java
@@ -3,13 +3,13 @@
 import org.orioleshed.model.Outcome;
 
 /** What is known of a request key. */
-public sealed interface Fate {
+public sealed interface RequestStatus {
     /** No host that could be asked knows the key, and no claim stands for it. */
-    record Unknown() implements Fate {}
+    record Unknown() implements RequestStatus {}
 
     /** The request waits or runs. */
-    record Pending() implements Fate {}
+    record Pending() implements RequestStatus {}
 
     /** The request has its final outcome. */
-    record Final(Outcome outcome) implements Fate {}
+    record Final(Outcome outcome) implements RequestStatus {}
 }
--- a/src/main/java/org/orioleshed/request/ServerChoices.java
+++ b/src/main/java/org/orioleshed/request/ServerChoices.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EvenDraws;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.VersionSplit;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.Request;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
@@ -20,7 +20,7 @@
     private final Placement placement;
     private final PoisonWatch poison;
     private final int offersAtOnce;
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     /**
      * Makes one that knows no servers.
@@ -35,20 +35,20 @@
         this.offersAtOnce = offersAtOnce;
     }
 
-    void onWorld(World changed) {
-        world = changed;
+    void onFleet(FleetSnapshot changed) {
+        fleet = changed;
     }
 
     /** Draws the version of a new request; empty where any will do. */
     Optional<VersionId> draw(RouteId route) {
-        return world.version(route, draws.next(route));
+        return fleet.version(route, draws.next(route));
     }
 
     /** Returns where to offer: the version drawn, else the version that a move leaves, else any. */
     List<Choice> choose(long nowNanos, Execution execution) {
         Request request = execution.request;
         int known = execution.transcript.tokens();
-        VersionSplit split = world.splits().get(request.route());
+        VersionSplit split = fleet.splits().get(request.route());
         if (split != null && poison.isSuspect(nowNanos, request.fingerprint())) {
             execution.version = Optional.of(split.from());
         }
@@ -78,15 +78,15 @@
     boolean leaveNewVersion(Execution execution, ServerId failedServer) {
         boolean leaves = leavesNewVersion(execution, failedServer);
         if (leaves) {
-            execution.version = Optional.of(world.splits().get(execution.request.route()).from());
+            execution.version = Optional.of(fleet.splits().get(execution.request.route()).from());
         }
         return leaves;
     }
 
     /** Returns whether a failure at {@code server}, before any token, sends the request back. */
     boolean leavesNewVersion(Execution execution, ServerId server) {
-        VersionSplit split = world.splits().get(execution.request.route());
-        BackendServer failed = world.servers().get(server);
+        VersionSplit split = fleet.splits().get(execution.request.route());
+        BackendServer failed = fleet.servers().get(server);
         return split != null
                 && failed != null
                 && execution.transcript.tokens() == 0
--- a/src/main/java/org/orioleshed/request/ServiceCall.java
+++ b/src/main/java/org/orioleshed/request/ServiceCall.java
@@ -84,7 +84,7 @@
     record Sent(RunId run, ServerId server) implements State {}
 
     /** Another host claimed the key; waits for that host's word. */
-    record Asking(RunId owner, HostId host, long askAgainNanos) implements State {
+    record Asking(RunId holder, HostId host, long askAgainNanos) implements State {
         @Override
         public long wakeNanos() {
             return askAgainNanos;
--- a/src/main/java/org/orioleshed/request/ServicePlaces.java
+++ b/src/main/java/org/orioleshed/request/ServicePlaces.java
@@ -7,8 +7,8 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
@@ -25,15 +25,15 @@
     private final RandomGenerator random;
     private final Map<ServerId, Integer> underWay = new HashMap<>();
     private final Map<ServerId, Long> avoidUntilNanos = new HashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     ServicePlaces(FailureDomain domain, RandomGenerator random) {
         this.domain = domain;
         this.random = random;
     }
 
-    void onWorld(World changed) {
-        world = changed;
+    void onFleet(FleetSnapshot changed) {
+        fleet = changed;
         avoidUntilNanos.keySet().retainAll(changed.servers().keySet());
     }
 
@@ -41,7 +41,7 @@
     Optional<ServerId> take(long nowNanos, Route route, Optional<VersionId> version) {
         BackendServer best = null;
         double bestScore = Double.MAX_VALUE;
-        for (BackendServer server : world.serversOf(route.target())) {
+        for (BackendServer server : fleet.serversOf(route.target())) {
             boolean fits = version.isEmpty() || version.get().equals(server.version());
             if (server.leaving() || !fits || calls(server.id()) >= share(server)) {
                 continue;
@@ -61,14 +61,14 @@
 
     /** Returns whether any server could take a call on {@code route}, now or later. */
     boolean hasServer(Route route, Optional<VersionId> version) {
-        return world.serversOf(route.target()).stream()
+        return fleet.serversOf(route.target()).stream()
                 .filter(server -> !server.leaving())
                 .anyMatch(s -> version.isEmpty() || version.get().equals(s.version()));
     }
 
     /** Returns whether {@code server} may still be given a call. */
     boolean takesWork(ServerId server) {
-        BackendServer known = world.servers().get(server);
+        BackendServer known = fleet.servers().get(server);
         return known != null && !known.leaving();
     }
 
@@ -99,7 +99,7 @@
 
     /** Returns how many of a server's places this host may use: its even share and one more. */
     private int share(BackendServer server) {
-        long hosts = world.hosts().values().stream().filter(EntryHost::takesWork).count();
+        long hosts = fleet.hosts().values().stream().filter(EntryHost::takesWork).count();
         return (int) Math.min(server.places(), server.places() / Math.max(1, hosts) + 1);
     }
 }
--- a/src/main/java/org/orioleshed/request/ServiceRequests.java
+++ b/src/main/java/org/orioleshed/request/ServiceRequests.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
-import org.orioleshed.fleet.World;
 import org.orioleshed.host.Decision;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent.CallEnd;
@@ -40,7 +40,7 @@
  * in the store before it is sent, and sent at most once: by this host, straight to the service.
  */
 final class ServiceRequests {
-    /** How often the host that claimed a key is asked for its fate. */
+    /** How often the host that claimed a key is asked for its request status. */
     private static final long ASK_MILLIS = 200;
 
     /** When a caller should ask again after the store was away. */
@@ -71,7 +71,7 @@
     private final Map<RequestId, ServiceCall> byRequest = new LinkedHashMap<>();
 
     /** How the runs that this host claimed or tried to claim ended. */
-    private final Map<RunId, Outcome> fates =
+    private final Map<RunId, Outcome> claimOutcomes =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
@@ -82,7 +82,7 @@
             };
 
     private final TreeSet<ServiceCall> queue = new TreeSet<>(ORDER);
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private boolean draining;
 
     /** Hears of calls that are over. */
@@ -138,12 +138,12 @@
         return byCaller.containsKey(caller);
     }
 
-    void onWorld(long nowNanos, World changed) {
-        world = changed;
-        places.onWorld(changed);
+    void onFleet(long nowNanos, FleetSnapshot changed) {
+        fleet = changed;
+        places.onFleet(changed);
         for (ServiceCall call : List.copyOf(byRequest.values())) {
             if (call.state instanceof Asking asking) {
-                ask(nowNanos, call, asking.owner());
+                ask(nowNanos, call, asking.holder());
             }
         }
         sendQueued(nowNanos);
@@ -270,7 +270,7 @@
             return;
         }
         switch (result) {
-            case Claims.Result.Owned owned -> {
+            case Claims.Result.Acquired owned -> {
                 call.owned = true;
                 send(nowNanos, call, claiming.server());
             }
@@ -279,7 +279,7 @@
                 taken(nowNanos, call, taken);
             }
             case Claims.Result.Free free -> giveUpClaim(nowNanos, call, claiming);
-            case Claims.Result.Away away -> giveUpClaim(nowNanos, call, claiming);
+            case Claims.Result.Unavailable unavailable -> giveUpClaim(nowNanos, call, claiming);
         }
         wakes.schedule(call);
         sendQueued(nowNanos);
@@ -288,18 +288,18 @@
     private void giveUpClaim(long nowNanos, ServiceCall call, Claiming claiming) {
         places.release(claiming.server());
         call.state = new Delayed(nowNanos);
-        claims.disown(call.request.key(), call.claimed);
+        claims.abandon(call.request.key(), call.claimed);
         end(nowNanos, call, notRun(NotRunReason.STORE_AWAY, STORE_RETRY_MILLIS));
     }
 
     private void taken(long nowNanos, ServiceCall call, Claims.Result.Taken taken) {
         if (taken.outcome().isEmpty()) {
             call.taken = true;
-            ask(nowNanos, call, taken.owner());
+            ask(nowNanos, call, taken.holder());
             return;
         }
         if (taken.outcome().get() instanceof Outcome.NotRun) {
-            replace(nowNanos, call, taken.owner());
+            replace(nowNanos, call, taken.holder());
             return;
         }
         end(nowNanos, call, taken.outcome().get());
@@ -313,63 +313,65 @@
     }
 
     /** Asks the host that claimed a key what became of it, as long as it is the same process. */
-    private void ask(long nowNanos, ServiceCall call, RunId owner) {
-        HostId host = owner.request().host();
-        EntryHost known = world.hosts().get(host);
-        boolean here = host.equals(self) && owner.request().incarnation() == incarnation;
+    private void ask(long nowNanos, ServiceCall call, RunId holder) {
+        HostId host = holder.request().host();
+        EntryHost known = fleet.hosts().get(host);
+        boolean here = host.equals(self) && holder.request().incarnation() == incarnation;
         boolean there =
                 !host.equals(self)
                         && known != null
                         && known.state() != EntryHost.State.DEAD
-                        && known.incarnation() == owner.request().incarnation();
+                        && known.incarnation() == holder.request().incarnation();
         if (!there && !here) {
             String detail = "the host that sent the call is gone, and left no outcome";
             end(nowNanos, call, new Outcome.InDoubt(detail));
             return;
         }
-        call.state = new Asking(owner, host, nowNanos + nanos(ASK_MILLIS));
+        call.state = new Asking(holder, host, nowNanos + nanos(ASK_MILLIS));
         out.accept(
                 new HostAction.SendRequest(
                         host,
-                        new RequestMessage.FateAsked(call.request.key(), Optional.of(owner))));
+                        new RequestMessage.StatusRequested(
+                                call.request.key(), Optional.of(holder))));
         wakes.schedule(call);
     }
 
     /** Hears from the host that claimed a key. */
-    void onFate(long nowNanos, ServiceCall call, HostId from, RequestMessage.FateTold told) {
+    void onStatus(
+            long nowNanos, ServiceCall call, HostId from, RequestMessage.StatusReported told) {
         boolean awaited =
                 call.state instanceof Asking asking
                         && asking.host().equals(from)
-                        && told.claim().equals(Optional.of(asking.owner()));
+                        && told.claim().equals(Optional.of(asking.holder()));
         if (!awaited) {
             return;
         }
-        RunId owner = ((Asking) call.state).owner();
-        switch (told.fate()) {
-            case Fate.Pending pending -> {}
-            case Fate.Unknown unknown -> {
+        RunId holder = ((Asking) call.state).holder();
+        switch (told.status()) {
+            case RequestStatus.Pending pending -> {}
+            case RequestStatus.Unknown unknown -> {
                 String detail = "the host that sent the call no longer knows its outcome";
                 end(nowNanos, call, new Outcome.InDoubt(detail));
             }
-            case Fate.Final end when end.outcome() instanceof Outcome.NotRun ->
-                    replace(nowNanos, call, owner);
-            case Fate.Final end -> end(nowNanos, call, end.outcome());
+            case RequestStatus.Final end when end.outcome() instanceof Outcome.NotRun ->
+                    replace(nowNanos, call, holder);
+            case RequestStatus.Final end -> end(nowNanos, call, end.outcome());
         }
         wakes.schedule(call);
     }
 
     /** Returns what became of a run that this host claimed, for a host that asks. */
-    Fate fateOf(RunId claim) {
+    RequestStatus statusOf(RunId claim) {
         ServiceCall call = byRequest.get(claim.request());
         if (call != null && claim.equals(call.claimed)) {
-            return new Fate.Pending();
+            return new RequestStatus.Pending();
         }
-        Outcome outcome = fates.get(claim);
-        return outcome == null ? new Fate.Unknown() : new Fate.Final(outcome);
+        Outcome outcome = claimOutcomes.get(claim);
+        return outcome == null ? new RequestStatus.Unknown() : new RequestStatus.Final(outcome);
     }
 
     private void enqueue(long nowNanos, ServiceCall call) {
-        Route route = world.routes().get(call.request.route());
+        Route route = fleet.routes().get(call.request.route());
         if (route == null || !places.hasServer(route, Optional.empty())) {
             long retryAfter = limits.noServerMillis();
             Outcome outcome =
@@ -397,7 +399,7 @@
     }
 
     private boolean dispatch(long nowNanos, ServiceCall call) {
-        Route route = world.routes().get(call.request.route());
+        Route route = fleet.routes().get(call.request.route());
         if (route == null) {
             return false;
         }
@@ -421,7 +423,7 @@
 
     private Optional<VersionId> version(ServiceCall call, Route route) {
         double draw = call.failures > 0 ? 1 : random.nextDouble();
-        Optional<VersionId> version = world.version(call.request.route(), Math.min(draw, 0.999999));
+        Optional<VersionId> version = fleet.version(call.request.route(), Math.min(draw, 0.999999));
         return places.hasServer(route, version) ? version : Optional.empty();
     }
 
@@ -479,7 +481,7 @@
         switch (call.state) {
             case Delayed delayed when nowNanos >= delayed.untilNanos() -> enqueue(nowNanos, call);
             case Asking asking when nowNanos >= asking.askAgainNanos() ->
-                    ask(nowNanos, call, asking.owner());
+                    ask(nowNanos, call, asking.holder());
             default -> {}
         }
     }
@@ -511,10 +513,10 @@
         queue.remove(call);
         if (call.state instanceof Claiming claiming) {
             places.release(claiming.server());
-            claims.disown(call.request.key(), call.claimed);
+            claims.abandon(call.request.key(), call.claimed);
         }
         if (call.claimed != null) {
-            fates.put(call.claimed, outcome);
+            claimOutcomes.put(call.claimed, outcome);
         }
         if (call.owned) {
             claims.record(nowNanos, call.request.key(), call.claimed, outcome);
--- a/src/main/java/org/orioleshed/request/FateInquiries.java
+++ b/src/main/java/org/orioleshed/request/StatusInquiries.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Outcome;
@@ -18,10 +18,11 @@
 import org.orioleshed.model.RunId;
 
 /**
- * Finds the fate of keys that this host does not know itself: asks the directory, the host that
- * accepted the key's request, and the claims in the store. The first sure word is the answer.
+ * Finds the request status of keys that this host does not know itself: asks the directory, the
+ * host that accepted the key's request, and the claims in the store. The first sure word is the
+ * answer.
  */
-final class FateInquiries {
+final class StatusInquiries {
     private static final long MAX_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     private static final int MAX_INQUIRIES = 10_000;
 
@@ -29,9 +30,9 @@
     private final Consumer<HostAction> out;
     private final Map<Long, Inquiry> byTicket = new LinkedHashMap<>();
     private final Map<RequestKey, Inquiry> byKey = new HashMap<>();
-    private World world = World.EMPTY;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
-    FateInquiries(Claims claims, Consumer<HostAction> out) {
+    StatusInquiries(Claims claims, Consumer<HostAction> out) {
         this.claims = claims;
         this.out = out;
     }
@@ -42,30 +43,31 @@
         final List<Long> tickets = new ArrayList<>();
 
         /** What this host knows itself. */
-        final Fate here;
+        final RequestStatus here;
 
         boolean directoryKnowsNone;
         boolean storeKnowsNone;
-        boolean storeAway;
+        boolean storeUnavailable;
         boolean known;
 
-        Inquiry(RequestKey key, Fate here, long untilNanos) {
+        Inquiry(RequestKey key, RequestStatus here, long untilNanos) {
             this.key = key;
             this.here = here;
             this.untilNanos = untilNanos;
         }
 
         /** Returns what is known when no other host said more; "not run" once all were heard. */
-        Fate unlessOthersKnow() {
-            boolean heardAll = directoryKnowsNone && storeKnowsNone && !storeAway;
+        RequestStatus unlessOthersKnow() {
+            boolean heardAll = directoryKnowsNone && storeKnowsNone && !storeUnavailable;
             boolean notRun =
-                    here instanceof Fate.Final end && end.outcome() instanceof Outcome.NotRun;
-            return notRun && !heardAll ? new Fate.Unknown() : here;
+                    here instanceof RequestStatus.Final end
+                            && end.outcome() instanceof Outcome.NotRun;
+            return notRun && !heardAll ? new RequestStatus.Unknown() : here;
         }
     }
 
-    void onWorld(World changed) {
-        world = changed;
+    void onFleet(FleetSnapshot changed) {
+        fleet = changed;
     }
 
     /**
@@ -79,7 +81,7 @@
             long nowNanos,
             long ticket,
             RequestKey key,
-            Fate here,
+            RequestStatus here,
             Optional<HostId> directory,
             Optional<RequestId> holder) {
         Inquiry running = byKey.get(key);
@@ -88,7 +90,7 @@
             return;
         }
         if (byKey.size() >= MAX_INQUIRIES) {
-            out.accept(new HostAction.TellFate(ticket, new Fate.Unknown()));
+            out.accept(new HostAction.ReplyStatus(ticket, new RequestStatus.Unknown()));
             return;
         }
         Inquiry inquiry = new Inquiry(key, here, nowNanos + MAX_NANOS);
@@ -96,7 +98,7 @@
         byKey.put(key, inquiry);
         byTicket.put(ticket, inquiry);
         if (directory.isPresent()) {
-            send(directory.get(), new RequestMessage.KeyAsked(key));
+            send(directory.get(), new RequestMessage.KeyRequested(key));
         } else {
             onHolder(key, holder);
         }
@@ -115,7 +117,7 @@
             return;
         }
         inquiry.known = true;
-        send(holder.get().host(), new RequestMessage.FateAsked(key, Optional.empty()));
+        send(holder.get().host(), new RequestMessage.StatusRequested(key, Optional.empty()));
     }
 
     /** Hears what the store knows. */
@@ -126,38 +128,38 @@
         }
         if (!(result instanceof Claims.Result.Taken taken)) {
             inquiry.storeKnowsNone = true;
-            inquiry.storeAway = result instanceof Claims.Result.Away;
+            inquiry.storeUnavailable = result instanceof Claims.Result.Unavailable;
             endIfUnknown(inquiry);
             return;
         }
         if (taken.outcome().isPresent()) {
-            end(inquiry, new Fate.Final(taken.outcome().get()));
+            end(inquiry, new RequestStatus.Final(taken.outcome().get()));
             return;
         }
-        RunId owner = taken.owner();
-        if (!lives(owner.request())) {
+        RunId holder = taken.holder();
+        if (!lives(holder.request())) {
             String detail = "the host that sent the call is gone, and left no outcome";
-            end(inquiry, new Fate.Final(new Outcome.InDoubt(detail)));
+            end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             return;
         }
         inquiry.known = true;
-        send(taken.host(), new RequestMessage.FateAsked(inquiry.key, Optional.of(owner)));
+        send(taken.host(), new RequestMessage.StatusRequested(inquiry.key, Optional.of(holder)));
     }
 
     /** Hears from the host that accepted the key's request. */
-    void onFate(RequestMessage.FateTold told) {
+    void onStatus(RequestMessage.StatusReported told) {
         Inquiry inquiry = byKey.get(told.key());
         if (inquiry == null) {
             return;
         }
-        switch (told.fate()) {
-            case Fate.Pending pending -> end(inquiry, pending);
-            case Fate.Final end -> end(inquiry, end);
-            case Fate.Unknown unknown when told.claim().isPresent() -> {
+        switch (told.status()) {
+            case RequestStatus.Pending pending -> end(inquiry, pending);
+            case RequestStatus.Final end -> end(inquiry, end);
+            case RequestStatus.Unknown unknown when told.claim().isPresent() -> {
                 String detail = "the host that sent the call no longer knows its outcome";
-                end(inquiry, new Fate.Final(new Outcome.InDoubt(detail)));
+                end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             }
-            case Fate.Unknown unknown -> {
+            case RequestStatus.Unknown unknown -> {
                 inquiry.directoryKnowsNone = true;
                 endIfUnknown(inquiry);
             }
@@ -170,7 +172,7 @@
             if (nowNanos < inquiry.untilNanos) {
                 return;
             }
-            end(inquiry, inquiry.known ? new Fate.Pending() : inquiry.unlessOthersKnow());
+            end(inquiry, inquiry.known ? new RequestStatus.Pending() : inquiry.unlessOthersKnow());
         }
     }
 
@@ -180,14 +182,14 @@
         }
     }
 
-    private void end(Inquiry inquiry, Fate fate) {
+    private void end(Inquiry inquiry, RequestStatus status) {
         byKey.remove(inquiry.key);
         byTicket.values().remove(inquiry);
-        inquiry.tickets.forEach(ticket -> out.accept(new HostAction.TellFate(ticket, fate)));
+        inquiry.tickets.forEach(ticket -> out.accept(new HostAction.ReplyStatus(ticket, status)));
     }
 
     private boolean lives(RequestId request) {
-        EntryHost host = world.hosts().get(request.host());
+        EntryHost host = fleet.hosts().get(request.host());
         return host != null
                 && host.state() != EntryHost.State.DEAD
                 && host.incarnation() == request.incarnation();
--- a/src/main/java/org/orioleshed/move/BadRecordException.java
+++ b/src/main/java/org/orioleshed/rollout/BadRecordException.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /** Thrown for a value of the store that is no valid move record. */
 public final class BadRecordException extends Exception {
--- a/src/main/java/org/orioleshed/move/Baseline.java
+++ b/src/main/java/org/orioleshed/rollout/Baseline.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /**
  * How often the old version's runs go wrong at this time: what the new version is held to. A long
--- a/src/main/java/org/orioleshed/move/Blame.java
+++ b/src/main/java/org/orioleshed/rollout/Blame.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
@@ -22,7 +22,7 @@
     private static final long CRASH_SPAN_NANOS = 2_000_000_000L;
 
     private final Cache<Content, Boolean> succeeded = contents();
-    private final Cache<Content, MoveMessage.Key> failed = contentKeys();
+    private final Cache<Content, RolloutMessage.Key> failed = contentKeys();
     private final Deque<Crash> crashes = new ArrayDeque<>();
 
     /** What a failure means. */
@@ -35,7 +35,7 @@
          *
          * @param excused an earlier failure that turns out to be the content's too
          */
-        record Content(Optional<MoveMessage.Key> excused) implements Verdict {}
+        record Content(Optional<RolloutMessage.Key> excused) implements Verdict {}
     }
 
     private static final Verdict VERSION = new Verdict.Version();
@@ -47,14 +47,14 @@
     }
 
     /** Judges a run that the server answered with an error. */
-    Verdict failed(boolean onNew, MoveMessage.Key key, Fingerprint content) {
+    Verdict failed(boolean onNew, RolloutMessage.Key key, Fingerprint content) {
         Content here = new Content(onNew, content);
         Content there = new Content(!onNew, content);
         if (succeeded.getIfPresent(there) != null) {
             return VERSION;
         }
         boolean again = failed.getIfPresent(here) != null;
-        MoveMessage.Key other = failed.getIfPresent(there);
+        RolloutMessage.Key other = failed.getIfPresent(there);
         failed.put(here, key);
         if (other != null) {
             failed.invalidate(there);
@@ -67,7 +67,7 @@
     Verdict crashed(
             long nowNanos,
             boolean onNew,
-            MoveMessage.Key key,
+            RolloutMessage.Key key,
             ServerId server,
             Fingerprint content) {
         Crash open = openCrash(nowNanos, server);
@@ -121,7 +121,7 @@
                 .build();
     }
 
-    private static Cache<Content, MoveMessage.Key> contentKeys() {
+    private static Cache<Content, RolloutMessage.Key> contentKeys() {
         return CacheBuilder.newBuilder()
                 .concurrencyLevel(1)
                 .maximumSize(REMEMBERED_CONTENTS)
@@ -134,14 +134,14 @@
     private static final class Crash {
         final long startNanos;
         final ServerId server;
-        final MoveMessage.Key key;
+        final RolloutMessage.Key key;
         final Set<Fingerprint> contents = new HashSet<>();
         boolean excused;
 
         Crash(
                 long startNanos,
                 ServerId server,
-                MoveMessage.Key key,
+                RolloutMessage.Key key,
                 Fingerprint content,
                 boolean excused) {
             this.startNanos = startNanos;
--- a/src/main/java/org/orioleshed/move/Cell.java
+++ b/src/main/java/org/orioleshed/rollout/Cell.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import org.orioleshed.model.RouteId;
 
--- a/src/main/java/org/orioleshed/move/MoverLease.java
+++ b/src/main/java/org/orioleshed/rollout/CoordinatorLease.java
@@ -1,30 +1,31 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 
 /**
- * The lease that makes a host the mover of one move. Its time runs on the monotonic clock from the
- * moment it was asked for, so that a holder that was paused finds it ended before it does anything.
+ * The lease that makes a host the coordinator of one rollout. Its time runs on the monotonic clock
+ * from the moment it was asked for, so that a holder that was paused finds it ended before it does
+ * anything.
  */
-final class MoverLease {
-    /** The start of the keys that hold movers' leases. */
+final class CoordinatorLease {
+    /** The start of the keys that hold coordinators' leases. */
     static final String KEY_PREFIX = "orioleshed/leases/mover-";
 
     private static final int KEEPS_PER_LEASE = 3;
 
     private final String key;
     private final Payload holder;
-    private final MoveLimits limits;
+    private final RolloutLimits limits;
     private final LongSupplier tickets;
     private State state = new Idle(Long.MIN_VALUE);
 
     private sealed interface State {}
 
-    /** Not the mover. */
+    /** Not the coordinator. */
     private record Idle(long retryNanos) implements State {}
 
     /** A lease was asked for. */
@@ -34,7 +35,7 @@
     private record Taking(long ticket, long leaseId, long askedNanos, long validUntilNanos)
             implements State {}
 
-    /** The mover. */
+    /** The coordinator. */
     private record Held(
             long leaseId,
             long fence,
@@ -44,8 +45,9 @@
             long keepNanos)
             implements State {}
 
-    MoverLease(MoveId move, Payload holder, MoveLimits limits, LongSupplier tickets) {
-        this.key = KEY_PREFIX + move;
+    CoordinatorLease(
+            RolloutId rollout, Payload holder, RolloutLimits limits, LongSupplier tickets) {
+        this.key = KEY_PREFIX + rollout;
         this.holder = holder;
         this.limits = limits;
         this.tickets = tickets;
@@ -69,16 +71,16 @@
     /**
      * Lets time pass.
      *
-     * @param wanted whether the host should become the mover if it is not
+     * @param wanted whether the host should become the coordinator if it is not
      */
-    List<MoveAction> tick(long nowNanos, boolean wanted) {
-        List<MoveAction> actions = new ArrayList<>();
+    List<RolloutAction> tick(long nowNanos, boolean wanted) {
+        List<RolloutAction> actions = new ArrayList<>();
         switch (state) {
             case Idle idle -> {
                 if (wanted && nowNanos >= idle.retryNanos) {
                     long ticket = tickets.getAsLong();
                     state = new Granting(ticket, nowNanos);
-                    actions.add(new MoveAction.GrantLease(ticket, limits.leaseMillis()));
+                    actions.add(new RolloutAction.GrantLease(ticket, limits.leaseMillis()));
                 }
             }
             case Granting granting -> {
@@ -96,7 +98,7 @@
         return actions;
     }
 
-    private void tickHeld(long nowNanos, Held held, List<MoveAction> actions) {
+    private void tickHeld(long nowNanos, Held held, List<RolloutAction> actions) {
         if (nowNanos >= held.validUntilNanos) {
             state = new Idle(nowNanos);
             return;
@@ -114,11 +116,11 @@
                         held.validUntilNanos,
                         ticket,
                         nowNanos);
-        actions.add(new MoveAction.KeepLease(ticket, held.leaseId));
+        actions.add(new RolloutAction.KeepLease(ticket, held.leaseId));
     }
 
     /** Takes the store's word on a lease. */
-    List<MoveAction> onLease(long nowNanos, MoveEvent.LeaseResult result) {
+    List<RolloutAction> onLease(long nowNanos, RolloutEvent.LeaseResult result) {
         if (state instanceof Granting granting && granting.ticket == result.ticket()) {
             return granted(nowNanos, granting, result.answer());
         }
@@ -128,9 +130,9 @@
         return List.of();
     }
 
-    private List<MoveAction> granted(
-            long nowNanos, Granting granting, MoveEvent.LeaseAnswer answer) {
-        if (!(answer instanceof MoveEvent.LeaseAnswer.Held lease)) {
+    private List<RolloutAction> granted(
+            long nowNanos, Granting granting, RolloutEvent.LeaseAnswer answer) {
+        if (!(answer instanceof RolloutEvent.LeaseAnswer.Held lease)) {
             rest(nowNanos);
             return List.of();
         }
@@ -138,13 +140,13 @@
         long validUntil = validUntil(granting.askedNanos, lease.ttlMillis());
         state = new Taking(ticket, lease.leaseId(), granting.askedNanos, validUntil);
         return List.of(
-                new MoveAction.SwapRecord(
+                new RolloutAction.SwapRecord(
                         ticket, key, 0, holder, lease.leaseId(), limits.storeTimeoutMillis()));
     }
 
-    private void kept(long nowNanos, Held held, MoveEvent.LeaseAnswer answer) {
+    private void kept(long nowNanos, Held held, RolloutEvent.LeaseAnswer answer) {
         switch (answer) {
-            case MoveEvent.LeaseAnswer.Held lease ->
+            case RolloutEvent.LeaseAnswer.Held lease ->
                     state =
                             new Held(
                                     held.leaseId,
@@ -155,17 +157,17 @@
                                             validUntil(held.keepNanos, lease.ttlMillis())),
                                     0,
                                     held.keepNanos);
-            case MoveEvent.LeaseAnswer.Lost lost -> rest(nowNanos);
-            case MoveEvent.LeaseAnswer.Away away -> {}
+            case RolloutEvent.LeaseAnswer.Lost lost -> rest(nowNanos);
+            case RolloutEvent.LeaseAnswer.Unavailable unavailable -> {}
         }
     }
 
     /** Takes the store's word on the lease's key. */
-    void onSwap(long nowNanos, MoveEvent.SwapResult result) {
+    void onSwap(long nowNanos, RolloutEvent.SwapResult result) {
         if (!(state instanceof Taking taking) || taking.ticket != result.ticket()) {
             return;
         }
-        if (result.answer() instanceof MoveEvent.SwapAnswer.Swapped swapped
+        if (result.answer() instanceof RolloutEvent.SwapAnswer.Swapped swapped
                 && nowNanos < taking.validUntilNanos) {
             state =
                     new Held(
@@ -194,6 +196,6 @@
     }
 
     private static long nanos(long millis) {
-        return millis * MoveCore.NANOS_PER_MILLI;
+        return millis * RolloutCore.NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/org/orioleshed/move/DriftTest.java
+++ b/src/main/java/org/orioleshed/rollout/DriftTest.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /**
  * A sequential test of whether runs go wrong more often than they should. It weighs each run by the
--- a/src/main/java/org/orioleshed/move/LoadBand.java
+++ b/src/main/java/org/orioleshed/rollout/LoadBand.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /** How busy a backend server was when it took a run; runs are compared within a band. */
 public enum LoadBand {
--- a/src/main/java/org/orioleshed/move/LoadTrial.java
+++ b/src/main/java/org/orioleshed/rollout/LoadTrial.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.Comparator;
 import java.util.HashSet;
@@ -8,7 +8,7 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
@@ -27,14 +27,14 @@
     private static final int MAX_LEVEL = 12;
 
     private final HostId self;
-    private final MoveLimits limits;
-    private World world = World.EMPTY;
+    private final RolloutLimits limits;
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private int hosts = 1;
 
     /** The place of this host among all, by id. */
     private int place;
 
-    LoadTrial(HostId self, MoveLimits limits) {
+    LoadTrial(HostId self, RolloutLimits limits) {
         this.self = self;
         this.limits = limits;
     }
@@ -45,7 +45,7 @@
      * @param trialNanos the time since the step began
      * @param average the share that all requests together may reach
      */
-    double share(long trialNanos, long epochMillis, World now, double average) {
+    double share(long trialNanos, long epochMillis, FleetSnapshot now, double average) {
         learn(now);
         double base = base(average);
         return isMyTurn(trialNanos, epochMillis, now, average)
@@ -54,7 +54,7 @@
     }
 
     /** Returns whether this host sends more now. */
-    boolean isMyTurn(long trialNanos, long epochMillis, World now, double average) {
+    boolean isMyTurn(long trialNanos, long epochMillis, FleetSnapshot now, double average) {
         learn(now);
         double spare = average - base(average);
         double roundMillis = (double) TURN_MILLIS * hosts;
@@ -72,16 +72,16 @@
 
     /** The share during a turn: what all hosts may send, by one, then twice that and so on. */
     private double strength(long trialNanos, double spare) {
-        long levelNanos = ROUNDS_PER_LEVEL * TURN_MILLIS * MoveCore.NANOS_PER_MILLI * hosts;
+        long levelNanos = ROUNDS_PER_LEVEL * TURN_MILLIS * RolloutCore.NANOS_PER_MILLI * hosts;
         long level = Math.min(MAX_LEVEL, trialNanos / levelNanos);
         return Math.min(1, spare * hosts * (1L << level));
     }
 
-    private void learn(World now) {
-        if (now.equals(world)) {
+    private void learn(FleetSnapshot now) {
+        if (now.equals(fleet)) {
             return;
         }
-        world = now;
+        fleet = now;
         SortedSet<HostId> all = new TreeSet<>(now.hosts().keySet());
         all.add(self);
         hosts = all.size();
--- a/src/main/java/org/orioleshed/move/LocalEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/LocalEvidence.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -6,7 +6,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What one host has seen of a move's two versions itself. */
+/** What one host has seen of a rollout's two versions itself. */
 final class LocalEvidence {
     private static final Tally NORMAL = new Tally(1, 0, 0, 1, 0);
     private static final Tally SLOW = new Tally(1, 0, 0, 1, 1);
@@ -17,14 +17,14 @@
 
     private final VersionId from;
     private final VersionId to;
-    private final MoveLimits limits;
+    private final RolloutLimits limits;
     private final SlowScale scale = new SlowScale();
     private final Blame blame = new Blame();
-    private final Map<MoveMessage.Key, Tally> tallies = new HashMap<>();
+    private final Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
     private final Map<Cell, VersionTest> tests = new HashMap<>();
     private final Map<ServerId, Integer> coldRuns = new HashMap<>();
 
-    LocalEvidence(VersionId from, VersionId to, MoveLimits limits) {
+    LocalEvidence(VersionId from, VersionId to, RolloutLimits limits) {
         this.from = from;
         this.to = to;
         this.limits = limits;
@@ -47,7 +47,7 @@
         }
         boolean onNew = version.equals(to);
         LoadBand band = LoadBand.of(result.load());
-        MoveMessage.Key key = new MoveMessage.Key(route, version, band);
+        RolloutMessage.Key key = new RolloutMessage.Key(route, version, band);
         switch (result.verdict()) {
             case OK -> {
                 blame.succeeded(onNew, result.fingerprint());
@@ -64,7 +64,7 @@
     }
 
     /** Returns the counters, which only grow. */
-    Map<MoveMessage.Key, Tally> tallies() {
+    Map<RolloutMessage.Key, Tally> tallies() {
         return tallies;
     }
 
@@ -77,7 +77,7 @@
         return strongest;
     }
 
-    private void settle(MoveMessage.Key key, Blame.Verdict verdict) {
+    private void settle(RolloutMessage.Key key, Blame.Verdict verdict) {
         switch (verdict) {
             case Blame.Verdict.Version version -> count(key, FAILED);
             case Blame.Verdict.Content content ->
@@ -86,7 +86,7 @@
     }
 
     private Tally succeeded(
-            MoveMessage.Key key,
+            RolloutMessage.Key key,
             boolean onNew,
             ServerId server,
             String generation,
@@ -102,14 +102,14 @@
     }
 
     /** A run that was ended from outside says nothing, unless it had taken too long already. */
-    private void timeCut(MoveMessage.Key key, String generation, RunResult result) {
+    private void timeCut(RolloutMessage.Key key, String generation, RunResult result) {
         SlowScale.Answer answer = scale.judgeCut(key.route(), key.band(), generation, result);
         if (answer == SlowScale.Answer.SLOW) {
             count(key, CUT_SLOW);
         }
     }
 
-    private void count(MoveMessage.Key key, Tally more) {
+    private void count(RolloutMessage.Key key, Tally more) {
         tallies.merge(key, more, Tally::plus);
         VersionTest test =
                 tests.computeIfAbsent(
--- a/src/main/java/org/orioleshed/move/Placement.java
+++ b/src/main/java/org/orioleshed/rollout/Placement.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -18,7 +18,7 @@
      * @param id the server
      * @param domain its failure domain
      * @param memoryBytes its memory for weights
-     * @param usedBytes the part that is taken; stays taken until the move's outcome
+     * @param usedBytes the part that is taken; stays taken until the rollout's outcome
      */
     public record Room(ServerId id, FailureDomain domain, long memoryBytes, long usedBytes) {
         /** Checks the arguments. */
--- a/src/main/java/org/orioleshed/move/PooledEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/PooledEvidence.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
 
-/** What all reachable hosts have seen of a move's two versions, merged by maximum. */
+/** What all reachable hosts have seen of a rollout's two versions, merged by maximum. */
 final class PooledEvidence {
     /** From so many runs of the old version on, a domain's new runs must have been seen too. */
     private static final long BUSY_RUNS = 200;
@@ -20,14 +20,14 @@
     /** The old version's runs that must be known before load bands are judged. */
     private static final long BAND_RUNS = 50;
 
-    private final MoveRecord move;
-    private final MoveLimits limits;
+    private final RolloutRecord rollout;
+    private final RolloutLimits limits;
     private final Map<HostId, Source> sources = new HashMap<>();
     private final Map<Cell, VersionTest> tests = new HashMap<>();
     private final Map<Place, Runs> places = new HashMap<>();
 
-    PooledEvidence(MoveRecord move, MoveLimits limits) {
-        this.move = move;
+    PooledEvidence(RolloutRecord rollout, RolloutLimits limits) {
+        this.rollout = rollout;
         this.limits = limits;
     }
 
@@ -37,7 +37,7 @@
             HostId host,
             FailureDomain domain,
             long incarnation,
-            Map<MoveMessage.Key, Tally> tallies) {
+            Map<RolloutMessage.Key, Tally> tallies) {
         Source source = sources.get(host);
         if (source == null || source.incarnation < incarnation) {
             source = new Source(incarnation, domain);
@@ -47,11 +47,11 @@
             return;
         }
         source.heardNanos = nowNanos;
-        Map<MoveMessage.Key, Tally> newer = new HashMap<>();
-        for (Map.Entry<MoveMessage.Key, Tally> entry : tallies.entrySet()) {
-            MoveMessage.Key key = entry.getKey();
+        Map<RolloutMessage.Key, Tally> newer = new HashMap<>();
+        for (Map.Entry<RolloutMessage.Key, Tally> entry : tallies.entrySet()) {
+            RolloutMessage.Key key = entry.getKey();
             Tally before = source.tallies.getOrDefault(key, Tally.NONE);
-            if (before.equals(entry.getValue()) || !move.routes().contains(key.route())) {
+            if (before.equals(entry.getValue()) || !rollout.routes().contains(key.route())) {
                 continue;
             }
             Tally after = before.max(entry.getValue());
@@ -66,26 +66,26 @@
         newer.forEach((key, more) -> countNew(domain, key, more));
     }
 
-    private void countOld(FailureDomain domain, MoveMessage.Key key, Tally more) {
-        if (key.version().equals(move.from())) {
+    private void countOld(FailureDomain domain, RolloutMessage.Key key, Tally more) {
+        if (key.version().equals(rollout.from())) {
             test(key).addOld(more);
             place(domain, key).ofOld += more.runs();
         }
     }
 
-    private void countNew(FailureDomain domain, MoveMessage.Key key, Tally more) {
-        if (key.version().equals(move.to())) {
+    private void countNew(FailureDomain domain, RolloutMessage.Key key, Tally more) {
+        if (key.version().equals(rollout.to())) {
             test(key).addNew(more);
             place(domain, key).ofNew += more.runs();
         }
     }
 
-    private VersionTest test(MoveMessage.Key key) {
+    private VersionTest test(RolloutMessage.Key key) {
         return tests.computeIfAbsent(
                 new Cell(key.route(), key.band()), cell -> new VersionTest(limits));
     }
 
-    private Runs place(FailureDomain domain, MoveMessage.Key key) {
+    private Runs place(FailureDomain domain, RolloutMessage.Key key) {
         return places.computeIfAbsent(new Place(domain, key.route()), place -> new Runs());
     }
 
@@ -112,7 +112,7 @@
     /** Returns the evidence for the new version on the route that has least of it. */
     double proofOfEachRoute() {
         double least = Double.POSITIVE_INFINITY;
-        for (RouteId route : move.routes()) {
+        for (RouteId route : rollout.routes()) {
             least = Math.min(least, proof(route));
         }
         return least;
@@ -165,7 +165,7 @@
 
     /** Returns whether each of {@code domains} has a host heard of lately. */
     boolean isFresh(long nowNanos, Collection<FailureDomain> domains) {
-        long freshNanos = limits.freshMillis() * MoveCore.NANOS_PER_MILLI;
+        long freshNanos = limits.freshMillis() * RolloutCore.NANOS_PER_MILLI;
         for (FailureDomain domain : domains) {
             boolean heard =
                     sources.values().stream()
@@ -190,8 +190,8 @@
     long newRuns() {
         long runs = 0;
         for (Source source : sources.values()) {
-            for (Map.Entry<MoveMessage.Key, Tally> entry : source.tallies.entrySet()) {
-                if (entry.getKey().version().equals(move.to())) {
+            for (Map.Entry<RolloutMessage.Key, Tally> entry : source.tallies.entrySet()) {
+                if (entry.getKey().version().equals(rollout.to())) {
                     runs += entry.getValue().runs();
                 }
             }
@@ -209,7 +209,7 @@
     private static final class Source {
         final long incarnation;
         final FailureDomain domain;
-        final Map<MoveMessage.Key, Tally> tallies = new HashMap<>();
+        final Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
         long heardNanos;
 
         Source(long incarnation, FailureDomain domain) {
--- a/src/main/java/org/orioleshed/move/RateWindow.java
+++ b/src/main/java/org/orioleshed/rollout/RateWindow.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /** The rate at which something happens, over a sliding count of trials that forgets the old. */
 final class RateWindow {
--- a/src/main/java/org/orioleshed/move/MoveAction.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutAction.java
@@ -1,20 +1,20 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.Map;
 import java.util.Set;
 import org.orioleshed.fleet.VersionSplit;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What {@link MoveCore} asks for. */
-public sealed interface MoveAction {
+/** What {@link RolloutCore} asks for. */
+public sealed interface RolloutAction {
     /**
      * Replace a key's value in the store if its modification revision is still {@code
-     * expectedRevision}; answered by {@link MoveEvent.SwapResult}.
+     * expectedRevision}; answered by {@link RolloutEvent.SwapResult}.
      *
      * @param ticket names the call
      * @param key the key
@@ -22,7 +22,7 @@
      * @param value the new value
      * @param leaseId the lease that the key hangs on; zero for none
      * @param timeoutMillis after this time without an answer it is {@link
-     *     MoveEvent.SwapAnswer.Unknown}
+     *     RolloutEvent.SwapAnswer.Unknown}
      */
     record SwapRecord(
             long ticket,
@@ -31,27 +31,29 @@
             Payload value,
             long leaseId,
             long timeoutMillis)
-            implements MoveAction {}
+            implements RolloutAction {}
 
-    /** Read one move's record; answered by {@link MoveEvent.RecordRead}, or not at all. */
-    record ReadRecord(MoveId move) implements MoveAction {}
+    /** Read one rollout's record; answered by {@link RolloutEvent.RecordRead}, or not at all. */
+    record ReadRecord(RolloutId rollout) implements RolloutAction {}
 
-    /** Read all moves' records; answered by {@link MoveEvent.RecordsListed}, or not at all. */
-    record ListRecords() implements MoveAction {}
+    /**
+     * Read all rollouts' records; answered by {@link RolloutEvent.RecordsListed}, or not at all.
+     */
+    record ListRecords() implements RolloutAction {}
 
-    /** Grant a lease; answered by {@link MoveEvent.LeaseResult}. */
-    record GrantLease(long ticket, long ttlMillis) implements MoveAction {}
+    /** Grant a lease; answered by {@link RolloutEvent.LeaseResult}. */
+    record GrantLease(long ticket, long ttlMillis) implements RolloutAction {}
 
-    /** Keep a lease alive; answered by {@link MoveEvent.LeaseResult}. */
-    record KeepLease(long ticket, long leaseId) implements MoveAction {}
+    /** Keep a lease alive; answered by {@link RolloutEvent.LeaseResult}. */
+    record KeepLease(long ticket, long leaseId) implements RolloutAction {}
 
     /** Send a message to a peer; it may be lost. */
-    record SendMove(HostId to, MoveMessage message) implements MoveAction {}
+    record SendMessage(HostId to, RolloutMessage message) implements RolloutAction {}
 
     /**
      * How traffic divides now; replaces what was said before.
      *
-     * @param splits for each route with a move under way, how its traffic divides
+     * @param splits for each route with a rollout under way, how its traffic divides
      * @param currentVersions for each route whose move has an outcome, the version to use; goes
      *     before the settings' own
      * @param heldBack backend servers of new versions that get no work for now, so that the few
@@ -61,7 +63,7 @@
             Map<RouteId, VersionSplit> splits,
             Map<RouteId, VersionId> currentVersions,
             Set<ServerId> heldBack)
-            implements MoveAction {
+            implements RolloutAction {
         /** Copies the collections. */
         public SplitChanged {
             splits = Map.copyOf(splits);
@@ -71,12 +73,13 @@
     }
 
     /** Tell the operators, by log and admin watch. */
-    record Notice(MoveId move, Kind kind, long epochMillis, String detail) implements MoveAction {
+    record Notice(RolloutId rollout, Kind kind, long epochMillis, String detail)
+            implements RolloutAction {
         /** What the operators are told. */
         public enum Kind {
-            /** The mover took a step. */
+            /** The coordinator took a step. */
             STEP,
-            /** This host's fuse blew. */
+            /** This host's breaker tripped. */
             FUSE,
             /** This host concluded "back" by itself; the recorded outcome is still to come. */
             CONCLUDED_BACK,
@@ -93,10 +96,10 @@
 
     /**
      * Give a backend server an order, as {@code POST /v1/orders}; idempotent. Answered by {@link
-     * MoveEvent.OrderAnswered}.
+     * RolloutEvent.OrderAnswered}.
      */
-    record Order(ServerId server, ServerOrder order, long fence) implements MoveAction {}
+    record Order(ServerId server, ServerOrder order, long fence) implements RolloutAction {}
 
-    /** Read a backend server's state back; answered by {@link MoveEvent.StateRead}. */
-    record ReadState(ServerId server) implements MoveAction {}
+    /** Read a backend server's state back; answered by {@link RolloutEvent.StateRead}. */
+    record ReadState(ServerId server) implements RolloutAction {}
 }
--- a/src/main/java/org/orioleshed/move/MoveCodec.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCodec.java
@@ -1,32 +1,32 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.HashMap;
 import java.util.Map;
 import org.orioleshed.model.FailureDomain;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.VersionId;
 import org.orioleshed.peer.BadMessageException;
 import org.orioleshed.peer.MessageCodec;
 import org.orioleshed.wire.MoveWire;
 
-/** Codec of {@link MoveMessage}. */
-public final class MoveCodec implements MessageCodec<MoveMessage> {
+/** Codec of {@link RolloutMessage}. */
+public final class RolloutCodec implements MessageCodec<RolloutMessage> {
     /** The most rows in one message. */
     static final int MAX_ROWS = 10_000;
 
     @Override
-    public byte[] encode(MoveMessage message) {
+    public byte[] encode(RolloutMessage message) {
         MoveWire.Message.Builder wire = MoveWire.Message.newBuilder();
         switch (message) {
-            case MoveMessage.Evidence evidence -> wire.setEvidence(wire(evidence));
-            case MoveMessage.RecordSeen seen ->
+            case RolloutMessage.Evidence evidence -> wire.setEvidence(wire(evidence));
+            case RolloutMessage.RecordSeen seen ->
                     wire.setRecordSeen(
                             MoveWire.RecordSeen.newBuilder()
-                                    .setMove(seen.move().value())
+                                    .setMove(seen.rollout().value())
                                     .setRecord(ByteString.copyFrom(seen.record().toBytes()))
                                     .setRevision(seen.revision()));
         }
@@ -34,14 +34,14 @@
     }
 
     @Override
-    public MoveMessage decode(byte[] bytes) throws BadMessageException {
+    public RolloutMessage decode(byte[] bytes) throws BadMessageException {
         try {
             MoveWire.Message wire = MoveWire.Message.parseFrom(bytes);
             return switch (wire.getKindCase()) {
                 case EVIDENCE -> evidence(wire.getEvidence());
                 case RECORD_SEEN ->
-                        new MoveMessage.RecordSeen(
-                                new MoveId(wire.getRecordSeen().getMove()),
+                        new RolloutMessage.RecordSeen(
+                                new RolloutId(wire.getRecordSeen().getMove()),
                                 Payload.of(wire.getRecordSeen().getRecord().toByteArray()),
                                 counter(wire.getRecordSeen().getRevision()));
                 case KIND_NOT_SET -> throw new BadMessageException("empty move message");
@@ -51,19 +51,19 @@
         }
     }
 
-    private static MoveWire.Evidence wire(MoveMessage.Evidence evidence) {
+    private static MoveWire.Evidence wire(RolloutMessage.Evidence evidence) {
         MoveWire.Evidence.Builder wire =
                 MoveWire.Evidence.newBuilder()
-                        .setMove(evidence.move().value())
+                        .setMove(evidence.rollout().value())
                         .setDomain(evidence.domain().value())
                         .setIncarnation(evidence.incarnation())
-                        .setFuseBlown(evidence.fuseBlown())
-                        .setMoverFence(evidence.moverFence());
+                        .setFuseBlown(evidence.breakerTripped())
+                        .setMoverFence(evidence.coordinatorFence());
         evidence.tallies().forEach((key, tally) -> wire.addRows(wire(key, tally)));
         return wire.build();
     }
 
-    private static MoveWire.Row wire(MoveMessage.Key key, Tally tally) {
+    private static MoveWire.Row wire(RolloutMessage.Key key, Tally tally) {
         return MoveWire.Row.newBuilder()
                 .setRoute(key.route().value())
                 .setVersion(key.version().value())
@@ -76,22 +76,22 @@
                 .build();
     }
 
-    private static MoveMessage.Evidence evidence(MoveWire.Evidence wire)
+    private static RolloutMessage.Evidence evidence(MoveWire.Evidence wire)
             throws BadMessageException {
         if (wire.getRowsCount() > MAX_ROWS) {
             throw new BadMessageException("too many rows: " + wire.getRowsCount());
         }
-        Map<MoveMessage.Key, Tally> tallies = new HashMap<>();
+        Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
         for (MoveWire.Row row : wire.getRowsList()) {
-            MoveMessage.Key key =
-                    new MoveMessage.Key(
+            RolloutMessage.Key key =
+                    new RolloutMessage.Key(
                             new RouteId(row.getRoute()),
                             new VersionId(row.getVersion()),
                             row.getHighLoad() ? LoadBand.HIGH : LoadBand.LOW);
             tallies.merge(key, tally(row), Tally::max);
         }
-        return new MoveMessage.Evidence(
-                new MoveId(wire.getMove()),
+        return new RolloutMessage.Evidence(
+                new RolloutId(wire.getMove()),
                 new FailureDomain(wire.getDomain()),
                 counter(wire.getIncarnation()),
                 wire.getFuseBlown(),
--- a/src/main/java/org/orioleshed/move/Mover.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCoordinator.java
@@ -1,41 +1,42 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.Payload;
 
 /**
- * The mover of one move, while this host holds the lease: takes steps, and records the outcome. Its
- * writes are compare-and-swaps on the record's revision, each with the mover's fencing number, so
- * that two movers never both succeed; a lost answer is settled by reading the record back.
+ * The coordinator of one rollout, while this host holds the lease: takes steps, and records the
+ * outcome. Its writes are compare-and-swaps on the record's revision, each with the coordinator's
+ * fencing number, so that two coordinators never both succeed; a lost answer is settled by reading
+ * the record back.
  */
-final class Mover {
-    /** New runs' alarm that holds completion up, as a part of the level that blows the fuse. */
+final class RolloutCoordinator {
+    /** New runs' alarm that holds completion up, as a part of the level that trips the breaker. */
     private static final double HOLD_PART = 0.27;
 
-    private final MoveRun run;
-    private final MoveLimits limits;
+    private final RolloutRun run;
+    private final RolloutLimits limits;
     private final LongSupplier tickets;
-    private final MoverLease lease;
+    private final CoordinatorLease lease;
     private final OrderPlan orders;
     private Optional<Pending> pending = Optional.empty();
     private long retryNanos = Long.MIN_VALUE;
 
     /** A swap whose answer is still out. */
-    private record Pending(long ticket, MoveRecord value, long askedNanos) {}
+    private record Pending(long ticket, RolloutRecord value, long askedNanos) {}
 
-    Mover(MoveRun run, Payload holder, MoveLimits limits, LongSupplier tickets) {
+    RolloutCoordinator(RolloutRun run, Payload holder, RolloutLimits limits, LongSupplier tickets) {
         this.run = run;
         this.limits = limits;
         this.tickets = tickets;
-        this.lease = new MoverLease(run.record().id(), holder, limits, tickets);
+        this.lease = new CoordinatorLease(run.record().id(), holder, limits, tickets);
         this.orders = new OrderPlan(run.record(), limits);
     }
 
-    /** Returns the fencing number; zero while this host is not the mover. */
+    /** Returns the fencing number; zero while this host is not the coordinator. */
     long fence(long nowNanos) {
         return lease.fence(nowNanos);
     }
@@ -44,26 +45,30 @@
         return orders;
     }
 
-    List<MoveAction> onLease(long nowNanos, MoveEvent.LeaseResult result) {
+    List<RolloutAction> onLease(long nowNanos, RolloutEvent.LeaseResult result) {
         return lease.onLease(nowNanos, result);
     }
 
     /** Lets time pass. */
-    List<MoveAction> tick(
-            long nowNanos, long epochMillis, World world, boolean wanted, boolean mustWait) {
+    List<RolloutAction> tick(
+            long nowNanos,
+            long epochMillis,
+            FleetSnapshot fleet,
+            boolean wanted,
+            boolean mustWait) {
         if (!run.isOpen()) {
             return List.of();
         }
-        List<MoveAction> actions = new ArrayList<>(lease.tick(nowNanos, wanted));
+        List<RolloutAction> actions = new ArrayList<>(lease.tick(nowNanos, wanted));
         if (!lease.isHeld(nowNanos) || isBusy(nowNanos, actions)) {
             return actions;
         }
-        Optional<MoveRecord> next = decide(nowNanos, epochMillis, world, mustWait, actions);
+        Optional<RolloutRecord> next = decide(nowNanos, epochMillis, fleet, mustWait, actions);
         next.ifPresent(value -> actions.add(swap(nowNanos, value)));
         return actions;
     }
 
-    private boolean isBusy(long nowNanos, List<MoveAction> actions) {
+    private boolean isBusy(long nowNanos, List<RolloutAction> actions) {
         if (nowNanos < retryNanos) {
             return true;
         }
@@ -71,25 +76,25 @@
             return false;
         }
         long waitedNanos = nowNanos - pending.get().askedNanos;
-        if (waitedNanos >= 2 * limits.storeTimeoutMillis() * MoveCore.NANOS_PER_MILLI) {
+        if (waitedNanos >= 2 * limits.storeTimeoutMillis() * RolloutCore.NANOS_PER_MILLI) {
             actions.addAll(readBack(nowNanos));
         }
         return true;
     }
 
-    private Optional<MoveRecord> decide(
+    private Optional<RolloutRecord> decide(
             long nowNanos,
             long epochMillis,
-            World world,
+            FleetSnapshot fleet,
             boolean mustWait,
-            List<MoveAction> actions) {
-        MoveRecord record = run.record();
-        Optional<String> back = reasonToTakeBack(epochMillis);
+            List<RolloutAction> actions) {
+        RolloutRecord record = run.record();
+        Optional<String> back = rollBackReason(epochMillis);
         if (back.isPresent()) {
-            return Optional.of(outcome(nowNanos, epochMillis, MoveState.TAKEN_BACK, back.get()));
+            return Optional.of(outcome(nowNanos, epochMillis, RolloutState.TAKEN_BACK, back.get()));
         }
-        if (record.state() == MoveState.PLANNED) {
-            actions.addAll(orders.tick(nowNanos, lease.fence(nowNanos), lease.sinceNanos(), world));
+        if (record.state() == RolloutState.PLANNED) {
+            actions.addAll(orders.tick(nowNanos, lease.fence(nowNanos), lease.sinceNanos(), fleet));
             return orders.isDone() && !mustWait
                     ? Optional.of(step(nowNanos, epochMillis, 0))
                     : Optional.empty();
@@ -97,7 +102,7 @@
         if (record.fence() != lease.fence(nowNanos)) {
             return Optional.of(step(nowNanos, epochMillis, record.step()));
         }
-        if (!run.pooled().isFresh(nowNanos, run.domains(world))) {
+        if (!run.pooled().isFresh(nowNanos, run.domains(fleet))) {
             return Optional.empty();
         }
         if (record.step() < limits.lastStep()) {
@@ -106,16 +111,16 @@
                     : Optional.empty();
         }
         return isProven(epochMillis)
-                ? Optional.of(outcome(nowNanos, epochMillis, MoveState.COMPLETED, "proven"))
+                ? Optional.of(outcome(nowNanos, epochMillis, RolloutState.COMPLETED, "proven"))
                 : Optional.empty();
     }
 
-    private Optional<String> reasonToTakeBack(long epochMillis) {
+    private Optional<String> rollBackReason(long epochMillis) {
         if (run.isSuperseded()) {
             return Optional.of("another move has the same routes");
         }
-        if (run.fuse().isPresent()) {
-            return Optional.of("fuse blew: " + run.fuse().get());
+        if (run.breaker().isPresent()) {
+            return Optional.of("fuse blew: " + run.breaker().get());
         }
         if (epochMillis >= run.record().completeByMillis() - limits.spreadMillis()) {
             return Optional.of("not proven in time: " + missing());
@@ -138,33 +143,34 @@
         if (evidence.lacksRunsInBusyDomain()) {
             return "evidence in a failure domain";
         }
-        if (evidence.alarm() >= HOLD_PART * limits.fuseLevel()) {
+        if (evidence.alarm() >= HOLD_PART * limits.breakerLevel()) {
             return "a quiet moment after failures";
         }
         return "nothing";
     }
 
     private long soakUntilMillis() {
-        MoveRecord record = run.record();
+        RolloutRecord record = run.record();
         long wholeMillis = record.completeByMillis() - record.startedMillis();
         return record.startedMillis() + (long) (wholeMillis * limits.soakFraction());
     }
 
-    private MoveRecord step(long nowNanos, long epochMillis, int step) {
+    private RolloutRecord step(long nowNanos, long epochMillis, int step) {
         return run.record().atStep(step, epochMillis, lease.fence(nowNanos));
     }
 
-    private MoveRecord outcome(long nowNanos, long epochMillis, MoveState state, String reason) {
+    private RolloutRecord outcome(
+            long nowNanos, long epochMillis, RolloutState state, String reason) {
         long fence = lease.fence(nowNanos);
         return run.record().decided(state, epochMillis, fence, "orioleshed", reason);
     }
 
-    private MoveAction swap(long nowNanos, MoveRecord value) {
+    private RolloutAction swap(long nowNanos, RolloutRecord value) {
         long ticket = tickets.getAsLong();
         pending = Optional.of(new Pending(ticket, value, nowNanos));
-        return new MoveAction.SwapRecord(
+        return new RolloutAction.SwapRecord(
                 ticket,
-                MoveRecord.key(value.id()),
+                RolloutRecord.key(value.id()),
                 run.revision(),
                 value.toPayload(),
                 0,
@@ -176,31 +182,31 @@
      *
      * @param written is told of the record that was written, with its revision
      */
-    List<MoveAction> onSwap(long nowNanos, MoveEvent.SwapResult result, Written written) {
+    List<RolloutAction> onSwap(long nowNanos, RolloutEvent.SwapResult result, Written written) {
         lease.onSwap(nowNanos, result);
         if (pending.isEmpty() || pending.get().ticket != result.ticket()) {
             return List.of();
         }
-        MoveRecord value = pending.get().value;
+        RolloutRecord value = pending.get().value;
         return switch (result.answer()) {
-            case MoveEvent.SwapAnswer.Swapped swapped -> {
+            case RolloutEvent.SwapAnswer.Swapped swapped -> {
                 pending = Optional.empty();
                 yield written.record(value, swapped.revision());
             }
-            case MoveEvent.SwapAnswer.Conflict conflict -> readBack(nowNanos);
-            case MoveEvent.SwapAnswer.Unknown unknown -> readBack(nowNanos);
-            case MoveEvent.SwapAnswer.Away away -> {
+            case RolloutEvent.SwapAnswer.Conflict conflict -> readBack(nowNanos);
+            case RolloutEvent.SwapAnswer.Unknown unknown -> readBack(nowNanos);
+            case RolloutEvent.SwapAnswer.Unavailable unavailable -> {
                 pending = Optional.empty();
-                retryNanos = nowNanos + limits.storeTimeoutMillis() * MoveCore.NANOS_PER_MILLI;
+                retryNanos = nowNanos + limits.storeTimeoutMillis() * RolloutCore.NANOS_PER_MILLI;
                 yield List.of();
             }
         };
     }
 
-    private List<MoveAction> readBack(long nowNanos) {
+    private List<RolloutAction> readBack(long nowNanos) {
         pending = Optional.empty();
-        retryNanos = nowNanos + limits.storeTimeoutMillis() * MoveCore.NANOS_PER_MILLI;
-        return List.of(new MoveAction.ReadRecord(run.record().id()));
+        retryNanos = nowNanos + limits.storeTimeoutMillis() * RolloutCore.NANOS_PER_MILLI;
+        return List.of(new RolloutAction.ReadRecord(run.record().id()));
     }
 
     /** The record was read back: go on at once. */
@@ -212,6 +218,6 @@
 
     /** Hears of a record that this host wrote. */
     interface Written {
-        List<MoveAction> record(MoveRecord value, long revision);
+        List<RolloutAction> record(RolloutRecord value, long revision);
     }
 }
--- a/src/main/java/org/orioleshed/move/MoveEvent.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutEvent.java
@@ -1,67 +1,68 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.List;
 import java.util.Optional;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What can happen to {@link MoveCore}. */
-public sealed interface MoveEvent {
+/** What can happen to {@link RolloutCore}. */
+public sealed interface RolloutEvent {
     /**
      * A run that this host accepted ended on a backend server. Feed every run of every route; those
-     * of routes without a move are ignored.
+     * of routes without a rollout are ignored.
      */
     record Observed(RouteId route, VersionId version, ServerId server, RunResult result)
-            implements MoveEvent {}
+            implements RolloutEvent {}
 
     /**
-     * A move's record was read or watched, or a read failed to find it.
+     * A rollout's record was read or watched, or a read failed to find it.
      *
      * @param value empty when the key does not exist
      * @param revision the key's modification revision; zero when it does not exist
      */
-    record RecordRead(MoveId move, Optional<Payload> value, long revision) implements MoveEvent {}
+    record RecordRead(RolloutId rollout, Optional<Payload> value, long revision)
+            implements RolloutEvent {}
 
     /**
-     * All records under {@link MoveRecord#KEY_PREFIX}, the answer to {@link
-     * MoveAction.ListRecords}.
+     * All records under {@link RolloutRecord#KEY_PREFIX}, the answer to {@link
+     * RolloutAction.ListRecords}.
      */
-    record RecordsListed(List<RecordRead> records) implements MoveEvent {
+    record RecordsListed(List<RecordRead> records) implements RolloutEvent {
         /** Copies the list. */
         public RecordsListed {
             records = List.copyOf(records);
         }
     }
 
-    /** The answer to {@link MoveAction.GrantLease} or {@link MoveAction.KeepLease}. */
-    record LeaseResult(long ticket, LeaseAnswer answer) implements MoveEvent {}
+    /** The answer to {@link RolloutAction.GrantLease} or {@link RolloutAction.KeepLease}. */
+    record LeaseResult(long ticket, LeaseAnswer answer) implements RolloutEvent {}
 
-    /** The answer to {@link MoveAction.SwapRecord}. */
-    record SwapResult(long ticket, SwapAnswer answer) implements MoveEvent {}
+    /** The answer to {@link RolloutAction.SwapRecord}. */
+    record SwapResult(long ticket, SwapAnswer answer) implements RolloutEvent {}
 
-    /** A peer's message about moves. */
-    record PeerReceived(HostId from, MoveMessage message) implements MoveEvent {}
+    /** A peer's message about rollouts. */
+    record PeerReceived(HostId from, RolloutMessage message) implements RolloutEvent {}
 
     /** The membership view or the settings changed. */
-    record WorldChanged(World world) implements MoveEvent {}
+    record FleetChanged(FleetSnapshot fleet) implements RolloutEvent {}
 
-    /** The answer to {@link MoveAction.Order}: the order was taken, or not. */
-    record OrderAnswered(ServerId server, long fence, boolean taken) implements MoveEvent {}
+    /** The answer to {@link RolloutAction.Order}: the order was taken, or not. */
+    record OrderAnswered(ServerId server, long fence, boolean taken) implements RolloutEvent {}
 
-    /** The answer to {@link MoveAction.ReadState}; empty when the server could not be asked. */
-    record StateRead(ServerId server, Optional<VersionId> version) implements MoveEvent {}
+    /** The answer to {@link RolloutAction.ReadState}; empty when the server could not be asked. */
+    record StateRead(ServerId server, Optional<VersionId> version) implements RolloutEvent {}
 
     /**
      * Time passed; comes at least every 100 ms.
      *
      * @param epochMillis the host's wall clock, in milliseconds since the epoch
      */
-    record Tick(long epochMillis) implements MoveEvent {}
+    record Tick(long epochMillis) implements RolloutEvent {}
 
     /** What the store said about a lease. */
     sealed interface LeaseAnswer {
@@ -72,7 +73,7 @@
         record Lost(String detail) implements LeaseAnswer {}
 
         /** The store did not answer: nothing new is known of the lease. */
-        record Away(String detail) implements LeaseAnswer {}
+        record Unavailable(String detail) implements LeaseAnswer {}
     }
 
     /** What the store said about a swap. */
@@ -87,6 +88,6 @@
         record Unknown(String detail) implements SwapAnswer {}
 
         /** The swap did not take effect: the store was not asked. */
-        record Away(String detail) implements SwapAnswer {}
+        record Unavailable(String detail) implements SwapAnswer {}
     }
 }
--- a/src/main/java/org/orioleshed/move/MoveLimits.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutLimits.java
@@ -1,9 +1,9 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.List;
 
 /**
- * The numbers that moves go by.
+ * The numbers that rollouts go by.
  *
  * @param shares the new version's share of requests at each step, growing, from 0 to 1; the last
  *     one is kept until the outcome
@@ -12,7 +12,7 @@
  *     "good"
  * @param fullProof the evidence that earns completion, on the same scale; 7.6 makes a bad version
  *     pass once in 2,000
- * @param fuseLevel the evidence that blows a fuse, as the logarithm of the odds for "bad"
+ * @param breakerLevel the evidence that trips a breaker, as the logarithm of the odds for "bad"
  * @param failureGap how much more of its runs a bad version fails than the old one, from 0 to 1
  * @param slowGap how much more of its runs lie above the old version's 90th percentile when a
  *     version counts as slow, from 0 to 1
@@ -20,24 +20,24 @@
  *     completion, from 0 to 1
  * @param spreadMillis the time that a recorded outcome takes to reach every reachable host; no
  *     completion is recorded later than this before completeBy
- * @param guardMillis how long fuses stay armed after completion, in milliseconds
+ * @param guardMillis how long breakers stay armed after completion, in milliseconds
  * @param gossipMillis the time between evidence messages, in milliseconds
  * @param gossipPeers the most peers that get evidence at each of these times
- * @param freshMillis how old a domain's evidence may be when the mover takes a step
- * @param leaseMillis the mover's lease
- * @param leaseMarginMillis how long before its end the mover stops relying on the lease
+ * @param freshMillis how old a domain's evidence may be when the coordinator takes a step
+ * @param leaseMillis the coordinator's lease
+ * @param leaseMarginMillis how long before its end the coordinator stops relying on the lease
  * @param storeTimeoutMillis the time that a store call may take
- * @param listMillis the time between listings of all moves, in milliseconds
+ * @param listMillis the time between listings of all rollouts, in milliseconds
  * @param coldRuns a new version's first runs on each server that are not compared for time
  * @param weightLoadsAtOnce the most servers that load weights at once
  * @param weightSpacingMillis the least time between two orders to load weights
  */
-public record MoveLimits(
+public record RolloutLimits(
         List<Double> shares,
         double serviceFactor,
         double stepProof,
         double fullProof,
-        double fuseLevel,
+        double breakerLevel,
         double failureGap,
         double slowGap,
         double soakFraction,
@@ -54,8 +54,8 @@
         int weightLoadsAtOnce,
         long weightSpacingMillis) {
     /** The limits used where the settings state none. */
-    public static final MoveLimits DEFAULT =
-            new MoveLimits(
+    public static final RolloutLimits DEFAULT =
+            new RolloutLimits(
                     List.of(0.01, 0.02, 0.04),
                     0.4,
                     0.7,
@@ -78,7 +78,7 @@
                     10_000);
 
     /** Checks the arguments. */
-    public MoveLimits {
+    public RolloutLimits {
         shares = List.copyOf(shares);
         if (shares.isEmpty()) {
             throw new IllegalArgumentException("shares must not be empty");
@@ -96,7 +96,7 @@
         requireFraction(soakFraction, "soakFraction");
         requirePositive(stepProof, "stepProof");
         requirePositive(fullProof, "fullProof");
-        requirePositive(fuseLevel, "fuseLevel");
+        requirePositive(breakerLevel, "fuseLevel");
         requirePositive(spreadMillis, "spreadMillis");
         requirePositive(guardMillis, "guardMillis");
         requirePositive(gossipMillis, "gossipMillis");
--- a/src/main/java/org/orioleshed/move/MoveMessage.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutMessage.java
@@ -1,32 +1,33 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.Map;
 import org.orioleshed.model.FailureDomain;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.VersionId;
 
-/** What entry hosts say to each other about moves. All may be lost, repeated and reordered. */
-public sealed interface MoveMessage {
+/** What entry hosts say to each other about rollouts. All may be lost, repeated and reordered. */
+public sealed interface RolloutMessage {
     /**
-     * The sender's own evidence about a move, all of it since the sender's start.
+     * The sender's own evidence about a rollout, all of it since the sender's start.
      *
-     * @param move the move
+     * @param rollout the rollout
      * @param domain the sender's failure domain
      * @param incarnation the sender's incarnation
-     * @param fuseBlown whether the sender's fuse has blown
-     * @param moverFence the sender's fencing number while it is the mover; zero otherwise
+     * @param breakerTripped whether the sender's breaker has tripped
+     * @param coordinatorFence the sender's fencing number while it is the coordinator; zero
+     *     otherwise
      * @param tallies the counters, which only grow
      */
     record Evidence(
-            MoveId move,
+            RolloutId rollout,
             FailureDomain domain,
             long incarnation,
-            boolean fuseBlown,
-            long moverFence,
+            boolean breakerTripped,
+            long coordinatorFence,
             Map<Key, Tally> tallies)
-            implements MoveMessage {
+            implements RolloutMessage {
         /** Copies the map. */
         public Evidence {
             tallies = Map.copyOf(tallies);
@@ -36,11 +37,11 @@
     /**
      * The newest record that the sender knows.
      *
-     * @param move the move
+     * @param rollout the rollout
      * @param record the record as in the store
      * @param revision its modification revision
      */
-    record RecordSeen(MoveId move, Payload record, long revision) implements MoveMessage {}
+    record RecordSeen(RolloutId rollout, Payload record, long revision) implements RolloutMessage {}
 
     /** What a {@link Tally} counts. */
     record Key(RouteId route, VersionId version, LoadBand band) implements Comparable<Key> {
--- a/src/main/java/org/orioleshed/move/MoveRecord.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutRecord.java
@@ -1,34 +1,34 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.List;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
 /**
- * One move as the platform's store holds it, under {@link #key}.
+ * One rollout as the platform's store holds it, under {@link #key}.
  *
- * @param id the move
- * @param target the model or service that moves
+ * @param id the rollout
+ * @param target the model or service that the rollout concerns
  * @param from the version that traffic leaves
  * @param to the version that traffic goes to
- * @param routes the routes that move, at least one
+ * @param routes the routes of the rollout, at least one
  * @param plannedMillis when it was planned, in milliseconds since the epoch
  * @param completeByMillis when it must be completed, in milliseconds since the epoch
  * @param loads backend servers that must load the new version first; usually empty
  * @param state where it stands
  * @param step the step of share reached, from zero; meaningful while running
  * @param startedMillis when the first step was taken; zero before
- * @param fence the fencing number of the mover that wrote last; zero before the first
+ * @param fence the fencing number of the coordinator that wrote last; zero before the first
  * @param decidedMillis when the outcome was recorded; zero before
  * @param author who planned it, or who took it back
  * @param reason why, in a sentence
  */
-public record MoveRecord(
-        MoveId id,
+public record RolloutRecord(
+        RolloutId id,
         Target target,
         VersionId from,
         VersionId to,
@@ -36,21 +36,21 @@
         long plannedMillis,
         long completeByMillis,
         List<ServerId> loads,
-        MoveState state,
+        RolloutState state,
         int step,
         long startedMillis,
         long fence,
         long decidedMillis,
         String author,
         String reason) {
-    /** The start of the keys of all moves. */
+    /** The start of the keys of all rollouts. */
     public static final String KEY_PREFIX = "orioleshed/moves/";
 
     /** The longest author or reason, in characters. */
     public static final int MAX_TEXT = 1_000;
 
     /** Checks the arguments and copies the lists. */
-    public MoveRecord {
+    public RolloutRecord {
         if (id == null || target == null || from == null || to == null || state == null) {
             throw new IllegalArgumentException("id, target, versions and state must be given");
         }
@@ -75,9 +75,9 @@
         reason = requireText(reason, "reason");
     }
 
-    /** Returns a new move that nothing has happened to yet. */
-    public static MoveRecord plan(
-            MoveId id,
+    /** Returns a new rollout that nothing has happened to yet. */
+    public static RolloutRecord plan(
+            RolloutId id,
             Target target,
             VersionId from,
             VersionId to,
@@ -87,7 +87,7 @@
             List<ServerId> loads,
             String author,
             String reason) {
-        return new MoveRecord(
+        return new RolloutRecord(
                 id,
                 target,
                 from,
@@ -96,7 +96,7 @@
                 nowMillis,
                 completeByMillis,
                 loads,
-                MoveState.PLANNED,
+                RolloutState.PLANNED,
                 0,
                 0,
                 0,
@@ -105,14 +105,14 @@
                 reason);
     }
 
-    /** Returns the store's key of move {@code id}. */
-    public static String key(MoveId id) {
+    /** Returns the store's key of rollout {@code id}. */
+    public static String key(RolloutId id) {
         return KEY_PREFIX + id;
     }
 
     /** Returns the JSON that {@link #parse} reads. */
     public Payload toPayload() {
-        return MoveRecordJson.write(this);
+        return RolloutRecordJson.write(this);
     }
 
     /**
@@ -120,14 +120,16 @@
      *
      * @throws BadRecordException when it is no valid record
      */
-    public static MoveRecord parse(Payload payload) throws BadRecordException {
-        return MoveRecordJson.read(payload);
+    public static RolloutRecord parse(Payload payload) throws BadRecordException {
+        return RolloutRecordJson.read(payload);
     }
 
-    /** Returns this move at {@code newStep}, written by the mover with {@code newFence}. */
-    MoveRecord atStep(int newStep, long nowMillis, long newFence) {
+    /**
+     * Returns this rollout at {@code newStep}, written by the coordinator with {@code newFence}.
+     */
+    RolloutRecord atStep(int newStep, long nowMillis, long newFence) {
         long started = startedMillis == 0 ? nowMillis : startedMillis;
-        return new MoveRecord(
+        return new RolloutRecord(
                 id,
                 target,
                 from,
@@ -136,7 +138,7 @@
                 plannedMillis,
                 completeByMillis,
                 loads,
-                MoveState.RUNNING,
+                RolloutState.RUNNING,
                 newStep,
                 started,
                 newFence,
@@ -146,20 +148,20 @@
     }
 
     /**
-     * Returns this move with its outcome.
+     * Returns this rollout with its outcome.
      *
      * @throws IllegalStateException when it has one already
      * @throws IllegalArgumentException when {@code outcome} is none
      */
-    public MoveRecord decided(
-            MoveState outcome, long nowMillis, long newFence, String who, String why) {
+    public RolloutRecord decided(
+            RolloutState outcome, long nowMillis, long newFence, String who, String why) {
         if (state.isOutcome()) {
             throw new IllegalStateException("move " + id + " is already " + state);
         }
         if (!outcome.isOutcome()) {
             throw new IllegalArgumentException("not an outcome: " + outcome);
         }
-        return new MoveRecord(
+        return new RolloutRecord(
                 id,
                 target,
                 from,
--- a/src/main/java/org/orioleshed/move/MoveRecordJson.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutRecordJson.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -9,45 +9,45 @@
 import java.util.List;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.model.ModelId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.VersionId;
 
-/** Writes and reads {@link MoveRecord} as JSON. */
-final class MoveRecordJson {
+/** Writes and reads {@link RolloutRecord} as JSON. */
+final class RolloutRecordJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private MoveRecordJson() {}
+    private RolloutRecordJson() {}
 
-    static Payload write(MoveRecord move) {
+    static Payload write(RolloutRecord rollout) {
         ObjectNode node = MAPPER.createObjectNode();
-        node.put("id", move.id().value());
-        switch (move.target()) {
+        node.put("id", rollout.id().value());
+        switch (rollout.target()) {
             case Target.Model model -> node.put("model", model.model().value());
             case Target.Service service -> node.put("service", service.service().value());
         }
-        node.put("from", move.from().value());
-        node.put("to", move.to().value());
+        node.put("from", rollout.from().value());
+        node.put("to", rollout.to().value());
         ArrayNode routes = node.putArray("routes");
-        move.routes().forEach(route -> routes.add(route.value()));
-        node.put("plannedMillis", move.plannedMillis());
-        node.put("completeByMillis", move.completeByMillis());
+        rollout.routes().forEach(route -> routes.add(route.value()));
+        node.put("plannedMillis", rollout.plannedMillis());
+        node.put("completeByMillis", rollout.completeByMillis());
         ArrayNode loads = node.putArray("loads");
-        move.loads().forEach(server -> loads.add(server.value()));
-        node.put("state", move.state().name());
-        node.put("step", move.step());
-        node.put("startedMillis", move.startedMillis());
-        node.put("fence", move.fence());
-        node.put("decidedMillis", move.decidedMillis());
-        node.put("author", move.author());
-        node.put("reason", move.reason());
+        rollout.loads().forEach(server -> loads.add(server.value()));
+        node.put("state", rollout.state().name());
+        node.put("step", rollout.step());
+        node.put("startedMillis", rollout.startedMillis());
+        node.put("fence", rollout.fence());
+        node.put("decidedMillis", rollout.decidedMillis());
+        node.put("author", rollout.author());
+        node.put("reason", rollout.reason());
         return Payload.of(node.toString());
     }
 
-    static MoveRecord read(Payload payload) throws BadRecordException {
+    static RolloutRecord read(Payload payload) throws BadRecordException {
         try {
             JsonNode node = MAPPER.readTree(payload.toBytes());
             if (node == null || !node.isObject()) {
@@ -59,13 +59,13 @@
         }
     }
 
-    private static MoveRecord record(JsonNode node) {
+    private static RolloutRecord record(JsonNode node) {
         Target target =
                 node.has("model")
                         ? new Target.Model(new ModelId(text(node, "model")))
                         : new Target.Service(new ServiceId(text(node, "service")));
-        return new MoveRecord(
-                new MoveId(text(node, "id")),
+        return new RolloutRecord(
+                new RolloutId(text(node, "id")),
                 target,
                 new VersionId(text(node, "from")),
                 new VersionId(text(node, "to")),
@@ -73,7 +73,7 @@
                 number(node, "plannedMillis"),
                 number(node, "completeByMillis"),
                 texts(node, "loads").stream().map(ServerId::new).toList(),
-                MoveState.valueOf(text(node, "state")),
+                RolloutState.valueOf(text(node, "state")),
                 (int) Math.min(Integer.MAX_VALUE, number(node, "step")),
                 number(node, "startedMillis"),
                 number(node, "fence"),
--- a/src/main/java/org/orioleshed/move/MoveRun.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutRun.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,28 +7,29 @@
 import java.util.Optional;
 import java.util.Set;
 import org.orioleshed.fleet.BackendServer;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** One move as one host knows it: the newest record, the evidence, and the host's fuse. */
-final class MoveRun {
-    private final MoveLimits limits;
+/** One rollout as one host knows it: the newest record, the evidence, and the host's breaker. */
+final class RolloutRun {
+    private final RolloutLimits limits;
     private final LocalEvidence local;
     private final PooledEvidence pooled;
     private final LoadTrial loadTrial;
     private final Map<ServerId, String> generations = new HashMap<>();
-    private MoveRecord record;
+    private RolloutRecord record;
     private long revision;
     private long stepSinceNanos;
-    private Optional<String> fuse = Optional.empty();
+    private Optional<String> breaker = Optional.empty();
     private boolean superseded;
     private boolean concludedBack;
 
-    MoveRun(long nowNanos, HostId self, MoveRecord record, long revision, MoveLimits limits) {
+    RolloutRun(
+            long nowNanos, HostId self, RolloutRecord record, long revision, RolloutLimits limits) {
         this.limits = limits;
         this.record = record;
         this.revision = revision;
@@ -38,7 +39,7 @@
         this.loadTrial = new LoadTrial(self, limits);
     }
 
-    MoveRecord record() {
+    RolloutRecord record() {
         return record;
     }
 
@@ -54,9 +55,9 @@
         return pooled;
     }
 
-    /** Returns why the fuse blew; empty while it holds. */
-    Optional<String> fuse() {
-        return fuse;
+    /** Returns why the breaker tripped; empty while it holds. */
+    Optional<String> breaker() {
+        return breaker;
     }
 
     /** Returns whether an earlier move has the same routes. */
@@ -86,7 +87,7 @@
      *
      * @return whether it was taken in
      */
-    boolean adopt(long nowNanos, MoveRecord newer, long newerRevision) {
+    boolean adopt(long nowNanos, RolloutRecord newer, long newerRevision) {
         if (newerRevision <= revision || !isOpen()) {
             return false;
         }
@@ -99,24 +100,24 @@
         return true;
     }
 
-    /** Blows the fuse; it stays blown. Returns whether it held before. */
-    boolean blow(String reason) {
-        if (fuse.isPresent()) {
+    /** Trips the breaker; it stays tripped. Returns whether it held before. */
+    boolean trip(String reason) {
+        if (breaker.isPresent()) {
             return false;
         }
-        fuse = Optional.of(reason);
+        breaker = Optional.of(reason);
         return true;
     }
 
-    /** Returns why the evidence blows the fuse now, if it does. */
+    /** Returns why the evidence trips the breaker now, if it does. */
     Optional<String> alarm() {
-        if (fuse.isPresent()) {
+        if (breaker.isPresent()) {
             return Optional.empty();
         }
-        if (local.alarm() >= limits.fuseLevel()) {
+        if (local.alarm() >= limits.breakerLevel()) {
             return Optional.of("own evidence");
         }
-        if (pooled.alarm() >= limits.fuseLevel()) {
+        if (pooled.alarm() >= limits.breakerLevel()) {
             return Optional.of("pooled evidence");
         }
         return Optional.empty();
@@ -132,31 +133,32 @@
     }
 
     /** Returns the new version's share of requests on this host now. */
-    double share(long nowNanos, long epochMillis, World world) {
+    double share(long nowNanos, long epochMillis, FleetSnapshot fleet) {
         if (!isMoving(epochMillis)) {
             return 0;
         }
         double share = stepShare();
         if (isInLoadTrial()) {
-            return loadTrial.share(nowNanos - stepSinceNanos, epochMillis, world, share);
+            return loadTrial.share(nowNanos - stepSinceNanos, epochMillis, fleet, share);
         }
         return share;
     }
 
     /** Returns the new version's servers that must get no work for now. */
-    Set<ServerId> heldBack(long nowNanos, long epochMillis, World world, FailureDomain domain) {
+    Set<ServerId> heldBack(
+            long nowNanos, long epochMillis, FleetSnapshot fleet, FailureDomain domain) {
         if (!isMoving(epochMillis) || !isInLoadTrial()) {
             return Set.of();
         }
-        if (!loadTrial.isMyTurn(nowNanos - stepSinceNanos, epochMillis, world, stepShare())) {
+        if (!loadTrial.isMyTurn(nowNanos - stepSinceNanos, epochMillis, fleet, stepShare())) {
             return Set.of();
         }
-        return loadTrial.heldBack(newServers(world), domain);
+        return loadTrial.heldBack(newServers(fleet), domain);
     }
 
     private boolean isMoving(long epochMillis) {
-        return record.state() == MoveState.RUNNING
-                && fuse.isEmpty()
+        return record.state() == RolloutState.RUNNING
+                && breaker.isEmpty()
                 && !concludedBack
                 && !superseded
                 && epochMillis < record.completeByMillis();
@@ -177,23 +179,23 @@
         return record.target() instanceof Target.Service;
     }
 
-    private List<BackendServer> newServers(World world) {
-        return world.serversOf(record.target()).stream()
+    private List<BackendServer> newServers(FleetSnapshot fleet) {
+        return fleet.serversOf(record.target()).stream()
                 .filter(server -> server.version().equals(record.to()) && !server.leaving())
                 .toList();
     }
 
     /** Returns the failure domains that have servers of either version. */
-    Set<FailureDomain> domains(World world) {
+    Set<FailureDomain> domains(FleetSnapshot fleet) {
         Set<FailureDomain> domains = new HashSet<>();
-        for (BackendServer server : world.serversOf(record.target())) {
+        for (BackendServer server : fleet.serversOf(record.target())) {
             domains.add(server.domain());
         }
         return domains;
     }
 
-    /** Forgets what was derived from an earlier world. */
-    void worldChanged() {
+    /** Forgets what was derived from an earlier fleet snapshot. */
+    void fleetChanged() {
         generations.clear();
     }
 
@@ -201,23 +203,23 @@
      * Returns the server's hardware generation where the old version has servers of the same one;
      * else the empty string, so that it is compared with all.
      */
-    String generation(ServerId id, World world) {
-        return generations.computeIfAbsent(id, server -> comparableGeneration(server, world));
+    String generation(ServerId id, FleetSnapshot fleet) {
+        return generations.computeIfAbsent(id, server -> comparableGeneration(server, fleet));
     }
 
-    private String comparableGeneration(ServerId id, World world) {
-        BackendServer server = world.servers().get(id);
+    private String comparableGeneration(ServerId id, FleetSnapshot fleet) {
+        BackendServer server = fleet.servers().get(id);
         if (server == null) {
             return "";
         }
         boolean shared =
-                hasGeneration(world, server.generation(), record.from())
-                        && hasGeneration(world, server.generation(), record.to());
+                hasGeneration(fleet, server.generation(), record.from())
+                        && hasGeneration(fleet, server.generation(), record.to());
         return shared ? server.generation() : "";
     }
 
-    private boolean hasGeneration(World world, String generation, VersionId version) {
-        return world.serversOf(record.target()).stream()
+    private boolean hasGeneration(FleetSnapshot fleet, String generation, VersionId version) {
+        return fleet.serversOf(record.target()).stream()
                 .anyMatch(
                         other ->
                                 other.version().equals(version)
--- a/src/main/java/org/orioleshed/move/MoveState.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutState.java
@@ -1,7 +1,7 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
-/** Where a move stands. Once an outcome is recorded, it never changes. */
-public enum MoveState {
+/** Where a rollout stands. Once an outcome is recorded, it never changes. */
+public enum RolloutState {
     /** Recorded, no traffic on the new version yet. */
     PLANNED,
     /** Traffic is moving. */
--- a/src/main/java/org/orioleshed/move/Tally.java
+++ b/src/main/java/org/orioleshed/rollout/Tally.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /**
  * Counters of runs. Each only grows, so tallies of one host's one incarnation merge by maximum,
--- a/src/main/java/org/orioleshed/move/Division.java
+++ b/src/main/java/org/orioleshed/rollout/TrafficSplits.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.Collection;
 import java.util.Comparator;
@@ -7,26 +7,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.VersionSplit;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** Works out from all moves how traffic divides on one host. */
-final class Division {
-    private Division() {}
+/** Works out from all rollouts how traffic divides on one host. */
+final class TrafficSplits {
+    private TrafficSplits() {}
 
-    /** Of open moves that share a route, one goes on: the one under way, else the first planned. */
-    static void settleRaces(Collection<MoveRun> runs) {
-        Comparator<MoveRun> order =
-                Comparator.comparing((MoveRun run) -> run.record().state() != MoveState.RUNNING)
+    /**
+     * Of open rollouts that share a route, one goes on: the one under way, else the first planned.
+     */
+    static void settleRaces(Collection<RolloutRun> runs) {
+        Comparator<RolloutRun> order =
+                Comparator.comparing(
+                                (RolloutRun run) -> run.record().state() != RolloutState.RUNNING)
                         .thenComparing(run -> run.record().plannedMillis())
                         .thenComparing(run -> run.record().id());
         Set<RouteId> taken = new HashSet<>();
-        List<MoveRun> open = runs.stream().filter(MoveRun::isOpen).sorted(order).toList();
-        for (MoveRun run : open) {
+        List<RolloutRun> open = runs.stream().filter(RolloutRun::isOpen).sorted(order).toList();
+        for (RolloutRun run : open) {
             boolean free = run.record().routes().stream().noneMatch(taken::contains);
             run.setSuperseded(!free);
             if (free) {
@@ -36,23 +39,23 @@
     }
 
     /** Returns the division at this time, for a host in {@code domain}. */
-    static MoveAction.SplitChanged of(
-            Collection<MoveRun> runs,
+    static RolloutAction.SplitChanged of(
+            Collection<RolloutRun> runs,
             long nowNanos,
             long epochMillis,
-            World world,
+            FleetSnapshot fleet,
             FailureDomain domain) {
         Map<RouteId, VersionSplit> splits = new HashMap<>();
         Map<RouteId, VersionId> versions = new HashMap<>();
         Map<RouteId, Long> decidedAt = new HashMap<>();
         Set<ServerId> heldBack = new HashSet<>();
-        for (MoveRun run : runs) {
-            MoveRecord record = run.record();
+        for (RolloutRun run : runs) {
+            RolloutRecord record = run.record();
             if (run.isOpen() && !run.isSuperseded()) {
-                double share = run.share(nowNanos, epochMillis, world);
+                double share = run.share(nowNanos, epochMillis, fleet);
                 VersionSplit split = new VersionSplit(record.from(), record.to(), share);
                 record.routes().forEach(route -> splits.put(route, split));
-                heldBack.addAll(run.heldBack(nowNanos, epochMillis, world, domain));
+                heldBack.addAll(run.heldBack(nowNanos, epochMillis, fleet, domain));
                 continue;
             }
             if (run.isOpen()) {
@@ -66,11 +69,11 @@
                 }
             }
         }
-        return new MoveAction.SplitChanged(splits, versions, heldBack);
+        return new RolloutAction.SplitChanged(splits, versions, heldBack);
     }
 
-    private static VersionId outcomeVersion(MoveRun run) {
-        boolean onNew = run.record().state() == MoveState.COMPLETED && run.fuse().isEmpty();
+    private static VersionId outcomeVersion(RolloutRun run) {
+        boolean onNew = run.record().state() == RolloutState.COMPLETED && run.breaker().isEmpty();
         return onNew ? run.record().to() : run.record().from();
     }
 }
--- a/src/main/java/org/orioleshed/move/VersionTest.java
+++ b/src/main/java/org/orioleshed/rollout/VersionTest.java
@@ -1,11 +1,11 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /** Tests of one version against another on one route in one load band. */
 final class VersionTest {
     private static final double FAILURE_FLOOR = 0.01;
     private static final double SLOW_FLOOR = 0.12;
 
-    private final MoveLimits limits;
+    private final RolloutLimits limits;
     private final Baseline oldFailures = new Baseline(FAILURE_FLOOR);
     private final Baseline oldSlowness = new Baseline(SLOW_FLOOR);
     private final DriftTest failures = new DriftTest();
@@ -13,7 +13,7 @@
     private long oldRuns;
     private long newRuns;
 
-    VersionTest(MoveLimits limits) {
+    VersionTest(RolloutLimits limits) {
         this.limits = limits;
     }
 
--- a/src/main/java/org/orioleshed/move/WeightBudget.java
+++ b/src/main/java/org/orioleshed/rollout/WeightBudget.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 /** Keeps loads of weights within what the platform's weight store allows. */
 final class WeightBudget {
--- a/src/main/java/org/orioleshed/routing/Admission.java
+++ b/src/main/java/org/orioleshed/routing/Admission.java
@@ -17,7 +17,7 @@
     /** The share of its time left that a run is expected to take when its start is due. */
     private static final double NEAR_LAST_SAFE_START = 0.5;
 
-    /** At how many homes an offer waits at least. */
+    /** At how many owners an offer waits at least. */
     private static final double HOMES_PER_OFFER = 2;
 
     private static final long URGENT_MEMORY_NANOS = 10_000_000_000L;
--- a/src/main/java/org/orioleshed/routing/Candidate.java
+++ b/src/main/java/org/orioleshed/routing/Candidate.java
@@ -7,7 +7,7 @@
  * A backend server that a request may be offered to.
  *
  * @param server the server
- * @param home the server's home, where the offer goes
+ * @param owner the server's owner, where the offer goes
  * @param scoreMillis the expected time to the first token plus the cost of a slow stream, in
  *     milliseconds; the lower the better
  * @param waitMillis the expected wait for a place, in milliseconds
@@ -15,7 +15,7 @@
  *     as this host knows
  */
 public record Candidate(
-        ServerId server, HostId home, long scoreMillis, long waitMillis, int uncachedTokens) {
+        ServerId server, HostId owner, long scoreMillis, long waitMillis, int uncachedTokens) {
     /** Returns the server and its score, as {@code server:score}, for the log. */
     @Override
     public String toString() {
--- a/src/main/java/org/orioleshed/routing/ForeignLoad.java
+++ b/src/main/java/org/orioleshed/routing/ForeignLoad.java
@@ -1,8 +1,8 @@
 package org.orioleshed.routing;
 
 /**
- * Requests on an engine that its home did not start, such as those of an earlier home: what the
- * engine's late reports show beyond all that the home had there lately.
+ * Requests on an engine that its owner did not start, such as those of an earlier owner: what the
+ * engine's late reports show beyond all that the owner had there lately.
  */
 final class ForeignLoad {
     private static final long MEMORY_NANOS = 2_000_000_000L;
--- a/src/main/java/org/orioleshed/routing/KnownServer.java
+++ b/src/main/java/org/orioleshed/routing/KnownServer.java
@@ -17,23 +17,23 @@
     private static final long SHARED_STEP_MILLIS = 10;
 
     private final BackendServer server;
-    private final HostId home;
+    private final HostId owner;
     private ServerLoad load;
     private int sentSinceLoad;
     private long avoidedUntilNanos = Long.MIN_VALUE;
     private long domainWaitMillis;
 
-    KnownServer(BackendServer server, HostId home) {
+    KnownServer(BackendServer server, HostId owner) {
         this.server = server;
-        this.home = home;
+        this.owner = owner;
     }
 
     BackendServer server() {
         return server;
     }
 
-    HostId home() {
-        return home;
+    HostId owner() {
+        return owner;
     }
 
     /** Takes over what {@code earlier} knew, after a change of the fleet. */
--- a/src/main/java/org/orioleshed/routing/LoadBoard.java
+++ b/src/main/java/org/orioleshed/routing/LoadBoard.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Rendezvous;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ModelId;
@@ -23,7 +23,7 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
 /**
- * Spreads loads: those of a home's servers to the hosts of its own failure domain, and sums by
+ * Spreads loads: those of an owner's servers to the hosts of its own failure domain, and sums by
  * model from one host of each failure domain to one host of each other, which passes them on.
  */
 final class LoadBoard {
@@ -43,32 +43,32 @@
         this.self = self;
     }
 
-    /** Takes in the detail of another home. */
+    /** Takes in the detail of another owner. */
     void learn(Moment moment, ServerLoads loads) {
         loads.loads().forEach(load -> heard.put(load.server(), new Heard(load, moment.nowNanos())));
     }
 
     /** Passes a sum from another failure domain on to the hosts of this one. */
     void passOn(Moment moment, HostId from, DomainLoads loads, Outbox outbox) {
-        EntryHost sender = moment.world().hosts().get(from);
-        Optional<FailureDomain> own = ownDomain(moment.world());
+        EntryHost sender = moment.fleet().hosts().get(from);
+        Optional<FailureDomain> own = ownDomain(moment.fleet());
         if (sender == null || own.isEmpty() || sender.domain().equals(own.get())) {
             return;
         }
-        for (HostId host : hostsOf(moment.world(), own.get())) {
+        for (HostId host : hostsOf(moment.fleet(), own.get())) {
             if (!host.equals(self)) {
                 outbox.send(host, loads);
             }
         }
     }
 
-    /** Sends what is due; {@code loads} are those of the servers that this host is home of. */
-    void tick(Moment moment, Collection<HomeServer> servers, Outbox outbox) {
-        Optional<FailureDomain> own = ownDomain(moment.world());
+    /** Sends what is due; {@code loads} are those of the servers that this host is owner of. */
+    void tick(Moment moment, Collection<OwnedServer> servers, Outbox outbox) {
+        Optional<FailureDomain> own = ownDomain(moment.fleet());
         if (own.isEmpty()) {
             return;
         }
-        List<HostId> hosts = hostsOf(moment.world(), own.get());
+        List<HostId> hosts = hostsOf(moment.fleet(), own.get());
         if (due(nextDetailNanos, moment)) {
             List<ServerLoad> loads = servers.stream().map(s -> s.load(moment)).toList();
             ServerLoads message = new ServerLoads(loads);
@@ -89,7 +89,7 @@
         heard.values().removeIf(h -> moment.nowNanos() - h.atNanos() > FORGET_NANOS);
         Map<ModelId, List<ServerLoad>> byModel = new TreeMap<>();
         for (Heard h : heard.values()) {
-            BackendServer server = moment.world().servers().get(h.load().server());
+            BackendServer server = moment.fleet().servers().get(h.load().server());
             if (server != null
                     && !server.leaving()
                     && server.domain().equals(domain)
@@ -118,7 +118,7 @@
     private void sendSums(Moment moment, FailureDomain own, Outbox outbox) {
         DomainLoads message = new DomainLoads(own, sums(moment, own));
         Map<FailureDomain, List<HostId>> byDomain = new TreeMap<>();
-        for (EntryHost host : moment.world().hosts().values()) {
+        for (EntryHost host : moment.fleet().hosts().values()) {
             if (host.takesWork() && !host.domain().equals(own)) {
                 byDomain.computeIfAbsent(host.domain(), d -> new ArrayList<>()).add(host.id());
             }
@@ -157,12 +157,12 @@
                 .orElse(0);
     }
 
-    private Optional<FailureDomain> ownDomain(World world) {
-        return Optional.ofNullable(world.hosts().get(self)).map(EntryHost::domain);
+    private Optional<FailureDomain> ownDomain(FleetSnapshot fleet) {
+        return Optional.ofNullable(fleet.hosts().get(self)).map(EntryHost::domain);
     }
 
-    private static List<HostId> hostsOf(World world, FailureDomain domain) {
-        return world.hosts().values().stream()
+    private static List<HostId> hostsOf(FleetSnapshot fleet, FailureDomain domain) {
+        return fleet.hosts().values().stream()
                 .filter(host -> host.domain().equals(domain) && host.takesWork())
                 .map(EntryHost::id)
                 .sorted()
--- a/src/main/java/org/orioleshed/routing/HomeServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -13,8 +13,8 @@
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 
-/** One backend server on its home: who waits for it, and who gets its next place. */
-final class HomeServer {
+/** One backend server on its owner: who waits for it, and who gets its next place. */
+final class OwnedServer {
     private final Outbox outbox;
     private final OfferQueue queue;
     private final Places places = new Places();
@@ -32,7 +32,7 @@
     private BackendServer server;
     private Optional<RefusalReason> closed = Optional.empty();
 
-    HomeServer(RoutingLimits limits, SpeedBook book, Outbox outbox, BackendServer server) {
+    OwnedServer(RoutingLimits limits, SpeedBook book, Outbox outbox, BackendServer server) {
         ServerId id = server.id();
         AdaptiveLimit adaptive = new AdaptiveLimit(limits, server.places());
         this.outbox = outbox;
--- a/src/main/java/org/orioleshed/routing/HomeCore.java
+++ b/src/main/java/org/orioleshed/routing/OwnerCore.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.routing.RoutingMessage.DomainLoads;
 import org.orioleshed.routing.RoutingMessage.ModelLoad;
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
@@ -22,15 +22,15 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
 /**
- * The home's side of routing on one entry host: keeps the queue, the places and the estimates of
- * each backend server that this host is home of. Owned by one thread.
+ * The owner's side of routing on one entry host: keeps the queue, the places and the estimates of
+ * each backend server that this host is owner of. Owned by one thread.
  *
  * <p>Events that are none of its business are ignored, so a host may pass it all of them. Messages
  * may be lost, repeated or reordered. It sends messages to its own host in the same way as to
- * others. After {@link HostEvent.DrainAsked} it says {@link HostAction.Drained} once, when no
+ * others. After {@link HostEvent.DrainRequested} it says {@link HostAction.Drained} once, when no
  * accepting host waits for anything here any more.
  */
-public final class HomeCore implements Machine<HostEvent, HostAction> {
+public final class OwnerCore implements StateMachine<HostEvent, HostAction> {
     /** The end of a run that may still be on an engine. */
     private static final RunEnd UNKNOWN = new RunEnd.Broken(false, false);
 
@@ -39,9 +39,9 @@
     private final Outbox outbox = new Outbox();
     private final SpeedBook book = new SpeedBook();
     private final LoadBoard board;
-    private final Map<ServerId, HomeServer> servers = new TreeMap<>();
-    private World world = World.EMPTY;
-    private Homes homes = Homes.NONE;
+    private final Map<ServerId, OwnedServer> servers = new TreeMap<>();
+    private FleetSnapshot fleet = FleetSnapshot.EMPTY;
+    private ServerOwners owners = ServerOwners.NONE;
     private boolean draining;
     private boolean drained;
     private boolean wallKnown;
@@ -49,12 +49,12 @@
     private long wallAtNanos;
 
     /**
-     * Makes a core that is home of no server until it hears of the world.
+     * Makes a core that is owner of no server until it hears of the fleet snapshot.
      *
      * @param self the host that it runs on
      * @param limits the policy and its bounds
      */
-    public HomeCore(HostId self, RoutingLimits limits) {
+    public OwnerCore(HostId self, RoutingLimits limits) {
         if (self == null || limits == null) {
             throw new IllegalArgumentException("self and limits must be given");
         }
@@ -74,15 +74,15 @@
                     at(e.server()).ifPresent(s -> s.ended(moment, e.run(), e.end()));
             case HostEvent.LoadReported e -> at(e.server()).ifPresent(s -> s.loadReported(e));
             case HostEvent.CacheReported e -> at(e.server()).ifPresent(s -> s.cacheReported(e));
-            case HostEvent.WorldChanged e -> worldChanged(nowNanos, e.world());
+            case HostEvent.FleetChanged e -> fleetChanged(nowNanos, e.fleet());
             case HostEvent.WallClock e -> wallClock(nowNanos, e.epochMillis());
-            case HostEvent.DrainAsked e -> drain(moment);
-            case HostEvent.DrainOver e -> {}
+            case HostEvent.DrainRequested e -> drain(moment);
+            case HostEvent.DrainTimedOut e -> {}
             case HostEvent.Tick e -> tick(moment);
             case HostEvent.RequestArrived e -> {}
             case HostEvent.CallerGone e -> {}
-            case HostEvent.CallerTook e -> {}
-            case HostEvent.FateAsked e -> {}
+            case HostEvent.CallerConsumed e -> {}
+            case HostEvent.StatusRequested e -> {}
             case HostEvent.RequestReceived e -> {}
             case HostEvent.CallEnded e -> {}
             case HostEvent.StoreAnswered e -> {}
@@ -96,11 +96,11 @@
 
     /** Returns whether nothing waits or runs here for any accepting host. */
     public boolean isIdle() {
-        return servers.values().stream().allMatch(HomeServer::isIdle);
+        return servers.values().stream().allMatch(OwnedServer::isIdle);
     }
 
     /**
-     * Returns the loads of the servers that this host is home of.
+     * Returns the loads of the servers that this host is owner of.
      *
      * @param nowNanos the time on the host's monotonic clock
      */
@@ -111,13 +111,13 @@
     }
 
     /**
-     * Returns the load of each model in this host's failure domain, as its homes told it lately;
+     * Returns the load of each model in this host's failure domain, as its owners told it lately;
      * empty while the host does not know its own failure domain.
      *
      * @param nowNanos the time on the host's monotonic clock
      */
     public List<ModelLoad> modelLoads(long nowNanos) {
-        EntryHost own = world.hosts().get(self);
+        EntryHost own = fleet.hosts().get(self);
         return own == null ? List.of() : board.sums(moment(nowNanos), own.domain());
     }
 
@@ -127,10 +127,10 @@
             long sinceMillis = (nowNanos - wallAtNanos) / Moment.NANOS_PER_MILLI;
             wall = OptionalLong.of(wallEpochMillis + sinceMillis);
         }
-        return new Moment(nowNanos, wall, world);
+        return new Moment(nowNanos, wall, fleet);
     }
 
-    private Optional<HomeServer> at(ServerId server) {
+    private Optional<OwnedServer> at(ServerId server) {
         return Optional.ofNullable(servers.get(server));
     }
 
@@ -157,13 +157,13 @@
             outbox.ended(from, run, outbox.endOf(run).get());
             return;
         }
-        HomeServer server = servers.get(message.server());
+        OwnedServer server = servers.get(message.server());
         if (server != null) {
             server.offered(moment, from, run, message.offer());
             return;
         }
         RefusalReason reason =
-                world.servers().containsKey(message.server())
+                fleet.servers().containsKey(message.server())
                         ? RefusalReason.NOT_HOME
                         : RefusalReason.NO_SERVER;
         outbox.refused(
@@ -187,7 +187,7 @@
             outbox.ended(from, message.run(), UNKNOWN);
             return;
         }
-        HomeServer server = servers.get(message.server());
+        OwnedServer server = servers.get(message.server());
         if (server == null) {
             outbox.ended(from, message.run(), new RunEnd.NeverStarted());
             return;
@@ -196,7 +196,7 @@
     }
 
     private void credit(Moment moment, RoutingMessage.Credit message) {
-        for (HomeServer server : servers.values()) {
+        for (OwnedServer server : servers.values()) {
             if (server.credit(moment, message.run(), message.tokens())) {
                 return;
             }
@@ -205,7 +205,7 @@
 
     private void cancelled(Moment moment, HostId from, RunId run) {
         boolean found = false;
-        for (HomeServer server : servers.values()) {
+        for (OwnedServer server : servers.values()) {
             found |= server.cancelled(moment, run);
         }
         if (found) {
@@ -216,18 +216,18 @@
         outbox.ended(from, run, end);
     }
 
-    private void worldChanged(long nowNanos, World now) {
-        world = now;
-        homes = homes.in(now);
+    private void fleetChanged(long nowNanos, FleetSnapshot now) {
+        fleet = now;
+        owners = owners.in(now);
         Moment moment = moment(nowNanos);
-        for (HomeServer server : List.copyOf(servers.values())) {
+        for (OwnedServer server : List.copyOf(servers.values())) {
             settle(moment, server);
         }
         for (BackendServer server : now.servers().values()) {
-            if (isHome(server.id()) && !server.leaving() && !servers.containsKey(server.id())) {
-                HomeServer home = new HomeServer(limits, book, outbox, server);
-                servers.put(server.id(), home);
-                settle(moment, home);
+            if (isOwner(server.id()) && !server.leaving() && !servers.containsKey(server.id())) {
+                OwnedServer owned = new OwnedServer(limits, book, outbox, server);
+                servers.put(server.id(), owned);
+                settle(moment, owned);
             }
         }
         servers.values()
@@ -235,32 +235,32 @@
         servers.values().removeIf(s -> !s.isOpen() && s.isEmpty());
     }
 
-    /** Opens or closes a server as the world now has it. */
-    private void settle(Moment moment, HomeServer home) {
-        BackendServer server = world.servers().get(home.id());
+    /** Opens or closes a server as the fleet snapshot now has it. */
+    private void settle(Moment moment, OwnedServer owned) {
+        BackendServer server = fleet.servers().get(owned.id());
         if (server != null) {
-            home.change(server);
+            owned.change(server);
         }
         if (server == null || server.leaving()) {
-            home.close(moment, RefusalReason.NO_SERVER);
-        } else if (!isHome(home.id())) {
-            home.close(moment, RefusalReason.NOT_HOME);
+            owned.close(moment, RefusalReason.NO_SERVER);
+        } else if (!isOwner(owned.id())) {
+            owned.close(moment, RefusalReason.NOT_HOME);
         } else if (draining) {
-            home.close(moment, RefusalReason.DRAINING);
+            owned.close(moment, RefusalReason.DRAINING);
         } else {
-            home.open();
+            owned.open();
         }
     }
 
-    private boolean isHome(ServerId server) {
-        return homes.home(server).filter(self::equals).isPresent();
+    private boolean isOwner(ServerId server) {
+        return owners.owner(server).filter(self::equals).isPresent();
     }
 
     private boolean isGone(HostId host, RunId run) {
         if (host.equals(self)) {
             return false;
         }
-        EntryHost known = world.hosts().get(host);
+        EntryHost known = fleet.hosts().get(host);
         return known == null
                 || known.state() == EntryHost.State.DEAD
                 || known.incarnation() > run.request().incarnation();
@@ -269,7 +269,7 @@
     private void drain(Moment moment) {
         draining = true;
         servers.values().stream()
-                .filter(HomeServer::isOpen)
+                .filter(OwnedServer::isOpen)
                 .forEach(server -> server.close(moment, RefusalReason.DRAINING));
     }
 
@@ -285,7 +285,7 @@
         board.tick(moment, openServers(), outbox);
     }
 
-    private List<HomeServer> openServers() {
-        return new ArrayList<>(servers.values().stream().filter(HomeServer::isOpen).toList());
+    private List<OwnedServer> openServers() {
+        return new ArrayList<>(servers.values().stream().filter(OwnedServer::isOpen).toList());
     }
 }
--- a/src/main/java/org/orioleshed/routing/Preemption.java
+++ b/src/main/java/org/orioleshed/routing/Preemption.java
@@ -81,7 +81,8 @@
     }
 
     private boolean presses(Waiting waiting, Moment moment) {
-        // Homes that hold the same offer wait for different times, so that not all of them preempt.
+        // Owners that hold the same offer wait for different times, so that not all of them
+        // preempt.
         long spread = Spread.mix(salt ^ waiting.run().hashCode());
         long delayMillis = SHORTEST_DELAY_MILLIS + Math.floorMod(spread, DELAY_SPREAD_MILLIS);
         return queue.size(0) >= places.inFlight()
--- a/src/main/java/org/orioleshed/routing/PrefixIndex.java
+++ b/src/main/java/org/orioleshed/routing/PrefixIndex.java
@@ -7,7 +7,7 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 
 /**
- * The home's picture of one backend server's prefix cache: what was sent there, the least recently
+ * The owner's picture of one backend server's prefix cache: what was sent there, the least recently
  * used forgotten first at the cache's own size, corrected by the engine's reports.
  */
 final class PrefixIndex {
--- a/src/main/java/org/orioleshed/routing/RoutingMessage.java
+++ b/src/main/java/org/orioleshed/routing/RoutingMessage.java
@@ -12,22 +12,22 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * What the accepting host of a model request and the home of a backend server say to each other.
+ * What the accepting host of a model request and the owner of a backend server say to each other.
  * Each message names the run, that is the request and the attempt, so lost, repeated and reordered
  * ones are harmless. Durations travel as time remaining, since clocks of hosts are not in step.
  */
 public sealed interface RoutingMessage {
     /**
-     * Accepting host to home: will you run this on {@code server}?
+     * Accepting host to owner: will you run this on {@code server}?
      *
      * @param run the run offered
      * @param server the backend server asked for
-     * @param offer what the home needs to know of the request
+     * @param offer what the owner needs to know of the request
      */
     record Offered(RunId run, ServerId server, Offer offer) implements RoutingMessage {}
 
     /**
-     * Home to accepting host: a place is reserved for a short time.
+     * Owner to accepting host: a place is reserved for a short time.
      *
      * @param run the run
      * @param server the server with the place
@@ -36,7 +36,7 @@
     record Granted(RunId run, ServerId server, long reservedMillis) implements RoutingMessage {}
 
     /**
-     * Home to accepting host: the offer is turned down and no longer held.
+     * Owner to accepting host: the offer is turned down and no longer held.
      *
      * @param run the run
      * @param server the server asked for
@@ -53,7 +53,7 @@
             implements RoutingMessage {}
 
     /**
-     * Accepting host to home: the offer, or the place reserved for it, is not needed.
+     * Accepting host to owner: the offer, or the place reserved for it, is not needed.
      *
      * @param run the run
      * @param server the server asked for
@@ -61,19 +61,19 @@
     record Withdrawn(RunId run, ServerId server) implements RoutingMessage {}
 
     /**
-     * Accepting host to home, on a grant: here is the body, run it.
+     * Accepting host to owner, on a grant: here is the body, run it.
      *
      * @param run the run
      * @param server the server that was granted
      * @param body the body for the engine
      * @param resumeFromToken how many tokens the caller has from earlier attempts
-     * @param creditTokens how many tokens the home may send before it hears of more credit
+     * @param creditTokens how many tokens the owner may send before it hears of more credit
      */
     record Placed(RunId run, ServerId server, Payload body, int resumeFromToken, int creditTokens)
             implements RoutingMessage {}
 
     /**
-     * Home to accepting host: a piece of the answer.
+     * Owner to accepting host: a piece of the answer.
      *
      * @param run the run
      * @param firstToken the offset of the piece's first token in the whole answer
@@ -83,7 +83,7 @@
     record Tokens(RunId run, int firstToken, int count, Payload text) implements RoutingMessage {}
 
     /**
-     * Accepting host to home: the caller took tokens, send more.
+     * Accepting host to owner: the caller took tokens, send more.
      *
      * @param run the run
      * @param tokens the further tokens that may be sent
@@ -91,15 +91,15 @@
     record Credit(RunId run, int tokens) implements RoutingMessage {}
 
     /**
-     * Accepting host to home: stop the run.
+     * Accepting host to owner: stop the run.
      *
      * @param run the run
      */
     record Cancelled(RunId run) implements RoutingMessage {}
 
     /**
-     * Home to accepting host: the run is over, and it is known that the engine no longer works on
-     * it unless {@code end} says otherwise. Also the answer to a placement that the home could not
+     * Owner to accepting host: the run is over, and it is known that the engine no longer works on
+     * it unless {@code end} says otherwise. Also the answer to a placement that the owner could not
      * honour.
      *
      * @param run the run
@@ -108,7 +108,7 @@
     record Ended(RunId run, RunEnd end) implements RoutingMessage {}
 
     /**
-     * Home to hosts of its own failure domain, at intervals: the load of its servers.
+     * Owner to hosts of its own failure domain, at intervals: the load of its servers.
      *
      * @param loads one entry for each server
      */
@@ -133,7 +133,7 @@
     }
 
     /**
-     * What a home needs to know of a request before it has the body.
+     * What an owner needs to know of a request before it has the body.
      *
      * @param workspace the workspace
      * @param route the route asked for
@@ -142,7 +142,7 @@
      * @param ageMillis the time since the request first arrived, in milliseconds; keeps its order
      *     over resends
      * @param promptTokens the estimated length of the prompt, in tokens
-     * @param outputTokens the most tokens that the answer may still have; the home estimates the
+     * @param outputTokens the most tokens that the answer may still have; the owner estimates the
      *     length from the route's history
      * @param prefixHashes as in {@link org.orioleshed.model.Work.Generate}
      * @param preemptions how often the request was preempted before
@@ -165,11 +165,11 @@
         }
     }
 
-    /** Why a home turned an offer down. */
+    /** Why an owner turned an offer down. */
     enum RefusalReason {
         /** The queue is full, or the deadline can't be met. */
         OVERLOAD,
-        /** This host is not the server's home. */
+        /** This host is not the server's owner. */
         NOT_HOME,
         /** The server is leaving, unknown or unreachable. */
         NO_SERVER,
@@ -180,11 +180,11 @@
     }
 
     /**
-     * The load of one backend server as its home sees it.
+     * The load of one backend server as its owner sees it.
      *
      * @param server the server
      * @param running requests that run
-     * @param limit requests that the home lets run at once at present
+     * @param limit requests that the owner lets run at once at present
      * @param waitMillisByRank the expected wait of a request of each tier rank, in milliseconds,
      *     rank zero first
      * @param prefillTokensPerSecond the observed prefill speed
--- a/src/main/java/org/orioleshed/routing/RunEnd.java
+++ b/src/main/java/org/orioleshed/routing/RunEnd.java
@@ -17,7 +17,7 @@
     record Cancelled(int prefillTokensWasted) implements RunEnd {}
 
     /**
-     * The home cancelled the run in favour of a more urgent one, and the engine confirmed it.
+     * The owner cancelled the run in favour of a more urgent one, and the engine confirmed it.
      *
      * @param deliveredTokens tokens sent so far; the next attempt resumes there
      */
--- a/src/main/java/org/orioleshed/routing/ServerChooser.java
+++ b/src/main/java/org/orioleshed/routing/ServerChooser.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.Set;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Request;
 import org.orioleshed.model.RouteId;
@@ -117,7 +117,7 @@
      * its cache is among them when more than one is asked for. Empty when no server of the route
      * takes work.
      *
-     * @param world the fleet as this host knows it
+     * @param fleet the fleet as this host knows it
      * @param request the request
      * @param version the version to run, or empty when any will do
      * @param excluded servers that must not be returned
@@ -125,7 +125,7 @@
      * @param nowNanos the time on the host's monotonic clock
      */
     public List<Candidate> choose(
-            World world,
+            FleetSnapshot fleet,
             Request request,
             Optional<VersionId> version,
             Set<ServerId> excluded,
@@ -134,8 +134,8 @@
         if (count <= 0) {
             throw new IllegalArgumentException("count must be positive: " + count);
         }
-        index = index.in(self, world);
-        Route route = world.routes().get(request.route());
+        index = index.in(self, fleet);
+        Route route = fleet.routes().get(request.route());
         if (route == null) {
             return List.of();
         }
@@ -143,7 +143,7 @@
         if (limits.policy() == Policy.NAIVE) {
             return inTurn(pool, excluded, count);
         }
-        Question question = question(world, request, nowNanos);
+        Question question = question(fleet, request, nowNanos);
         List<Candidate> scored = new ArrayList<>();
         boolean all = count >= SAMPLE_SERVERS;
         score(question, sample(pool.near(), question.salt(), all), excluded, scored);
@@ -157,7 +157,7 @@
         return best(scored, question, count);
     }
 
-    private Question question(World world, Request request, long nowNanos) {
+    private Question question(FleetSnapshot fleet, Request request, long nowNanos) {
         Map<ServerId, Integer> cached =
                 request.work() instanceof Work.Generate generate
                         ? prefixes.cachedTokens(generate.prefixHashes())
@@ -165,7 +165,7 @@
         int promptTokens =
                 request.work() instanceof Work.Generate generate ? generate.promptTokens() : 0;
         return new Question(
-                world,
+                fleet,
                 request.tier().rank(),
                 promptTokens,
                 expectedTokens(request),
@@ -196,18 +196,18 @@
         if (question.rank() == 0 && gap > limits.tokenGapMillis()) {
             score += SLOW_STREAM_MILLIS;
         }
-        EntryHost home = question.world().hosts().get(known.home());
-        if (home == null || home.state() == EntryHost.State.SUSPECT) {
+        EntryHost owner = question.fleet().hosts().get(known.owner());
+        if (owner == null || owner.state() == EntryHost.State.SUSPECT) {
             score += SUSPECT_MILLIS;
         }
         if (known.avoided(question.nowNanos())) {
             score += SUSPECT_MILLIS;
         }
-        EntryHost own = question.world().hosts().get(self);
+        EntryHost own = question.fleet().hosts().get(self);
         if (own != null && !own.domain().equals(known.server().domain())) {
             score += FAR_MILLIS;
         }
-        return new Candidate(id, known.home(), score, wait, uncached);
+        return new Candidate(id, known.owner(), score, wait, uncached);
     }
 
     private static Comparator<Candidate> order(Question question) {
@@ -244,7 +244,7 @@
         int first = servers.isEmpty() ? 0 : (int) (turn++ % servers.size());
         for (int i = 0; i < Math.min(count, servers.size()); i++) {
             KnownServer known = servers.get((first + i) % servers.size());
-            candidates.add(new Candidate(known.server().id(), known.home(), 0, 0, 0));
+            candidates.add(new Candidate(known.server().id(), known.owner(), 0, 0, 0));
         }
         return candidates;
     }
@@ -306,7 +306,7 @@
 
     /** One request, seen through what its score depends on. */
     private record Question(
-            World world,
+            FleetSnapshot fleet,
             int rank,
             int promptTokens,
             int outputTokens,
--- a/src/main/java/org/orioleshed/routing/ServerIndex.java
+++ b/src/main/java/org/orioleshed/routing/ServerIndex.java
@@ -8,45 +8,48 @@
 import java.util.Optional;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** The backend servers of a world, laid out for choosing: by target, version and distance. */
+/**
+ * The backend servers of a fleet snapshot, laid out for choosing: by target, version and distance.
+ */
 final class ServerIndex {
-    static final ServerIndex EMPTY = new ServerIndex(Homes.NONE, Map.of(), Map.of());
+    static final ServerIndex EMPTY = new ServerIndex(ServerOwners.NONE, Map.of(), Map.of());
 
-    private final Homes homes;
+    private final ServerOwners owners;
     private final Map<ServerId, KnownServer> byId;
     private final Map<PoolKey, Pool> pools;
 
-    private ServerIndex(Homes homes, Map<ServerId, KnownServer> byId, Map<PoolKey, Pool> pools) {
-        this.homes = homes;
+    private ServerIndex(
+            ServerOwners owners, Map<ServerId, KnownServer> byId, Map<PoolKey, Pool> pools) {
+        this.owners = owners;
         this.byId = byId;
         this.pools = pools;
     }
 
-    /** Returns the index of {@code world}; this one when neither hosts nor servers changed. */
-    ServerIndex in(HostId self, World world) {
-        Homes now = homes.in(world);
-        if (now == homes) {
+    /** Returns the index of {@code fleet}; this one when neither hosts nor servers changed. */
+    ServerIndex in(HostId self, FleetSnapshot fleet) {
+        ServerOwners now = owners.in(fleet);
+        if (now == owners) {
             return this;
         }
-        EntryHost own = world.hosts().get(self);
+        EntryHost own = fleet.hosts().get(self);
         Optional<FailureDomain> domain = Optional.ofNullable(own).map(EntryHost::domain);
         Map<ServerId, KnownServer> known = new HashMap<>();
         Map<PoolKey, Pool> newPools = new HashMap<>();
-        List<BackendServer> servers = new ArrayList<>(world.servers().values());
+        List<BackendServer> servers = new ArrayList<>(fleet.servers().values());
         servers.sort(Comparator.comparing(BackendServer::id));
         for (BackendServer server : servers) {
-            HostId home = now.homeOrNull(server.id());
-            if (server.leaving() || home == null) {
+            HostId owner = now.ownerOrNull(server.id());
+            if (server.leaving() || owner == null) {
                 continue;
             }
-            KnownServer entry = new KnownServer(server, home);
+            KnownServer entry = new KnownServer(server, owner);
             KnownServer earlier = byId.get(server.id());
             if (earlier != null) {
                 entry.inherit(earlier);
--- a/src/main/java/org/orioleshed/routing/package-info.java
+++ b/src/main/java/org/orioleshed/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a backend server's home: who waits, who runs, who yields. All are state machines
- * without I/O, clock or threads.
+ * The decisions of a backend server's owner: who waits, who runs, who yields. All are state
+ * machines without I/O, clock or threads.
  */
 package org.orioleshed.routing;
--- a/src/main/java/org/orioleshed/settings/Limits.java
+++ b/src/main/java/org/orioleshed/settings/Limits.java
@@ -5,10 +5,11 @@
 /**
  * Limits of the whole fleet.
  *
- * @param moveSpreadMillis how long before a move's time its outcome must be recorded
- * @param moveShares the new version's share of requests at each step of a move, growing, each from
- *     0 to 1
- * @param moveSoakFraction the part of a move's time that must pass before it completes, from 0 to 1
+ * @param moveSpreadMillis how long before a rollout's time its outcome must be recorded
+ * @param moveShares the new version's share of requests at each step of a rollout, growing, each
+ *     from 0 to 1
+ * @param moveSoakFraction the part of a rollout's time that must pass before it completes, from 0
+ *     to 1
  * @param versionLoadsAtOnce backend servers that may load a version at once
  */
 public record Limits(
--- a/src/main/java/org/orioleshed/settings/Proposal.java
+++ b/src/main/java/org/orioleshed/settings/Proposal.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.store.Store;
 
 /**
@@ -12,7 +12,7 @@
  * is settled by reading back the change's id. The same swap may be repeated safely, since it names
  * the revision that it replaces.
  */
-public final class Proposal implements Machine<ProposalEvent, ProposalAction> {
+public final class Proposal implements StateMachine<ProposalEvent, ProposalAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long RETRY_NANOS = 100 * NANOS_PER_MILLI;
 
@@ -148,7 +148,7 @@
         }
         number = wanted.number();
         step = Step.WAIT_SWAP;
-        return List.of(new ProposalAction.SwapStore(storeRevision, value));
+        return List.of(new ProposalAction.CompareAndSwap(storeRevision, value));
     }
 
     /** Another write came between; it may have been this very change, whose answer was lost. */
--- a/src/main/java/org/orioleshed/settings/ProposalAction.java
+++ b/src/main/java/org/orioleshed/settings/ProposalAction.java
@@ -8,7 +8,7 @@
     record ReadStore() implements ProposalAction {}
 
     /** Replace the settings' key if it is still at {@code expectedRevision}. */
-    record SwapStore(long expectedRevision, Payload value) implements ProposalAction {}
+    record CompareAndSwap(long expectedRevision, Payload value) implements ProposalAction {}
 
     /** The proposal is settled; the last action. */
     record Settled(ProposalResult result) implements ProposalAction {}
--- a/src/main/java/org/orioleshed/settings/SettingsSpread.java
+++ b/src/main/java/org/orioleshed/settings/SettingsSpread.java
@@ -9,14 +9,14 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.StateMachine;
 
 /**
  * Brings the latest accepted settings into force at one host, from the store or from peers, and
  * never goes back: not to a lower revision, nor to one with another past.
  */
-public final class SettingsSpread implements Machine<SettingsEvent, SettingsAction> {
+public final class SettingsSpread implements StateMachine<SettingsEvent, SettingsAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long ADVERT_NANOS = 500 * NANOS_PER_MILLI;
     private static final long PUSH_NANOS = 100 * NANOS_PER_MILLI;
--- a/src/main/java/org/orioleshed/settings/SettingsTree.java
+++ b/src/main/java/org/orioleshed/settings/SettingsTree.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.VersionSplit;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
@@ -71,15 +71,15 @@
     }
 
     /**
-     * Returns the world that these settings make together with what else a host knows.
+     * Returns the fleet snapshot that these settings make together with what else a host knows.
      *
      * @param revision the revision of these settings
      * @param hosts the membership view
      * @param leavingMarks for servers that the platform speaks of, whether they are leaving
-     * @param splits the division of traffic for routes with a move under way
+     * @param splits the traffic split for routes with a rollout under way
      * @param movedVersions versions that finished moves brought, which go before the settings' own
      */
-    public World world(
+    public FleetSnapshot fleet(
             long revision,
             Map<HostId, EntryHost> hosts,
             Map<ServerId, Boolean> leavingMarks,
@@ -96,6 +96,6 @@
         }
         Map<RouteId, VersionId> versions = new HashMap<>(currentVersions);
         versions.putAll(movedVersions);
-        return new World(revision, hosts, marked, routes, workspaces, splits, versions);
+        return new FleetSnapshot(revision, hosts, marked, routes, workspaces, splits, versions);
     }
 }
--- a/src/main/java/org/orioleshed/standin/EngineServer.java
+++ b/src/main/java/org/orioleshed/standin/EngineServer.java
@@ -59,13 +59,13 @@
         String path = exchange.getRequestURI().getPath();
         switch (path) {
             case "/v1/chat/completions" -> generate(exchange);
-            case "/v1/load" -> JsonDoor.reply(exchange, 200, load());
+            case "/v1/load" -> JsonHandler.reply(exchange, 200, load());
             case "/v1/cache/events" -> cacheEvents(exchange);
             case "/v1/orders" -> order(exchange);
-            case "/v1/state" -> JsonDoor.reply(exchange, 200, state());
+            case "/v1/state" -> JsonHandler.reply(exchange, 200, state());
             case "/standin/faults" -> setFaults(exchange);
-            case "/standin/counts" -> JsonDoor.reply(exchange, 200, counts());
-            case "/standin/runs" -> JsonDoor.reply(exchange, 200, runs());
+            case "/standin/counts" -> JsonHandler.reply(exchange, 200, counts());
+            case "/standin/runs" -> JsonHandler.reply(exchange, 200, runs());
             default -> handleRun(exchange, path);
         }
     }
@@ -76,14 +76,14 @@
             cancel(exchange, parts[3]);
             return;
         }
-        JsonDoor.error(exchange, 404, "not_found", path);
+        JsonHandler.error(exchange, 404, "not_found", path);
     }
 
     private void generate(HttpExchange exchange) throws IOException, InterruptedException {
-        JsonNode body = JsonDoor.read(exchange);
+        JsonNode body = JsonHandler.read(exchange);
         String runId = exchange.getRequestHeaders().getFirst("X-Run-Id");
         if (runId == null || !body.path("messages").isArray()) {
-            JsonDoor.error(exchange, 400, "bad_request", "X-Run-Id and messages are needed");
+            JsonHandler.error(exchange, 400, "bad_request", "X-Run-Id and messages are needed");
             return;
         }
         String resume = exchange.getRequestHeaders().getFirst("X-Resume-From");
@@ -99,8 +99,9 @@
                 wake();
                 stream(exchange, run);
             }
-            case DUPLICATE -> JsonDoor.error(exchange, 409, "duplicate_run", runId);
-            case FAILED -> JsonDoor.error(exchange, 500, "engine_failed", "the version is faulty");
+            case DUPLICATE -> JsonHandler.error(exchange, 409, "duplicate_run", runId);
+            case FAILED ->
+                    JsonHandler.error(exchange, 500, "engine_failed", "the version is faulty");
             case CRASHED -> crash(run);
         }
     }
@@ -185,7 +186,7 @@
             state = run == null ? "unknown" : finished ? "finished" : "cancelled";
             prefilled = run == null ? 0 : run.prefillDone;
         }
-        JsonDoor.reply(exchange, 200, Map.of("state", state, "prefillTokens", prefilled));
+        JsonHandler.reply(exchange, 200, Map.of("state", state, "prefillTokens", prefilled));
     }
 
     private synchronized void wake() {
@@ -244,11 +245,11 @@
         synchronized (this) {
             page = model.cacheEvents().after(after);
         }
-        JsonDoor.reply(exchange, 200, page);
+        JsonHandler.reply(exchange, 200, page);
     }
 
     private void order(HttpExchange exchange) throws IOException {
-        JsonNode body = JsonDoor.read(exchange);
+        JsonNode body = JsonHandler.read(exchange);
         long number = body.path("fence").asLong();
         boolean old;
         synchronized (this) {
@@ -259,10 +260,10 @@
             }
         }
         if (old) {
-            JsonDoor.error(exchange, 409, "old_fence", "a newer fencing number is known");
+            JsonHandler.error(exchange, 409, "old_fence", "a newer fencing number is known");
             return;
         }
-        JsonDoor.reply(exchange, 200, state());
+        JsonHandler.reply(exchange, 200, state());
     }
 
     private void obey(JsonNode body) {
@@ -282,11 +283,11 @@
     }
 
     private void setFaults(HttpExchange exchange) throws IOException {
-        EngineFaults faults = JsonDoor.read(exchange, EngineFaults.class);
+        EngineFaults faults = JsonHandler.read(exchange, EngineFaults.class);
         synchronized (this) {
             model.setFaults(faults);
         }
-        JsonDoor.reply(exchange, 200, faults);
+        JsonHandler.reply(exchange, 200, faults);
     }
 
     private synchronized Map<String, Object> counts() {
--- a/src/main/java/org/orioleshed/standin/JsonDoor.java
+++ b/src/main/java/org/orioleshed/standin/JsonHandler.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A loopback HTTP server that speaks JSON, each exchange on a virtual thread of its own. */
-final class JsonDoor implements AutoCloseable {
+final class JsonHandler implements AutoCloseable {
     static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
@@ -32,7 +32,7 @@
     private final Handler handler;
     private HttpServer server;
 
-    JsonDoor(int port, Handler handler) {
+    JsonHandler(int port, Handler handler) {
         this.port = port;
         this.handler = handler;
     }
--- a/src/main/java/org/orioleshed/standin/ServiceServer.java
+++ b/src/main/java/org/orioleshed/standin/ServiceServer.java
@@ -43,11 +43,12 @@
         String path = exchange.getRequestURI().getPath();
         switch (path) {
             case "/standin/faults" -> {
-                faults = JsonDoor.read(exchange, Faults.class);
-                JsonDoor.reply(exchange, 200, faults);
+                faults = JsonHandler.read(exchange, Faults.class);
+                JsonHandler.reply(exchange, 200, faults);
             }
-            case "/standin/runs" -> JsonDoor.reply(exchange, 200, runs());
-            case "/standin/counts" -> JsonDoor.reply(exchange, 200, Map.of("runs", runs().size()));
+            case "/standin/runs" -> JsonHandler.reply(exchange, 200, runs());
+            case "/standin/counts" ->
+                    JsonHandler.reply(exchange, 200, Map.of("runs", runs().size()));
             default -> call(exchange, path);
         }
     }
@@ -57,11 +58,11 @@
     }
 
     private void call(HttpExchange exchange, String path) throws IOException, InterruptedException {
-        JsonNode body = JsonDoor.read(exchange);
+        JsonNode body = JsonHandler.read(exchange);
         String key = exchange.getRequestHeaders().getFirst("X-Request-Key");
         String run = exchange.getRequestHeaders().getFirst("X-Run-Id");
         if (!path.startsWith("/v1/calls/") || key == null || run == null) {
-            JsonDoor.error(exchange, 400, "bad_request", "path, X-Request-Key or X-Run-Id");
+            JsonHandler.error(exchange, 400, "bad_request", "path, X-Request-Key or X-Run-Id");
             return;
         }
         int count = count(body.path("tag").asText(key), run);
@@ -71,14 +72,14 @@
             TimeUnit.SECONDS.sleep(SILENT_SECONDS);
         }
         if (draw() < now.failProbability()) {
-            JsonDoor.error(exchange, 500, "service_failed", "the service is faulty");
+            JsonHandler.error(exchange, 500, "service_failed", "the service is faulty");
             return;
         }
         Map<String, Object> answer = new LinkedHashMap<>();
         answer.put("key", key);
         answer.put("tag", body.path("tag").asText(""));
         answer.put("runs", count);
-        JsonDoor.reply(exchange, 200, answer);
+        JsonHandler.reply(exchange, 200, answer);
     }
 
     private synchronized double draw() {
--- a/src/main/java/org/orioleshed/standin/StandinMain.java
+++ b/src/main/java/org/orioleshed/standin/StandinMain.java
@@ -184,7 +184,7 @@
         @Override
         public void run() {
             try {
-                runForever(JsonDoor.JSON.readValue(new File(spec), FleetSpec.class));
+                runForever(JsonHandler.JSON.readValue(new File(spec), FleetSpec.class));
             } catch (IOException e) {
                 throw new IllegalArgumentException(spec + " cannot be read: " + e.getMessage(), e);
             }
--- a/src/main/java/org/orioleshed/standin/StandinServer.java
+++ b/src/main/java/org/orioleshed/standin/StandinServer.java
@@ -5,7 +5,7 @@
 
 /** A stand-in that answers JSON over HTTP on a loopback port, from {@link #open} on. */
 abstract class StandinServer implements AutoCloseable {
-    private final JsonDoor door;
+    private final JsonHandler handler;
 
     /**
      * Makes a server that does not listen yet.
@@ -13,27 +13,27 @@
      * @param port the loopback port; zero for any that is free
      */
     StandinServer(int port) {
-        this.door = new JsonDoor(port, this::handle);
+        this.handler = new JsonHandler(port, this::handle);
     }
 
     /** Answers one exchange; called on a thread of its own. */
     abstract void handle(HttpExchange exchange) throws IOException, InterruptedException;
 
     void open() {
-        door.open();
+        handler.open();
     }
 
     /** Closes the port and all connections, and opens the port again after a while. */
     final void crash(long downMillis) {
-        door.crash(downMillis);
+        handler.crash(downMillis);
     }
 
     @Override
     public final void close() {
-        door.close();
+        handler.close();
     }
 
     final int port() {
-        return door.port();
+        return handler.port();
     }
 }
--- a/src/main/java/org/orioleshed/standin/StoreServer.java
+++ b/src/main/java/org/orioleshed/standin/StoreServer.java
@@ -65,31 +65,31 @@
         if (now.down()) {
             return;
         }
-        JsonNode body = JsonDoor.read(exchange);
+        JsonNode body = JsonHandler.read(exchange);
         if (path.equals("/v3/watch")) {
             watch(exchange, body.path("create_request"));
             return;
         }
         boolean write = !path.equals("/v3/kv/range");
         if (!take(write)) {
-            ObjectNode refusal = JsonDoor.JSON.createObjectNode();
+            ObjectNode refusal = JsonHandler.JSON.createObjectNode();
             refusal.put("code", 8).put("message", "etcdserver: too many requests");
-            JsonDoor.reply(exchange, 429, refusal);
+            JsonHandler.reply(exchange, 429, refusal);
             return;
         }
         ObjectNode answer = answer(path, body);
         if (answer == null) {
-            JsonDoor.error(exchange, 404, "not_found", path);
+            JsonHandler.error(exchange, 404, "not_found", path);
         } else if (!write || !lost(now)) {
-            JsonDoor.reply(exchange, 200, answer);
+            JsonHandler.reply(exchange, 200, answer);
         }
     }
 
     private void control(HttpExchange exchange, String path) throws IOException {
         if (path.equals("/standin/faults")) {
-            faults = JsonDoor.read(exchange, Faults.class);
+            faults = JsonHandler.read(exchange, Faults.class);
         }
-        JsonDoor.reply(exchange, 200, counts());
+        JsonHandler.reply(exchange, 200, counts());
     }
 
     private synchronized Map<String, Object> counts() {
@@ -180,7 +180,7 @@
         if (writing) {
             model.beginWrite();
         }
-        ArrayNode responses = JsonDoor.JSON.createArrayNode();
+        ArrayNode responses = JsonHandler.JSON.createArrayNode();
         operations.forEach(operation -> responses.add(operate(operation)));
         ObjectNode answer = withHeader().put("succeeded", holds);
         answer.set("responses", responses);
@@ -212,7 +212,7 @@
     private ObjectNode operate(JsonNode operation) {
         JsonNode put = field(operation, "request_put", "requestPut");
         JsonNode delete = field(operation, "request_delete_range", "requestDeleteRange");
-        ObjectNode response = JsonDoor.JSON.createObjectNode();
+        ObjectNode response = JsonHandler.JSON.createObjectNode();
         if (put.isObject()) {
             response.set("response_put", put(put));
         } else if (delete.isObject()) {
@@ -237,7 +237,7 @@
         if (ttlMillis > 0) {
             result.put("TTL", String.valueOf(TimeUnit.MILLISECONDS.toSeconds(ttlMillis)));
         }
-        ObjectNode answer = JsonDoor.JSON.createObjectNode();
+        ObjectNode answer = JsonHandler.JSON.createObjectNode();
         answer.set("result", result);
         return answer;
     }
@@ -252,7 +252,7 @@
         String key = key(request);
         String end = end(request).isEmpty() ? key + '\0' : end(request);
         long next = field(request, "start_revision", "startRevision").asLong();
-        ObjectNode first = JsonDoor.JSON.createObjectNode();
+        ObjectNode first = JsonHandler.JSON.createObjectNode();
         synchronized (this) {
             watchCalls++;
             next = next > 0 ? next : model.revision() + 1;
@@ -292,12 +292,12 @@
             if (change.item().isEmpty()) {
                 event.put("type", "DELETE");
             }
-            ObjectNode kv = JsonDoor.JSON.createObjectNode();
+            ObjectNode kv = JsonHandler.JSON.createObjectNode();
             kv.put("key", encode(change.key()));
             kv.put("mod_revision", String.valueOf(change.revision()));
             event.set("kv", change.item().map(StoreServer::json).orElse(kv));
         }
-        ObjectNode line = JsonDoor.JSON.createObjectNode();
+        ObjectNode line = JsonHandler.JSON.createObjectNode();
         line.set("result", result);
         return line;
     }
@@ -308,13 +308,13 @@
     }
 
     private ObjectNode withHeader() {
-        ObjectNode answer = JsonDoor.JSON.createObjectNode();
+        ObjectNode answer = JsonHandler.JSON.createObjectNode();
         answer.putObject("header").put("revision", String.valueOf(model.revision()));
         return answer;
     }
 
     private static ObjectNode json(Item item) {
-        return JsonDoor.JSON
+        return JsonHandler.JSON
                 .createObjectNode()
                 .put("key", encode(item.key()))
                 .put("create_revision", String.valueOf(item.createRevision()))
--- a/src/test/java/org/orioleshed/OrioleshedTest.java
+++ b/src/test/java/org/orioleshed/OrioleshedTest.java
@@ -11,16 +11,15 @@
 import java.util.Optional;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.Machine;
 import org.orioleshed.model.ModelId;
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.Payload;
@@ -29,6 +28,7 @@
 import org.orioleshed.model.RequestKey;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
+import org.orioleshed.model.StateMachine;
 import org.orioleshed.model.Tier;
 import org.orioleshed.model.VersionId;
 import org.orioleshed.model.Work;
@@ -53,9 +53,9 @@
     }
 
     @Test(dataProvider = "hosts")
-    public void servesARequestWithoutAnySocket(Machine<HostEvent, HostAction> host) {
+    public void servesARequestWithoutAnySocket(StateMachine<HostEvent, HostAction> host) {
         Request request = request();
-        host.on(NOW_NANOS, new HostEvent.WorldChanged(world()));
+        host.on(NOW_NANOS, new HostEvent.FleetChanged(fleet()));
         List<HostAction> todo =
                 new ArrayList<>(host.on(NOW_NANOS, new HostEvent.RequestArrived(request)));
         HostAction.StartRun start = only(todo, HostAction.StartRun.class);
@@ -92,7 +92,7 @@
                 Payload.of("{}"));
     }
 
-    private static World world() {
+    private static FleetSnapshot fleet() {
         EntryHost host =
                 new EntryHost(
                         HOST,
@@ -123,7 +123,7 @@
                         10,
                         100,
                         Optional.empty());
-        return new World(
+        return new FleetSnapshot(
                 1,
                 Map.of(HOST, host),
                 Map.of(SERVER, server),
--- a/src/test/java/org/orioleshed/admin/AdminServerTest.java
+++ b/src/test/java/org/orioleshed/admin/AdminServerTest.java
@@ -208,7 +208,7 @@
                         "--reason",
                         "new weights");
         assertEquals(code, 0, output.toString());
-        AdminBackend.MovePlan plan = (AdminBackend.MovePlan) backend.asked.get(0);
+        AdminBackend.RolloutPlan plan = (AdminBackend.RolloutPlan) backend.asked.get(0);
         assertEquals(plan.author(), "ana");
         assertEquals(plan.routes(), List.of("gangway"));
         assertEquals(plan.completeByMillis(), 1_769_889_600_000L);
--- a/src/test/java/org/orioleshed/admin/FakeBackend.java
+++ b/src/test/java/org/orioleshed/admin/FakeBackend.java
@@ -56,22 +56,22 @@
     }
 
     @Override
-    public CompletableFuture<AdminReply> planMove(MovePlan plan) {
+    public CompletableFuture<AdminReply> planRollout(RolloutPlan plan) {
         return answer(plan);
     }
 
     @Override
-    public CompletableFuture<AdminReply> moves() {
+    public CompletableFuture<AdminReply> rollouts() {
         return answer("moves");
     }
 
     @Override
-    public CompletableFuture<AdminReply> move(String id) {
+    public CompletableFuture<AdminReply> rollout(String id) {
         return answer("move " + id);
     }
 
     @Override
-    public CompletableFuture<AdminReply> takeMoveBack(String id, String author, String reason) {
+    public CompletableFuture<AdminReply> rollBack(String id, String author, String reason) {
         return answer("take-back " + id + " " + author + " " + reason);
     }
 
--- a/src/test/java/org/orioleshed/claim/ClaimBench.java
+++ b/src/test/java/org/orioleshed/claim/ClaimBench.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.FakeStore;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
@@ -46,7 +46,7 @@
     private long sequence;
     private long laterOrder;
     private int owned;
-    private int away;
+    private int unavailable;
 
     private record Later(long atNanos, long order, Runnable action) implements Comparable<Later> {
         @Override
@@ -79,7 +79,8 @@
                             InetSocketAddress.createUnresolved("127.0.0.1", 1),
                             EntryHost.State.ALIVE));
         }
-        World world = new World(1, hosts, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
+        FleetSnapshot fleet =
+                new FleetSnapshot(1, hosts, Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
         for (int i = 0; i < HOSTS; i++) {
             int number = i;
             ClaimCore core =
@@ -87,7 +88,7 @@
                             new HostId("host-" + i), ClaimLimits.DEFAULTS, a -> act(number, a));
             core.listener(this);
             cores.add(core);
-            core.on(0, new HostEvent.WorldChanged(world));
+            core.on(0, new HostEvent.FleetChanged(fleet));
             tick(core, 0);
         }
         // The first second fills the hosts' views of the store and is not measured.
@@ -114,7 +115,7 @@
                 latency.getValueAtPercentile(99) / 1e6,
                 latency.getMaxValue() / 1e6,
                 owned,
-                away,
+                unavailable,
                 store.largestValue);
     }
 
@@ -136,8 +137,8 @@
     @Override
     public void onClaimed(long now, RequestKey key, RunId run, Claims.Result result) {
         latency.recordValue(nowNanos - startedNanos.remove(run));
-        if (!(result instanceof Claims.Result.Owned)) {
-            away++;
+        if (!(result instanceof Claims.Result.Acquired)) {
+            unavailable++;
             return;
         }
         owned++;
@@ -167,7 +168,7 @@
                 at(nowNanos + PEER_NANOS, () -> cores.get(to).on(nowNanos, event));
             }
             case HostAction.ReadStore read -> answer(host, read.ticket(), read);
-            case HostAction.SwapStore swap -> answer(host, swap.ticket(), swap);
+            case HostAction.CompareAndSwap swap -> answer(host, swap.ticket(), swap);
             default -> throw new IllegalStateException("unexpected: " + action);
         }
     }
--- a/src/test/java/org/orioleshed/claim/ClaimCoreTest.java
+++ b/src/test/java/org/orioleshed/claim/ClaimCoreTest.java
@@ -86,7 +86,7 @@
                             store.apply(call);
                             yield new StoreAnswer.Unknown("lost");
                         }
-                        default -> new StoreAnswer.Away("away");
+                        default -> new StoreAnswer.Unavailable("away");
                     };
             core.on(nowNanos, new HostEvent.StoreAnswered(ticket(call), answer));
         }
@@ -94,7 +94,7 @@
         private long ticket(HostAction call) {
             return switch (call) {
                 case HostAction.ReadStore read -> read.ticket();
-                case HostAction.SwapStore swap -> swap.ticket();
+                case HostAction.CompareAndSwap swap -> swap.ticket();
                 default -> throw new IllegalStateException("" + call);
             };
         }
@@ -135,7 +135,7 @@
         second.answer(0);
         first.answer(0);
         second.answer(0);
-        assertEquals(first.result(mine), new Result.Owned());
+        assertEquals(first.result(mine), new Result.Acquired());
         second.run();
         assertEquals(second.result(other), new Result.Taken(mine, Optional.empty()));
     }
@@ -151,7 +151,7 @@
         first.answer(0);
         first.answer(how);
         first.run();
-        assertEquals(first.result(run), new Result.Owned());
+        assertEquals(first.result(run), new Result.Acquired());
         RunId other = second.claim("k");
         second.run();
         assertEquals(second.result(other), new Result.Taken(run, Optional.empty()));
@@ -178,7 +178,7 @@
             }
         }
         first.run();
-        runs.forEach((key, run) -> assertEquals(first.result(run), new Result.Owned(), key));
+        runs.forEach((key, run) -> assertEquals(first.result(run), new Result.Acquired(), key));
         assertTrue(store.largestValue <= 6_000 + 2_000, "" + store.largestValue);
         for (int i = 0; i < 200; i += 7) {
             RunId again = second.claim("k" + i);
@@ -213,23 +213,23 @@
         first.run();
         RunId again = second.claim("k");
         second.run();
-        assertEquals(second.result(again), new Result.Owned());
+        assertEquals(second.result(again), new Result.Acquired());
     }
 
     @Test
     public void givenUpClaimThatLandsLaterFreesItsKey() {
         RunId run = first.claim("k");
         first.answer(0);
-        first.core.disown(key("k"), run);
+        first.core.abandon(key("k"), run);
         first.answer(1);
         first.run();
         RunId probe = first.claim("other");
         first.run();
-        assertEquals(first.result(probe), new Result.Owned());
+        assertEquals(first.result(probe), new Result.Acquired());
         first.run();
         RunId again = second.claim("k", Optional.of(run));
         second.run();
-        assertEquals(second.result(again), new Result.Owned());
+        assertEquals(second.result(again), new Result.Acquired());
         assertEquals(first.result(run), null);
     }
 
@@ -264,7 +264,7 @@
         assertEquals(second.result(wrong), new Result.Taken(run, Optional.empty()));
         RunId right = second.claim("k", Optional.of(run));
         second.run();
-        assertEquals(second.result(right), new Result.Owned());
+        assertEquals(second.result(right), new Result.Acquired());
     }
 
     @Test
@@ -276,21 +276,21 @@
             }
             tick(20);
         }
-        assertEquals(first.result(run), new Result.Away());
+        assertEquals(first.result(run), new Result.Unavailable());
         first.run();
         RunId again = first.claim("k");
         first.run();
-        assertEquals(first.result(again), new Result.Owned());
+        assertEquals(first.result(again), new Result.Acquired());
     }
 
     @Test
     public void damagedHeadIsNeverOverwritten() {
         byte[] damaged = {(byte) 0xff, (byte) 0xff, 1};
         String head = "orioleshed/claims/0";
-        store.apply(new HostAction.SwapStore(0, head, 0, Payload.of(damaged), 0));
+        store.apply(new HostAction.CompareAndSwap(0, head, 0, Payload.of(damaged), 0));
         RunId run = first.claim("k");
         first.run();
-        assertEquals(first.result(run), new Result.Away());
+        assertEquals(first.result(run), new Result.Unavailable());
         assertEquals(store.writes, 1);
     }
 }
--- a/src/test/java/org/orioleshed/control/ControlCoreTest.java
+++ b/src/test/java/org/orioleshed/control/ControlCoreTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.ServerId;
@@ -36,9 +36,9 @@
     private static void assertNeverReverted(ControlFleet fleet) {
         for (ControlFleet.Host host : fleet.hosts.values()) {
             long highest = 0;
-            for (World world : host.worlds) {
-                assertTrue(world.settingsRevision() >= highest, host.id.toString());
-                highest = world.settingsRevision();
+            for (FleetSnapshot snapshot : host.snapshots) {
+                assertTrue(snapshot.settingsRevision() >= highest, host.id.toString());
+                highest = snapshot.settingsRevision();
             }
         }
     }
@@ -120,8 +120,8 @@
         fleet.runMillis(10_000);
         assertTrue(fleet.allHave(2));
         ControlFleet.Host fresh = fleet.start(2, 2);
-        fleet.runUntil(() -> fresh.world().settingsRevision() == 2, IN_FORCE_MILLIS);
-        assertEquals(fresh.world().settingsRevision(), 2);
+        fleet.runUntil(() -> fresh.snapshot().settingsRevision() == 2, IN_FORCE_MILLIS);
+        assertEquals(fresh.snapshot().settingsRevision(), 2);
         CompletableFuture<ProposalResult> answer = fleet.propose(0, "c2", Optional.empty());
         CompletableFuture<ControlStatus> status = fleet.status(2);
         fleet.runMillis(1_500);
@@ -149,7 +149,7 @@
         fleet.cut = (from, to) -> false;
         ControlFleet.Host fresh = fleet.start(1, 2);
         fleet.runUntil(() -> fleet.allHave(2), JOIN_MILLIS);
-        assertEquals(fresh.world().settingsRevision(), 2);
+        assertEquals(fresh.snapshot().settingsRevision(), 2);
         assertTrue(fleet.allHave(2));
         assertNeverReverted(fleet);
     }
@@ -176,22 +176,22 @@
         fleet.runMillis(LEAVING_MILLIS);
         ServerId server = new ServerId("s1");
         for (ControlFleet.Host host : fleet.hosts.values()) {
-            assertTrue(host.world().servers().get(server).leaving());
+            assertTrue(host.snapshot().servers().get(server).leaving());
         }
         fleet.store.put("platform/servers/s1", "{\"state\":\"live\"}");
         fleet.runMillis(LEAVING_MILLIS);
         for (ControlFleet.Host host : fleet.hosts.values()) {
-            assertFalse(host.world().servers().get(server).leaving());
+            assertFalse(host.snapshot().servers().get(server).leaving());
         }
     }
 
     @Test
     public void aDrainingHostIsOutOfEveryChoice() {
         ControlFleet fleet = joined(8, 9);
-        fleet.host(3).ring.add(new ControlEvent.DrainAsked());
+        fleet.host(3).ring.add(new ControlEvent.DrainRequested());
         fleet.runMillis(LEAVING_MILLIS);
         for (ControlFleet.Host host : fleet.hosts.values()) {
-            EntryHost seen = host.world().hosts().get(ControlFleet.id(3));
+            EntryHost seen = host.snapshot().hosts().get(ControlFleet.id(3));
             assertFalse(seen.takesWork());
         }
     }
@@ -214,8 +214,8 @@
         List<HostId> left = List.of(ControlFleet.id(0), ControlFleet.id(4));
         fleet.cut = (from, to) -> left.contains(from) != left.contains(to);
         fleet.runMillis(15_000);
-        assertEquals(fleet.host(0).world().hosts().size(), 2);
-        assertEquals(fleet.host(1).world().hosts().size(), 6);
+        assertEquals(fleet.host(0).snapshot().hosts().size(), 2);
+        assertEquals(fleet.host(1).snapshot().hosts().size(), 6);
         accepted(run(fleet, fleet.propose(1, "c1", Optional.empty())));
         fleet.runUntil(() -> fleet.allHave(2), IN_FORCE_MILLIS);
         assertTrue(fleet.allHave(2));
--- a/src/test/java/org/orioleshed/control/ControlDutyTest.java
+++ b/src/test/java/org/orioleshed/control/ControlDutyTest.java
@@ -19,13 +19,13 @@
 import java.util.function.Predicate;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.ServerOrder;
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
+import org.orioleshed.rollout.ServerOrder;
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.settings.PeerSeed;
 import org.orioleshed.settings.ProposalResult;
@@ -44,23 +44,23 @@
     private static final FailureDomain DOMAIN = new FailureDomain("suva-a");
 
     private final Map<HostId, ControlDuty> duties = new ConcurrentHashMap<>();
-    private final List<Worlds> worlds = new ArrayList<>();
+    private final List<FleetSnapshots> snapshots = new ArrayList<>();
     private MemoryStore store;
 
-    /** Waits for a world that is as wanted. */
-    private static final class Worlds {
-        private World latest = World.EMPTY;
-        private Predicate<World> wanted = world -> false;
+    /** Waits for a fleet snapshot that is as wanted. */
+    private static final class FleetSnapshots {
+        private FleetSnapshot latest = FleetSnapshot.EMPTY;
+        private Predicate<FleetSnapshot> wanted = snapshot -> false;
         private CountDownLatch seen = new CountDownLatch(1);
 
-        synchronized void take(World world) {
-            latest = world;
-            if (wanted.test(world)) {
+        synchronized void take(FleetSnapshot snapshot) {
+            latest = snapshot;
+            if (wanted.test(snapshot)) {
                 seen.countDown();
             }
         }
 
-        void await(Predicate<World> asWanted) throws InterruptedException {
+        void await(Predicate<FleetSnapshot> asWanted) throws InterruptedException {
             CountDownLatch latch = new CountDownLatch(1);
             synchronized (this) {
                 wanted = asWanted;
@@ -112,16 +112,16 @@
     public void open() {
         store = new MemoryStore();
         store.put("orioleshed/settings/tree", "{}");
-        worlds.clear();
+        snapshots.clear();
         for (int i = 0; i < HOSTS; i++) {
-            Worlds seen = new Worlds();
-            worlds.add(seen);
+            FleetSnapshots seen = new FleetSnapshots();
+            snapshots.add(seen);
             duties.put(id(i), duty(i, seen));
         }
         duties.values().forEach(ControlDuty::start);
     }
 
-    private ControlDuty duty(int i, Worlds seen) {
+    private ControlDuty duty(int i, FleetSnapshots seen) {
         return new ControlDuty(
                 settings(i),
                 1,
@@ -160,15 +160,15 @@
         duties.clear();
     }
 
-    private void awaitAll(Predicate<World> wanted) throws InterruptedException {
-        for (Worlds each : worlds) {
+    private void awaitAll(Predicate<FleetSnapshot> wanted) throws InterruptedException {
+        for (FleetSnapshots each : snapshots) {
             each.await(wanted);
         }
     }
 
     @Test
     public void hostsFindEachOtherAndAChangeComesIntoForceOnAll() throws InterruptedException {
-        awaitAll(world -> world.hosts().size() == HOSTS && world.settingsRevision() == 1);
+        awaitAll(snapshot -> snapshot.hosts().size() == HOSTS && snapshot.settingsRevision() == 1);
         ProposedChange change =
                 new ProposedChange(
                         "c1",
@@ -178,7 +178,7 @@
                         List.of(SettingsEdit.set("/limits/moveSpreadMillis", "2000")));
         ProposalResult result = duties.get(id(0)).propose(change).join();
         assertEquals(((ProposalResult.Accepted) result).number(), 2);
-        awaitAll(world -> world.settingsRevision() == 2);
+        awaitAll(snapshot -> snapshot.settingsRevision() == 2);
         assertTrue(duties.get(id(1)).status().join().inForceEverywhere());
         assertEquals(duties.get(id(2)).document().join().orElseThrow().changeId(), "c1");
     }
@@ -186,7 +186,7 @@
     @Test
     public void changeNotYetTakenUpWhenTheDutyStopsIsAnswered() throws Exception {
         store.setSlow(true);
-        ControlDuty stopped = duty(0, new Worlds());
+        ControlDuty stopped = duty(0, new FleetSnapshots());
         CompletableFuture<ProposalResult> answer =
                 stopped.propose(
                         new ProposedChange(
@@ -203,11 +203,11 @@
 
     @Test
     public void aDrainingHostIsSeenToLeave() throws InterruptedException {
-        awaitAll(world -> world.hosts().size() == HOSTS);
+        awaitAll(snapshot -> snapshot.hosts().size() == HOSTS);
         duties.get(id(1)).drain();
         awaitAll(
-                world ->
-                        world.hosts().get(id(1)) != null
-                                && world.hosts().get(id(1)).state() == EntryHost.State.LEAVING);
+                snapshot ->
+                        snapshot.hosts().get(id(1)) != null
+                                && snapshot.hosts().get(id(1)).state() == EntryHost.State.LEAVING);
     }
 }
--- a/src/test/java/org/orioleshed/control/ControlFleet.java
+++ b/src/test/java/org/orioleshed/control/ControlFleet.java
@@ -15,14 +15,14 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.ServerOrder;
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
+import org.orioleshed.rollout.ServerOrder;
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.settings.PeerSeed;
 import org.orioleshed.settings.ProposalResult;
@@ -59,7 +59,7 @@
         final HostId id;
         final ControlCore core;
         final ArrayDeque<ControlEvent> ring = new ArrayDeque<>();
-        final List<World> worlds = new ArrayList<>();
+        final List<FleetSnapshot> snapshots = new ArrayList<>();
         long bytesSent;
         long messagesSent;
         private final ControlFleet fleet;
@@ -73,15 +73,15 @@
                             incarnation,
                             fleet.store,
                             this,
-                            worlds::add,
+                            snapshots::add,
                             () -> Instant.ofEpochMilli(1 + fleet.nowMillis()),
                             ring::add,
                             new NoOrders(),
                             new Random(fleet.random.nextLong()));
         }
 
-        World world() {
-            return worlds.getLast();
+        FleetSnapshot snapshot() {
+            return snapshots.getLast();
         }
 
         @Override
@@ -231,10 +231,10 @@
     }
 
     boolean allHave(long revision) {
-        return hosts.values().stream().allMatch(h -> h.world().settingsRevision() == revision);
+        return hosts.values().stream().allMatch(h -> h.snapshot().settingsRevision() == revision);
     }
 
     boolean allSee(int count) {
-        return hosts.values().stream().allMatch(h -> h.world().hosts().size() == count);
+        return hosts.values().stream().allMatch(h -> h.snapshot().hosts().size() == count);
     }
 }
--- a/src/test/java/org/orioleshed/control/ControlMovesTest.java
+++ b/src/test/java/org/orioleshed/control/ControlRolloutsTest.java
@@ -9,21 +9,21 @@
 import org.orioleshed.fleet.VersionSplit;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.ModelId;
-import org.orioleshed.model.MoveId;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.move.MoveEvent;
-import org.orioleshed.move.MoveRecord;
-import org.orioleshed.move.RunResult;
+import org.orioleshed.rollout.RolloutEvent;
+import org.orioleshed.rollout.RolloutRecord;
+import org.orioleshed.rollout.RunResult;
 import org.testng.annotations.Test;
 
-/** Moves driven by the control duty of several hosts over one store. */
-public class ControlMovesTest {
+/** Rollouts driven by the control duty of several hosts over one store. */
+public class ControlRolloutsTest {
     private static final RouteId ROUTE = new RouteId("letters");
     private static final VersionId OLD = new VersionId("v1");
     private static final VersionId NEW = new VersionId("v2");
-    private static final MoveId MOVE = new MoveId("move-1");
+    private static final RolloutId ROLLOUT = new RolloutId("move-1");
     private static final long COMPLETE_BY_MILLIS = 60_000;
     private static final long STEP_MILLIS = 100;
     private static final int RUNS_PER_STEP = 20;
@@ -39,10 +39,10 @@
     private static ControlFleet planned(long seed) {
         ControlFleet fleet = new ControlFleet(4, TREE, seed);
         fleet.runUntil(() -> fleet.allSee(4) && fleet.allHave(1), 20_000);
-        CompletableFuture<MoveWriteResult> answer = new CompletableFuture<>();
-        MoveRecord record =
-                MoveRecord.plan(
-                        MOVE,
+        CompletableFuture<RolloutWriteResult> answer = new CompletableFuture<>();
+        RolloutRecord record =
+                RolloutRecord.plan(
+                        ROLLOUT,
                         new Target.Model(new ModelId("letters")),
                         OLD,
                         NEW,
@@ -53,10 +53,10 @@
                         "litia",
                         "test");
         fleet.store.loseAnswers(1);
-        MoveWrite.Wish wish = new MoveWrite.Wish.Plan(record);
-        fleet.host(0).ring.add(new ControlEvent.MoveWanted(wish, answer));
+        RolloutWrite.Wish wish = new RolloutWrite.Wish.Plan(record);
+        fleet.host(0).ring.add(new ControlEvent.RolloutWanted(wish, answer));
         fleet.runUntil(answer::isDone, 5_000);
-        assertEquals(answer.join().getClass(), MoveWriteResult.Written.class);
+        assertEquals(answer.join().getClass(), RolloutWriteResult.Written.class);
         return fleet;
     }
 
@@ -64,12 +64,12 @@
         return fleet.hosts.values().stream()
                 .allMatch(
                         host ->
-                                host.world().splits().isEmpty()
+                                host.snapshot().splits().isEmpty()
                                         && version.equals(
-                                                host.world().currentVersions().get(ROUTE)));
+                                                host.snapshot().currentVersions().get(ROUTE)));
     }
 
-    /** Runs requests as the division of traffic says, until the time is over. */
+    /** Runs requests as the traffic split says, until the time is over. */
     private static void serve(ControlFleet fleet, RunResult.Verdict ofNew, long millis) {
         for (long done = 0; done < millis; done += STEP_MILLIS) {
             for (ControlFleet.Host host : fleet.hosts.values()) {
@@ -82,7 +82,7 @@
     }
 
     private static void run(ControlFleet.Host host, RunResult.Verdict ofNew, double draw) {
-        VersionSplit split = host.world().splits().get(ROUTE);
+        VersionSplit split = host.snapshot().splits().get(ROUTE);
         boolean toNew = split != null && split.choose(draw).equals(NEW);
         RunResult result =
                 new RunResult(
@@ -94,40 +94,40 @@
                         0,
                         0.5,
                         new Fingerprint(0, (long) (draw * RUNS_PER_STEP)));
-        MoveEvent observed =
-                new MoveEvent.Observed(
+        RolloutEvent observed =
+                new RolloutEvent.Observed(
                         ROUTE, toNew ? NEW : OLD, new ServerId(toNew ? "s2" : "s1"), result);
-        host.ring.add(new ControlEvent.MoveHappened(observed));
+        host.ring.add(new ControlEvent.RolloutHappened(observed));
     }
 
     @Test
     public void aGoodVersionCompletesOnEveryHost() {
         ControlFleet fleet = planned(1);
         serve(fleet, RunResult.Verdict.OK, COMPLETE_BY_MILLIS + 1_000);
-        assertTrue(all(fleet, NEW), fleet.host(0).world().currentVersions().toString());
+        assertTrue(all(fleet, NEW), fleet.host(0).snapshot().currentVersions().toString());
     }
 
     @Test
     public void aVersionThatFailsIsTakenBackOnEveryHost() {
         ControlFleet fleet = planned(2);
         serve(fleet, RunResult.Verdict.FAILED, COMPLETE_BY_MILLIS + 1_000);
-        assertTrue(all(fleet, OLD), fleet.host(0).world().currentVersions().toString());
+        assertTrue(all(fleet, OLD), fleet.host(0).snapshot().currentVersions().toString());
     }
 
     @Test
-    public void anOperatorTakesAMoveBackOnceAndAllHostsFollow() {
+    public void operatorRollsBackOnceAndAllHostsFollow() {
         ControlFleet fleet = planned(3);
         serve(fleet, RunResult.Verdict.OK, 5_000);
-        MoveWrite.Wish wish = new MoveWrite.Wish.TakeBack(MOVE, "litia", "no", 1);
+        RolloutWrite.Wish wish = new RolloutWrite.Wish.RollBack(ROLLOUT, "litia", "no", 1);
         fleet.store.loseAnswers(1);
-        CompletableFuture<MoveWriteResult> first = new CompletableFuture<>();
-        fleet.host(1).ring.add(new ControlEvent.MoveWanted(wish, first));
+        CompletableFuture<RolloutWriteResult> first = new CompletableFuture<>();
+        fleet.host(1).ring.add(new ControlEvent.RolloutWanted(wish, first));
         fleet.runMillis(5_000);
-        assertEquals(first.join().getClass(), MoveWriteResult.Written.class);
-        CompletableFuture<MoveWriteResult> second = new CompletableFuture<>();
-        fleet.host(2).ring.add(new ControlEvent.MoveWanted(wish, second));
+        assertEquals(first.join().getClass(), RolloutWriteResult.Written.class);
+        CompletableFuture<RolloutWriteResult> second = new CompletableFuture<>();
+        fleet.host(2).ring.add(new ControlEvent.RolloutWanted(wish, second));
         fleet.runMillis(5_000);
-        assertEquals(second.join().getClass(), MoveWriteResult.Decided.class);
+        assertEquals(second.join().getClass(), RolloutWriteResult.Decided.class);
         assertTrue(all(fleet, OLD));
     }
 }
