--- a/src/test/java/org/orioleshed/entry/CallerDoorTest.java
+++ b/src/test/java/org/orioleshed/entry/CallerHandlerTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ModelId;
 import org.orioleshed.model.Request;
@@ -25,15 +25,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CallerDoor}. */
-public class CallerDoorTest {
+/** Tests of {@link CallerHandler}. */
+public class CallerHandlerTest {
     private static final long NOW_NANOS = 1_000_000_000L;
     private static final String CHAT =
             "{\"model\":\"gangway\",\"messages\":[{\"role\":\"user\",\"content\":\"hello there\"}]%s}";
 
-    private final CallerDoor door = door();
+    private final CallerHandler handler = handler();
 
-    static CallerDoor door() {
+    static CallerHandler handler() {
         String hash = Hashing.sha256().hashString("secret", StandardCharsets.UTF_8).toString();
         Workspace workspace =
                 new Workspace(
@@ -47,8 +47,8 @@
                         Optional.empty());
         RouteId gangway = new RouteId("gangway");
         RouteId bookings = new RouteId("bookings");
-        World world =
-                new World(
+        FleetSnapshot fleet =
+                new FleetSnapshot(
                         1,
                         Map.of(),
                         Map.of(),
@@ -63,9 +63,9 @@
                         Map.of(workspace.id(), workspace),
                         Map.of(),
                         Map.of());
-        CallerDoor door = new CallerDoor(new HostId("h"), 1);
-        door.world(world);
-        return door;
+        CallerHandler handler = new CallerHandler(new HostId("h"), 1);
+        handler.fleet(fleet);
+        return handler;
     }
 
     static Headers headers(String... pairs) {
@@ -79,7 +79,7 @@
 
     private Admission chat(String body, String... headers) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return door.chat(headers(headers), bytes, NOW_NANOS);
+        return handler.chat(headers(headers), bytes, NOW_NANOS);
     }
 
     private Request admitted(Admission admission) {
@@ -168,14 +168,14 @@
             String route, String call, String body, String key, String code) {
         Headers headers = key == null ? headers() : headers("Idempotency-Key", key);
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        Admission admission = door.service(headers, route, call, bytes, NOW_NANOS);
+        Admission admission = handler.service(headers, route, call, bytes, NOW_NANOS);
         assertEquals(((BadRequest) admission).code(), code);
     }
 
     @Test
     public void repeatableCallNeedsNoKey() {
         byte[] bytes = "{}".getBytes(StandardCharsets.UTF_8);
-        Admission admission = door.service(headers(), "bookings", "lookup", bytes, NOW_NANOS);
+        Admission admission = handler.service(headers(), "bookings", "lookup", bytes, NOW_NANOS);
         assertTrue(admission instanceof Admission.Admitted);
     }
 }
--- a/src/test/java/org/orioleshed/host/FakeFleet.java
+++ b/src/test/java/org/orioleshed/host/FakeFleet.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.VersionSplit;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.host.HostEvent.CallEnd;
 import org.orioleshed.host.HostEvent.StoreAnswer;
 import org.orioleshed.model.FailureDomain;
@@ -37,7 +37,7 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.model.Work;
 import org.orioleshed.model.WorkspaceId;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 import org.orioleshed.routing.RunEnd;
 
 /**
@@ -61,7 +61,7 @@
     final Promises promises = new Promises(engines, trace);
     final Map<ServerId, BackendServer> servers = new LinkedHashMap<>();
     final Map<RouteId, VersionSplit> splits = new HashMap<>();
-    final Map<Long, Fate> fates = new HashMap<>();
+    final Map<Long, RequestStatus> statuses = new HashMap<>();
     final List<HostAction> drained = new ArrayList<>();
     final HostLimits limits;
     final long seed;
@@ -133,11 +133,11 @@
     private void boot(Node node) {
         Random random = new Random(seed * 31 + nodes.indexOf(node) + 7 * node.incarnation);
         node.core = new HostCore(node.id, node.domain, node.incarnation, limits, random);
-        feed(node, new HostEvent.WorldChanged(world(Set.of())));
+        feed(node, new HostEvent.FleetChanged(snapshot(Set.of())));
     }
 
-    /** Returns the world with all hosts but {@code missing}. */
-    World world(Set<HostId> missing) {
+    /** Returns the fleet snapshot with all hosts but {@code missing}. */
+    FleetSnapshot snapshot(Set<HostId> missing) {
         Map<HostId, EntryHost> hosts = new LinkedHashMap<>();
         for (Node node : nodes) {
             if (!missing.contains(node.id)) {
@@ -171,7 +171,8 @@
                         SERVICE_ROUTE,
                         new Target.Service(new ServiceId("bookings")),
                         Map.of("hold", false, "lookup", true)));
-        return new World(1, hosts, servers, routes, Map.of(WORKSPACE, workspace), splits, Map.of());
+        return new FleetSnapshot(
+                1, hosts, servers, routes, Map.of(WORKSPACE, workspace), splits, Map.of());
     }
 
     Request generate(Node node, String key, String content, Tier tier, long deadlineMillis) {
@@ -256,14 +257,14 @@
                         calls.add(new Call(node, node.incarnation, call));
                 case HostAction.ReadStore read ->
                         storeCalls.add(new StoreCall(node, node.incarnation, read));
-                case HostAction.SwapStore swap ->
+                case HostAction.CompareAndSwap swap ->
                         storeCalls.add(new StoreCall(node, node.incarnation, swap));
                 case HostAction.WriteTokens write ->
-                        reply(node, new HostEvent.CallerTook(write.request(), write.count()));
-                case HostAction.TellFate tell -> fates.put(tell.ticket(), tell.fate());
+                        reply(node, new HostEvent.CallerConsumed(write.request(), write.count()));
+                case HostAction.ReplyStatus tell -> statuses.put(tell.ticket(), tell.status());
                 case HostAction.Answer answer -> {}
                 case HostAction.Log log -> {}
-                case HostAction.Observe observe -> {}
+                case HostAction.RecordResult observe -> {}
                 case HostAction.Drained done -> drained.add(done);
             }
         }
@@ -318,12 +319,12 @@
                         store.apply(call.action);
                         yield new StoreAnswer.Unknown("lost");
                     }
-                    default -> new StoreAnswer.Away("away");
+                    default -> new StoreAnswer.Unavailable("away");
                 };
         long ticket =
                 switch (call.action) {
                     case HostAction.ReadStore read -> read.ticket();
-                    case HostAction.SwapStore swap -> swap.ticket();
+                    case HostAction.CompareAndSwap swap -> swap.ticket();
                     default -> throw new IllegalStateException();
                 };
         underWay.add(
@@ -398,9 +399,9 @@
         nodes.forEach(node -> feed(node, new HostEvent.Tick()));
     }
 
-    /** Tells all hosts the same world. */
-    void tellWorld(Set<HostId> missing) {
-        nodes.forEach(node -> feed(node, new HostEvent.WorldChanged(world(missing))));
+    /** Tells all hosts the same fleet snapshot. */
+    void publishFleet(Set<HostId> missing) {
+        nodes.forEach(node -> feed(node, new HostEvent.FleetChanged(snapshot(missing))));
     }
 
     /** Lets everything run well until nothing is under way. */
--- a/src/test/java/org/orioleshed/host/FakeStore.java
+++ b/src/test/java/org/orioleshed/host/FakeStore.java
@@ -33,7 +33,7 @@
                 : new StoreAnswer.Value(Optional.of(entry.value), entry.revision);
     }
 
-    StoreAnswer swap(HostAction.SwapStore swap) {
+    StoreAnswer swap(HostAction.CompareAndSwap swap) {
         writes++;
         Entry entry = entries.get(swap.key());
         long present = entry == null ? 0 : entry.revision;
@@ -51,7 +51,7 @@
     public StoreAnswer apply(HostAction action) {
         return switch (action) {
             case HostAction.ReadStore read -> read(read.key());
-            case HostAction.SwapStore swap -> swap(swap);
+            case HostAction.CompareAndSwap swap -> swap(swap);
             default -> throw new IllegalArgumentException("no call on the store: " + action);
         };
     }
--- a/src/test/java/org/orioleshed/host/GivenUpClaimTest.java
+++ b/src/test/java/org/orioleshed/host/GivenUpClaimTest.java
@@ -50,7 +50,7 @@
 
     private static boolean asksForAClaim(FakeFleet.Delivery delivery) {
         return delivery.event() instanceof HostEvent.RequestReceived received
-                && received.message() instanceof RequestMessage.ClaimAsked;
+                && received.message() instanceof RequestMessage.ClaimRequested;
     }
 
     private Node besides(Node... known) {
@@ -102,7 +102,7 @@
         first.paused = true;
         writer.paused = false;
         fleet.settle();
-        fleet.feed(other, new HostEvent.WorldChanged(fleet.world(Set.of(first.id))));
+        fleet.feed(other, new HostEvent.FleetChanged(fleet.snapshot(Set.of(first.id))));
         assertEquals(resend(other), ANSWERED);
         assertEquals(runs(), 1);
     }
@@ -124,7 +124,7 @@
             deliverAll();
         }
         assertEquals(fleet.outcome(call), STORE_AWAY);
-        fleet.feed(first, new HostEvent.DrainAsked());
+        fleet.feed(first, new HostEvent.DrainRequested());
         assertTrue(fleet.drained.isEmpty(), "left while its claim may stand in the store");
         for (int i = 0; i < 100 && fleet.drained.isEmpty(); i++) {
             fleet.settle();
@@ -132,7 +132,7 @@
         }
         assertFalse(fleet.drained.isEmpty());
         fleet.crash(first);
-        fleet.tellWorld(Set.of(first.id));
+        fleet.publishFleet(Set.of(first.id));
         assertEquals(resend(other), ANSWERED);
         assertEquals(runs(), 1);
     }
--- a/src/test/java/org/orioleshed/host/HostCorePolicyTest.java
+++ b/src/test/java/org/orioleshed/host/HostCorePolicyTest.java
@@ -18,7 +18,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Tier;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 import org.orioleshed.routing.RunEnd;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -110,13 +110,13 @@
         fleet.addServer("m3", FakeFleet.DOMAINS.getFirst(), model, "v2", true);
         VersionSplit split = new VersionSplit(new VersionId("v1"), new VersionId("v2"), 1);
         fleet.splits.put(FakeFleet.MODEL_ROUTE, split);
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id = send("k", "x", Tier.URGENT);
         assertEquals(serverOf(id), new ServerId("m3"));
         RunId run = fleet.engines.live.keySet().iterator().next();
         fleet.engines.live.remove(run);
         fleet.feed(
-                home(run),
+                owner(run),
                 new HostEvent.RunEnded(
                         run, new ServerId("m3"), new RunEnd.EngineError(false, "bad version")));
         fleet.settle();
@@ -126,7 +126,7 @@
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
     }
 
-    private Node home(RunId run) {
+    private Node owner(RunId run) {
         return fleet.nodes.stream()
                 .filter(n -> n.domain.equals(FakeFleet.DOMAINS.getFirst()))
                 .findFirst()
@@ -157,7 +157,7 @@
     @Test
     public void workspaceOverItsLimitIsRefusedButItsUrgentWorkDisplacesPatientWork() {
         fleet.maxWaiting = 12;
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         List<RequestId> patient = new ArrayList<>();
         for (int i = 0; i < 13; i++) {
             patient.add(send("p" + i, "p" + i, Tier.PATIENT));
@@ -173,7 +173,7 @@
     @Test
     public void leavingServersGetNoNewWork() {
         fleet.servers.replaceAll((id, server) -> server.withLeaving(id.value().endsWith("1")));
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         for (int i = 0; i < 8; i++) {
             send("k" + i, "x" + i, Tier.URGENT);
             fleet.send(host, fleet.call(host, "c" + i, true, 9_000));
@@ -187,7 +187,7 @@
     @Test
     public void requestWithoutAnyServerIsNotRun() {
         fleet.servers.clear();
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id = send("k", "x", Tier.URGENT);
         fleet.tick(2_500);
         fleet.tick(2_500);
@@ -195,18 +195,20 @@
     }
 
     @Test
-    public void fateIsFoundFromAnyHost() {
+    public void statusIsFoundFromAnyHost() {
         RequestId id = send("k", "x", Tier.URGENT);
         Node other = fleet.nodes.get(2);
-        fleet.feed(other, new HostEvent.FateAsked(1, fleet.promises.request(id).key()));
+        fleet.feed(other, new HostEvent.StatusRequested(1, fleet.promises.request(id).key()));
         fleet.settle();
-        assertEquals(fleet.fates.get(1L), new Fate.Pending());
+        assertEquals(fleet.statuses.get(1L), new RequestStatus.Pending());
         fleet.finish();
-        fleet.feed(other, new HostEvent.FateAsked(2, fleet.promises.request(id).key()));
+        fleet.feed(other, new HostEvent.StatusRequested(2, fleet.promises.request(id).key()));
         fleet.settle();
-        assertEquals(fleet.fates.get(2L), new Fate.Final(fleet.outcome(id)));
-        fleet.feed(other, new HostEvent.FateAsked(3, new RequestKey(FakeFleet.WORKSPACE, "none")));
+        assertEquals(fleet.statuses.get(2L), new RequestStatus.Final(fleet.outcome(id)));
+        fleet.feed(
+                other,
+                new HostEvent.StatusRequested(3, new RequestKey(FakeFleet.WORKSPACE, "none")));
         fleet.settle();
-        assertEquals(fleet.fates.get(3L), new Fate.Unknown());
+        assertEquals(fleet.statuses.get(3L), new RequestStatus.Unknown());
     }
 }
--- a/src/test/java/org/orioleshed/host/HostCoreProperties.java
+++ b/src/test/java/org/orioleshed/host/HostCoreProperties.java
@@ -32,7 +32,7 @@
         checkEnd(fleet);
     }
 
-    /** Hosts are homes of several servers, stand still for seconds, are drained and restarted. */
+    /** Hosts are owners of several servers, stand still for seconds, are drained and restarted. */
     @Property(tries = 1_000, seed = "6", shrinking = ShrinkingMode.BOUNDED)
     void promisesHoldWhileHostsStandStillAndLeave(
             @ForAll @Size(STEPS) List<@IntRange(min = 0, max = 1 << 24) Integer> steps) {
@@ -41,7 +41,7 @@
             Target letters = new Target.Model(new ModelId("letters"));
             fleet.addServer("m" + i, FakeFleet.DOMAINS.get(i % 2), letters, "v1", true);
         }
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         for (int step : steps) {
             int kind = step % 100;
             int dice = step / 100;
@@ -60,7 +60,7 @@
         switch (kind) {
             case 90, 91 -> node.paused = true;
             case 92, 93 -> node.paused = false;
-            case 94 -> fleet.feed(node, new HostEvent.DrainAsked());
+            case 94 -> fleet.feed(node, new HostEvent.DrainRequested());
             case 95 -> {
                 if (node.up) {
                     fleet.crash(node);
@@ -191,7 +191,7 @@
                         missing.add(other.id);
                     }
                 }
-                fleet.feed(node, new HostEvent.WorldChanged(fleet.world(missing)));
+                fleet.feed(node, new HostEvent.FleetChanged(fleet.snapshot(missing)));
             }
             case 98 -> leave(fleet, rest);
             default -> breakRun(fleet, rest);
@@ -229,7 +229,7 @@
                 fleet.restart(node);
             }
         }
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
     }
 
     /** Without faults the cores give every caller what a naive host gives. */
--- a/src/test/java/org/orioleshed/host/HostCoreTest.java
+++ b/src/test/java/org/orioleshed/host/HostCoreTest.java
@@ -17,7 +17,7 @@
 import org.orioleshed.model.RequestKey;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Tier;
-import org.orioleshed.request.Fate;
+import org.orioleshed.request.RequestStatus;
 import org.orioleshed.routing.RoutingMessage;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
@@ -81,7 +81,7 @@
         fleet.settle();
         assertFalse(fleet.calls.isEmpty());
         fleet.crash(host);
-        fleet.tellWorld(Set.of(host.id));
+        fleet.publishFleet(Set.of(host.id));
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
         fleet.finish();
@@ -129,10 +129,10 @@
     }
 
     @Test
-    public void modelRequestResumesElsewhereWhenItsHomeIsGone() {
+    public void modelRequestResumesElsewhereWhenItsOwnerIsGone() {
         Node accepting = fleet.nodes.get(1);
         BackendServer other = fleet.servers.remove(new ServerId("m2"));
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id =
                 fleet.send(accepting, fleet.generate(accepting, "k", "x", Tier.URGENT, 20_000));
         fleet.settle();
@@ -141,7 +141,7 @@
         assertEquals(fleet.promises.tokens(id), 1);
         fleet.crash(host);
         fleet.servers.put(other.id(), other);
-        fleet.tellWorld(Set.of(host.id));
+        fleet.publishFleet(Set.of(host.id));
         fleet.finish();
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
     }
@@ -170,7 +170,7 @@
             fleet.tick(20);
             assertTrue(fleet.engines.live.size() <= 1, "runs: " + fleet.engines.live.keySet());
         }
-        fleet.tellWorld(Set.of(dead.id));
+        fleet.publishFleet(Set.of(dead.id));
         fleet.finish();
         assertTrue(fleet.outcome(resend) instanceof Outcome.Answered, "" + fleet.outcome(resend));
     }
@@ -190,7 +190,7 @@
     public void drainAnswersWhatWaitsAndFinishesWhatRuns() {
         RequestId runs = fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 20_000));
         fleet.settle();
-        fleet.feed(host, new HostEvent.DrainAsked());
+        fleet.feed(host, new HostEvent.DrainRequested());
         RequestId late = fleet.send(host, fleet.generate(host, "l", "y", Tier.URGENT, 20_000));
         assertEquals(fleet.outcome(late), new Outcome.NotRun(Outcome.NotRunReason.DRAINING, 0));
         assertTrue(fleet.drained.isEmpty());
@@ -208,9 +208,9 @@
                     default -> fleet.send(host, fleet.call(host, "k", false, 60_000));
                 };
         fleet.settle();
-        fleet.feed(host, new HostEvent.DrainAsked());
+        fleet.feed(host, new HostEvent.DrainRequested());
         assertNull(fleet.outcome(id));
-        fleet.feed(host, new HostEvent.DrainOver());
+        fleet.feed(host, new HostEvent.DrainTimedOut());
         Class<?> expected = work == 2 ? Outcome.InDoubt.class : Outcome.Failed.class;
         assertTrue(expected.isInstance(fleet.outcome(id)), "" + fleet.outcome(id));
     }
@@ -230,7 +230,7 @@
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, deadlineMillis));
         passMillis(waitMillis);
-        fleet.feed(other, new HostEvent.DrainAsked());
+        fleet.feed(other, new HostEvent.DrainRequested());
         assertFalse(fleet.outcome(resend) instanceof Outcome.NotRun, "" + fleet.outcome(resend));
         fleet.finish();
         assertEquals(fleet.outcome(resend), new Outcome.Answered(0, Payload.of("k")));
@@ -244,13 +244,13 @@
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 300));
         passMillis(200);
-        fleet.feed(other, new HostEvent.DrainAsked());
+        fleet.feed(other, new HostEvent.DrainRequested());
         passMillis(200);
         assertTrue(fleet.outcome(resend) instanceof Outcome.InDoubt, "" + fleet.outcome(resend));
     }
 
     @Test
-    public void fateOfACallThatRunsAtAnotherHostIsNotNotRunAfterItsCallerLeft() {
+    public void statusOfACallThatRunsAtAnotherHostIsNotNotRunAfterItsCallerLeft() {
         fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.settle();
         Node other = fleet.nodes.get(1);
@@ -258,46 +258,46 @@
         passMillis(200);
         fleet.promises.left(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
-        fleet.feed(other, new HostEvent.FateAsked(7, key("k")));
+        fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
         fleet.settle();
-        assertEquals(fleet.fates.get(7L), new Fate.Pending());
+        assertEquals(fleet.statuses.get(7L), new RequestStatus.Pending());
     }
 
     @Test
-    public void fateOfAnAnsweredCallIsNotNotRunWhereItsResendWasNotRun() {
+    public void statusOfAnAnsweredCallIsNotNotRunWhereItsResendWasNotRun() {
         fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.finish();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
         fleet.promises.left(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
-        fleet.feed(other, new HostEvent.FateAsked(7, key("k")));
+        fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
         passMillis(200);
         Outcome answered = new Outcome.Answered(0, Payload.of("k"));
-        assertEquals(fleet.fates.get(7L), new Fate.Final(answered));
+        assertEquals(fleet.statuses.get(7L), new RequestStatus.Final(answered));
     }
 
     @Test
-    public void fateOfACallThatNoHostRanIsNotRun() {
+    public void statusOfACallThatNoHostRanIsNotRun() {
         RequestId call = fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.promises.left(call);
         fleet.feed(host, new HostEvent.CallerGone(call));
-        fleet.feed(host, new HostEvent.FateAsked(7, key("k")));
+        fleet.feed(host, new HostEvent.StatusRequested(7, key("k")));
         passMillis(1_000);
         Outcome notRun = new Outcome.NotRun(Outcome.NotRunReason.CALLER_GONE, 0);
-        assertEquals(fleet.fates.get(7L), new Fate.Final(notRun));
+        assertEquals(fleet.statuses.get(7L), new RequestStatus.Final(notRun));
     }
 
     @Test
-    public void fateIsUnknownWhereACallWasNotRunWhileTheStoreCannotBeAsked() {
+    public void statusIsUnknownWhereACallWasNotRunWhileTheStoreCannotBeAsked() {
         fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.finish();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
         fleet.promises.left(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
-        fleet.feed(other, new HostEvent.FateAsked(7, key("k")));
-        for (int i = 0; i < 100 && fleet.fates.isEmpty(); i++) {
+        fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
+        for (int i = 0; i < 100 && fleet.statuses.isEmpty(); i++) {
             while (!fleet.underWay.isEmpty()) {
                 fleet.deliver(0);
             }
@@ -306,7 +306,7 @@
             }
             fleet.tick(20);
         }
-        assertEquals(fleet.fates.get(7L), new Fate.Unknown());
+        assertEquals(fleet.statuses.get(7L), new RequestStatus.Unknown());
     }
 
     @Test
@@ -338,13 +338,13 @@
     public void lateCallerIsNotToldNotRunWhileAnotherWaitsWithTheSameKey() {
         Map<ServerId, BackendServer> servers = Map.copyOf(fleet.servers);
         fleet.servers.clear();
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId late = fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 100));
         RequestId other = fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 9_000));
         fleet.tick(200);
         assertTrue(fleet.outcome(late) instanceof Outcome.InDoubt, "" + fleet.outcome(late));
         fleet.servers.putAll(servers);
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         fleet.finish();
         assertTrue(fleet.outcome(other) instanceof Outcome.Answered, "" + fleet.outcome(other));
     }
@@ -364,7 +364,7 @@
     public void requestIsAnsweredWithinSecondsWhenOneMessageIsLost(Class<?> kind) {
         Node accepting = fleet.nodes.get(1);
         fleet.servers.remove(new ServerId("m2"));
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id =
                 fleet.send(accepting, fleet.generate(accepting, "k", "x", Tier.URGENT, 30_000));
         long start = fleet.nowNanos;
@@ -388,10 +388,10 @@
 
     /** Peers repeat a body whose receipt was not confirmed, also to a process started anew. */
     @Test
-    public void requestIsNotNotRunWhenItsBodyComesAgainToTheRestartedHomeOfItsRun() {
+    public void requestIsNotNotRunWhenItsBodyComesAgainToTheRestartedOwnerOfItsRun() {
         Node accepting = fleet.nodes.get(1);
         fleet.servers.remove(new ServerId("m2"));
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id =
                 fleet.send(accepting, fleet.generate(accepting, "k", "x", Tier.URGENT, 20_000));
         while (!isRouting(fleet.underWay.getFirst().event(), RoutingMessage.Placed.class)) {
@@ -404,17 +404,17 @@
         fleet.restart(host);
         fleet.feed(host, body);
         fleet.settle();
-        fleet.feed(accepting, new HostEvent.DrainAsked());
+        fleet.feed(accepting, new HostEvent.DrainRequested());
         fleet.finish();
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
     }
 
-    /** The home of its run restarted, asked for the body once more, and got it too late. */
+    /** The owner of its run restarted, asked for the body once more, and got it too late. */
     @Test
     public void requestIsNotNotRunWhenOnlyItsSecondBodyWasNeverStarted() {
         Node accepting = fleet.nodes.get(1);
         fleet.servers.remove(new ServerId("m2"));
-        fleet.tellWorld(Set.of());
+        fleet.publishFleet(Set.of());
         RequestId id =
                 fleet.send(accepting, fleet.generate(accepting, "k", "x", Tier.URGENT, 20_000));
         fleet.settle();
@@ -431,7 +431,7 @@
         assertTrue(bodyIsNext());
         fleet.tick(2_000);
         fleet.settle();
-        fleet.feed(accepting, new HostEvent.DrainAsked());
+        fleet.feed(accepting, new HostEvent.DrainRequested());
         fleet.finish();
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
     }
--- a/src/test/java/org/orioleshed/host/WaitingMemoryBench.java
+++ b/src/test/java/org/orioleshed/host/WaitingMemoryBench.java
@@ -10,9 +10,9 @@
 import java.util.stream.LongStream;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
@@ -30,7 +30,7 @@
 
 /**
  * Measures the memory that one waiting request takes on its accepting host, its body left out: the
- * homes are other hosts that never answer. Run it as a program.
+ * owners are other hosts that never answer. Run it as a program.
  */
 final class WaitingMemoryBench {
     private static final int REQUESTS = 10_000;
@@ -43,7 +43,7 @@
         HostId self = new HostId("host-0");
         HostCore core =
                 new HostCore(self, new FailureDomain("a"), 1, HostLimits.DEFAULTS, new Random(1));
-        core.on(1, new HostEvent.WorldChanged(world()));
+        core.on(1, new HostEvent.FleetChanged(snapshot()));
         long before = usedBytes();
         for (int i = 0; i < REQUESTS; i++) {
             core.on(1, new HostEvent.RequestArrived(request(self, i)));
@@ -70,7 +70,7 @@
                 Payload.EMPTY);
     }
 
-    private static World world() {
+    private static FleetSnapshot snapshot() {
         Map<HostId, EntryHost> hosts = new HashMap<>();
         for (int i = 0; i < 8; i++) {
             HostId id = new HostId("host-" + i);
@@ -104,7 +104,7 @@
         }
         RouteId route = new RouteId("gangway");
         Map<RouteId, Route> routes = Map.of(route, new Route(route, model, Map.of()));
-        return new World(1, hosts, servers, routes, Map.of(), Map.of(), Map.of());
+        return new FleetSnapshot(1, hosts, servers, routes, Map.of(), Map.of(), Map.of());
     }
 
     private static long usedBytes() throws InterruptedException {
--- a/src/test/java/org/orioleshed/request/RequestCodecProperties.java
+++ b/src/test/java/org/orioleshed/request/RequestCodecProperties.java
@@ -44,28 +44,29 @@
         all.add(new RequestMessage.KeyHolder(KEY, Optional.of(REQUEST), Optional.empty()));
         all.add(new RequestMessage.KeyHolder(KEY, Optional.empty(), Optional.of(REQUEST)));
         all.add(new RequestMessage.KeyClosed(KEY, REQUEST, true));
-        all.add(new RequestMessage.KeyAsked(KEY));
-        all.add(new RequestMessage.FateAsked(KEY, Optional.of(RUN)));
-        all.add(new RequestMessage.ClaimAsked(KEY, RUN, Optional.of(RUN)));
+        all.add(new RequestMessage.KeyRequested(KEY));
+        all.add(new RequestMessage.StatusRequested(KEY, Optional.of(RUN)));
+        all.add(new RequestMessage.ClaimRequested(KEY, RUN, Optional.of(RUN)));
         for (Outcome outcome : outcomes()) {
             List<RequestMessage.Piece> pieces =
                     List.of(new RequestMessage.Piece(0, 2, Payload.of("a b ")));
-            Fate fate = new Fate.Final(outcome);
-            all.add(new RequestMessage.FateTold(KEY, Optional.empty(), fate, pieces));
-            all.add(new RequestMessage.OutcomeAsked(KEY, RUN, outcome));
+            RequestStatus status = new RequestStatus.Final(outcome);
+            all.add(new RequestMessage.StatusReported(KEY, Optional.empty(), status, pieces));
+            all.add(new RequestMessage.OutcomeRequested(KEY, RUN, outcome));
             ClaimResult taken = new ClaimResult.Taken(RUN, Optional.of(outcome));
-            all.add(new RequestMessage.ClaimTold(KEY, RUN, taken));
+            all.add(new RequestMessage.ClaimReported(KEY, RUN, taken));
         }
-        for (Fate fate : List.of(new Fate.Unknown(), new Fate.Pending())) {
-            all.add(new RequestMessage.FateTold(KEY, Optional.of(RUN), fate, List.of()));
+        for (RequestStatus status :
+                List.of(new RequestStatus.Unknown(), new RequestStatus.Pending())) {
+            all.add(new RequestMessage.StatusReported(KEY, Optional.of(RUN), status, List.of()));
         }
         for (ClaimResult result :
                 List.of(
-                        new ClaimResult.Owned(),
-                        new ClaimResult.Away(),
+                        new ClaimResult.Acquired(),
+                        new ClaimResult.Unavailable(),
                         new ClaimResult.Recorded(),
                         new ClaimResult.Taken(RUN, Optional.empty()))) {
-            all.add(new RequestMessage.ClaimTold(KEY, RUN, result));
+            all.add(new RequestMessage.ClaimReported(KEY, RUN, result));
         }
         return Arbitraries.of(all);
     }
--- a/src/test/java/org/orioleshed/move/FakeFleet.java
+++ b/src/test/java/org/orioleshed/rollout/FakeFleet.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -15,30 +15,32 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.VersionSplit;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ModelId;
-import org.orioleshed.model.MoveId;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** A few {@link MoveCore}s with links and a store that can fail, all stepped by a test's clock. */
+/**
+ * A few {@link RolloutCore}s with links and a store that can fail, all stepped by a test's clock.
+ */
 final class FakeFleet {
     static final VersionId OLD = new VersionId("v1");
     static final VersionId NEW = new VersionId("v2");
     static final Target LETTERS = new Target.Model(new ModelId("letters"));
-    static final MoveId MOVE = new MoveId("m1");
+    static final RolloutId ROLLOUT = new RolloutId("m1");
     static final long START_MILLIS = 1_700_000_000_000L;
 
     final Map<HostId, Host> hosts = new TreeMap<>();
     final FakeStore store = new FakeStore();
     final RandomGenerator random;
-    final World world;
+    final FleetSnapshot snapshot;
     final Set<HostId> paused = new HashSet<>();
     double linkLoss;
     long nowNanos;
@@ -46,7 +48,7 @@
     private final Deque<Letter> letters = new ArrayDeque<>();
     private final Map<HostId, Integer> islands = new HashMap<>();
 
-    private record Letter(HostId from, HostId to, MoveMessage message) {}
+    private record Letter(HostId from, HostId to, RolloutMessage message) {}
 
     /** One host, what it last said, and what it told the operators. */
     static final class Host {
@@ -54,17 +56,18 @@
         final FailureDomain domain;
         final ServerId oldServer;
         final ServerId newServer;
-        MoveCore core;
-        MoveAction.SplitChanged split = new MoveAction.SplitChanged(Map.of(), Map.of(), Set.of());
-        final List<MoveAction.Notice> notices = new ArrayList<>();
-        final List<MoveAction.Order> orders = new ArrayList<>();
+        RolloutCore core;
+        RolloutAction.SplitChanged split =
+                new RolloutAction.SplitChanged(Map.of(), Map.of(), Set.of());
+        final List<RolloutAction.Notice> notices = new ArrayList<>();
+        final List<RolloutAction.Order> orders = new ArrayList<>();
 
-        Host(HostId id, FailureDomain domain, MoveLimits limits) {
+        Host(HostId id, FailureDomain domain, RolloutLimits limits) {
             this.id = id;
             this.domain = domain;
             this.oldServer = new ServerId(domain + "-old");
             this.newServer = new ServerId(domain + "-new");
-            this.core = new MoveCore(id, domain, 1, limits);
+            this.core = new RolloutCore(id, domain, 1, limits);
         }
 
         double share(RouteId route) {
@@ -72,16 +75,16 @@
             return traffic == null ? 0 : traffic.toShare();
         }
 
-        boolean wasTold(MoveAction.Notice.Kind kind) {
+        boolean wasTold(RolloutAction.Notice.Kind kind) {
             return count(kind) > 0;
         }
 
-        long count(MoveAction.Notice.Kind kind) {
+        long count(RolloutAction.Notice.Kind kind) {
             return notices.stream().filter(notice -> notice.kind() == kind).count();
         }
     }
 
-    FakeFleet(RandomGenerator random, MoveLimits limits, int domains, int hostsPerDomain) {
+    FakeFleet(RandomGenerator random, RolloutLimits limits, int domains, int hostsPerDomain) {
         this.random = random;
         Map<HostId, EntryHost> entries = new HashMap<>();
         Map<ServerId, BackendServer> servers = new HashMap<>();
@@ -95,8 +98,8 @@
                 entries.put(id, entry(id, domain));
             }
         }
-        world = new World(1, entries, servers, Map.of(), Map.of(), Map.of(), Map.of());
-        hosts.keySet().forEach(id -> feed(id, new MoveEvent.WorldChanged(world)));
+        snapshot = new FleetSnapshot(1, entries, servers, Map.of(), Map.of(), Map.of(), Map.of());
+        hosts.keySet().forEach(id -> feed(id, new RolloutEvent.FleetChanged(snapshot)));
     }
 
     private static EntryHost entry(HostId id, FailureDomain domain) {
@@ -117,10 +120,12 @@
                         id, domain, address, LETTERS, version, "g1", 8, 60_000, true, true, false));
     }
 
-    /** Returns {@code world} with backend servers that all check fencing numbers, or none does. */
-    static World withFencing(World world, boolean checks) {
+    /**
+     * Returns {@code snapshot} with backend servers that all check fencing numbers, or none does.
+     */
+    static FleetSnapshot withFencing(FleetSnapshot snapshot, boolean checks) {
         Map<ServerId, BackendServer> servers = new HashMap<>();
-        for (BackendServer s : world.servers().values()) {
+        for (BackendServer s : snapshot.servers().values()) {
             servers.put(
                     s.id(),
                     new BackendServer(
@@ -136,14 +141,14 @@
                             checks,
                             s.leaving()));
         }
-        return new World(
-                world.settingsRevision(),
-                world.hosts(),
+        return new FleetSnapshot(
+                snapshot.settingsRevision(),
+                snapshot.hosts(),
                 servers,
-                world.routes(),
-                world.workspaces(),
-                world.splits(),
-                world.currentVersions());
+                snapshot.routes(),
+                snapshot.workspaces(),
+                snapshot.splits(),
+                snapshot.currentVersions());
     }
 
     static List<RouteId> routes(int count) {
@@ -154,9 +159,9 @@
         return routes;
     }
 
-    MoveRecord plan(MoveId id, List<RouteId> routes, long lengthMillis) {
-        MoveRecord record =
-                MoveRecord.plan(
+    RolloutRecord plan(RolloutId id, List<RouteId> routes, long lengthMillis) {
+        RolloutRecord record =
+                RolloutRecord.plan(
                         id,
                         LETTERS,
                         OLD,
@@ -167,12 +172,12 @@
                         List.of(),
                         "operator",
                         "test");
-        store.put(MoveRecord.key(id), record.toPayload());
+        store.put(RolloutRecord.key(id), record.toPayload());
         return record;
     }
 
     long epochMillis() {
-        return START_MILLIS + nowNanos / MoveCore.NANOS_PER_MILLI;
+        return START_MILLIS + nowNanos / RolloutCore.NANOS_PER_MILLI;
     }
 
     /** Puts a host on an island; hosts of different islands do not hear each other. */
@@ -186,11 +191,11 @@
 
     /** Lets time pass and every host that is not paused tick. */
     void step(long millis) {
-        nowNanos += millis * MoveCore.NANOS_PER_MILLI;
+        nowNanos += millis * RolloutCore.NANOS_PER_MILLI;
         store.now(nowNanos);
         for (HostId id : hosts.keySet()) {
             if (!paused.contains(id)) {
-                feed(id, new MoveEvent.Tick(epochMillis()));
+                feed(id, new RolloutEvent.Tick(epochMillis()));
             }
         }
         deliver();
@@ -205,7 +210,7 @@
 
     void observe(Host host, RouteId route, VersionId version, RunResult result) {
         ServerId server = version.equals(NEW) ? host.newServer : host.oldServer;
-        feed(host.id, new MoveEvent.Observed(route, version, server, result));
+        feed(host.id, new RolloutEvent.Observed(route, version, server, result));
     }
 
     /** Sends one request on each of {@code routes} through each host, all with one result. */
@@ -226,39 +231,39 @@
         return new RunResult(verdict, millis, 100, 0, 0, load, content);
     }
 
-    void feed(HostId id, MoveEvent event) {
+    void feed(HostId id, RolloutEvent event) {
         Host host = hosts.get(id);
-        List<MoveEvent> answers = new ArrayList<>();
-        for (MoveAction action : host.core.on(nowNanos, event)) {
+        List<RolloutEvent> answers = new ArrayList<>();
+        for (RolloutAction action : host.core.on(nowNanos, event)) {
             perform(host, action).ifPresent(answers::add);
         }
         answers.forEach(answer -> feed(id, answer));
     }
 
-    private Optional<MoveEvent> perform(Host host, MoveAction action) {
+    private Optional<RolloutEvent> perform(Host host, RolloutAction action) {
         return switch (action) {
-            case MoveAction.SendMove send -> {
+            case RolloutAction.SendMessage send -> {
                 letters.add(new Letter(host.id, send.to(), send.message()));
                 yield Optional.empty();
             }
-            case MoveAction.SplitChanged split -> {
+            case RolloutAction.SplitChanged split -> {
                 host.split = split;
                 yield Optional.empty();
             }
-            case MoveAction.Notice notice -> {
+            case RolloutAction.Notice notice -> {
                 host.notices.add(notice);
                 yield Optional.empty();
             }
-            case MoveAction.Order order -> {
+            case RolloutAction.Order order -> {
                 host.orders.add(order);
                 yield Optional.empty();
             }
-            case MoveAction.ReadState read -> Optional.empty();
-            case MoveAction.SwapRecord swap -> Optional.of(store.swap(host.id, swap));
-            case MoveAction.ReadRecord read -> store.read(host.id, read.move());
-            case MoveAction.ListRecords list -> store.list(host.id);
-            case MoveAction.GrantLease grant -> Optional.of(store.grant(host.id, grant));
-            case MoveAction.KeepLease keep -> Optional.of(store.keep(host.id, keep));
+            case RolloutAction.ReadState read -> Optional.empty();
+            case RolloutAction.SwapRecord swap -> Optional.of(store.swap(host.id, swap));
+            case RolloutAction.ReadRecord read -> store.read(host.id, read.rollout());
+            case RolloutAction.ListRecords list -> store.list(host.id);
+            case RolloutAction.GrantLease grant -> Optional.of(store.grant(host.id, grant));
+            case RolloutAction.KeepLease keep -> Optional.of(store.keep(host.id, keep));
         };
     }
 
@@ -270,7 +275,7 @@
                 continue;
             }
             if (hosts.containsKey(letter.to)) {
-                feed(letter.to, new MoveEvent.PeerReceived(letter.from, letter.message));
+                feed(letter.to, new RolloutEvent.PeerReceived(letter.from, letter.message));
             }
         }
     }
--- a/src/test/java/org/orioleshed/move/FakeStore.java
+++ b/src/test/java/org/orioleshed/rollout/FakeStore.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 
 /** The platform's store for tests: swaps and leases, which can be away or lose answers. */
 final class FakeStore {
@@ -52,9 +52,9 @@
         return Optional.ofNullable(values.get(key)).map(Value::payload);
     }
 
-    MoveRecord record(MoveId move) {
+    RolloutRecord record(RolloutId rollout) {
         try {
-            return MoveRecord.parse(values.get(MoveRecord.key(move)).payload);
+            return RolloutRecord.parse(values.get(RolloutRecord.key(rollout)).payload);
         } catch (BadRecordException e) {
             throw new AssertionError(e);
         }
@@ -64,16 +64,16 @@
         return away || cutOff.contains(host);
     }
 
-    MoveEvent swap(HostId host, MoveAction.SwapRecord swap) {
+    RolloutEvent swap(HostId host, RolloutAction.SwapRecord swap) {
         if (isAway(host)) {
-            return answer(swap, new MoveEvent.SwapAnswer.Away("away"));
+            return answer(swap, new RolloutEvent.SwapAnswer.Unavailable("away"));
         }
-        boolean isRecord = swap.key().startsWith(MoveRecord.KEY_PREFIX);
+        boolean isRecord = swap.key().startsWith(RolloutRecord.KEY_PREFIX);
         boolean lost = isRecord && loseAnswers > 0;
         if (lost) {
             loseAnswers--;
             if (!lostTakeEffect) {
-                return answer(swap, new MoveEvent.SwapAnswer.Unknown("lost"));
+                return answer(swap, new RolloutEvent.SwapAnswer.Unknown("lost"));
             }
         }
         Value present = values.get(swap.key());
@@ -81,7 +81,7 @@
         boolean leaseGone = swap.leaseId() != 0 && !leaseEnds.containsKey(swap.leaseId());
         if (presentRevision != swap.expectedRevision() || leaseGone) {
             Optional<Payload> payload = Optional.ofNullable(present).map(Value::payload);
-            return answer(swap, new MoveEvent.SwapAnswer.Conflict(payload, presentRevision));
+            return answer(swap, new RolloutEvent.SwapAnswer.Conflict(payload, presentRevision));
         }
         values.put(swap.key(), new Value(swap.value(), ++revision, swap.leaseId()));
         if (isRecord) {
@@ -90,13 +90,13 @@
         return answer(
                 swap,
                 lost
-                        ? new MoveEvent.SwapAnswer.Unknown("lost")
-                        : new MoveEvent.SwapAnswer.Swapped(revision));
+                        ? new RolloutEvent.SwapAnswer.Unknown("lost")
+                        : new RolloutEvent.SwapAnswer.Swapped(revision));
     }
 
-    private void countOutcome(MoveAction.SwapRecord swap) {
+    private void countOutcome(RolloutAction.SwapRecord swap) {
         try {
-            if (MoveRecord.parse(swap.value()).state().isOutcome()) {
+            if (RolloutRecord.parse(swap.value()).state().isOutcome()) {
                 outcomes.merge(swap.key(), 1, Integer::sum);
             }
         } catch (BadRecordException e) {
@@ -104,58 +104,61 @@
         }
     }
 
-    private static MoveEvent answer(MoveAction.SwapRecord swap, MoveEvent.SwapAnswer answer) {
-        return new MoveEvent.SwapResult(swap.ticket(), answer);
+    private static RolloutEvent answer(
+            RolloutAction.SwapRecord swap, RolloutEvent.SwapAnswer answer) {
+        return new RolloutEvent.SwapResult(swap.ticket(), answer);
     }
 
-    Optional<MoveEvent> read(HostId host, MoveId move) {
+    Optional<RolloutEvent> read(HostId host, RolloutId rollout) {
         if (isAway(host)) {
             return Optional.empty();
         }
-        return Optional.of(read(move));
+        return Optional.of(read(rollout));
     }
 
-    private MoveEvent.RecordRead read(MoveId move) {
-        Value value = values.get(MoveRecord.key(move));
+    private RolloutEvent.RecordRead read(RolloutId rollout) {
+        Value value = values.get(RolloutRecord.key(rollout));
         return value == null
-                ? new MoveEvent.RecordRead(move, Optional.empty(), 0)
-                : new MoveEvent.RecordRead(move, Optional.of(value.payload), value.revision);
+                ? new RolloutEvent.RecordRead(rollout, Optional.empty(), 0)
+                : new RolloutEvent.RecordRead(rollout, Optional.of(value.payload), value.revision);
     }
 
-    Optional<MoveEvent> list(HostId host) {
+    Optional<RolloutEvent> list(HostId host) {
         if (isAway(host)) {
             return Optional.empty();
         }
-        List<MoveEvent.RecordRead> records = new ArrayList<>();
+        List<RolloutEvent.RecordRead> records = new ArrayList<>();
         for (String key : values.keySet()) {
-            if (key.startsWith(MoveRecord.KEY_PREFIX)) {
-                records.add(read(new MoveId(key.substring(MoveRecord.KEY_PREFIX.length()))));
+            if (key.startsWith(RolloutRecord.KEY_PREFIX)) {
+                records.add(read(new RolloutId(key.substring(RolloutRecord.KEY_PREFIX.length()))));
             }
         }
-        return Optional.of(new MoveEvent.RecordsListed(records));
+        return Optional.of(new RolloutEvent.RecordsListed(records));
     }
 
-    MoveEvent grant(HostId host, MoveAction.GrantLease grant) {
+    RolloutEvent grant(HostId host, RolloutAction.GrantLease grant) {
         if (isAway(host)) {
-            return new MoveEvent.LeaseResult(
-                    grant.ticket(), new MoveEvent.LeaseAnswer.Away("away"));
+            return new RolloutEvent.LeaseResult(
+                    grant.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
         }
-        leaseEnds.put(++lastLease, nowNanos + grant.ttlMillis() * MoveCore.NANOS_PER_MILLI);
+        leaseEnds.put(++lastLease, nowNanos + grant.ttlMillis() * RolloutCore.NANOS_PER_MILLI);
         leaseMillis.put(lastLease, grant.ttlMillis());
-        return new MoveEvent.LeaseResult(
-                grant.ticket(), new MoveEvent.LeaseAnswer.Held(lastLease, grant.ttlMillis()));
+        return new RolloutEvent.LeaseResult(
+                grant.ticket(), new RolloutEvent.LeaseAnswer.Held(lastLease, grant.ttlMillis()));
     }
 
-    MoveEvent keep(HostId host, MoveAction.KeepLease keep) {
+    RolloutEvent keep(HostId host, RolloutAction.KeepLease keep) {
         if (isAway(host)) {
-            return new MoveEvent.LeaseResult(keep.ticket(), new MoveEvent.LeaseAnswer.Away("away"));
+            return new RolloutEvent.LeaseResult(
+                    keep.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
         }
         if (!leaseEnds.containsKey(keep.leaseId())) {
-            return new MoveEvent.LeaseResult(keep.ticket(), new MoveEvent.LeaseAnswer.Lost("gone"));
+            return new RolloutEvent.LeaseResult(
+                    keep.ticket(), new RolloutEvent.LeaseAnswer.Lost("gone"));
         }
         long millis = leaseMillis.get(keep.leaseId());
-        leaseEnds.put(keep.leaseId(), nowNanos + millis * MoveCore.NANOS_PER_MILLI);
-        return new MoveEvent.LeaseResult(
-                keep.ticket(), new MoveEvent.LeaseAnswer.Held(keep.leaseId(), millis));
+        leaseEnds.put(keep.leaseId(), nowNanos + millis * RolloutCore.NANOS_PER_MILLI);
+        return new RolloutEvent.LeaseResult(
+                keep.ticket(), new RolloutEvent.LeaseAnswer.Held(keep.leaseId(), millis));
     }
 }
--- a/src/test/java/org/orioleshed/move/LoadTrialTest.java
+++ b/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.orioleshed.fleet.BackendServer;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
@@ -21,7 +21,8 @@
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private static FakeFleet fleet(int domains, int hostsPerDomain) {
-        return new FakeFleet(new SplittableRandom(1), MoveLimits.DEFAULT, domains, hostsPerDomain);
+        return new FakeFleet(
+                new SplittableRandom(1), RolloutLimits.DEFAULT, domains, hostsPerDomain);
     }
 
     @DataProvider
@@ -35,14 +36,14 @@
     @Test(dataProvider = "fleets")
     public void shareOfAllRequestsStaysAtTheSteps(int domains, int hostsPerDomain, long seconds) {
         FakeFleet fleet = fleet(domains, hostsPerDomain);
-        World world = fleet.world;
-        long roundMillis = 4_000L * world.hosts().size();
+        FleetSnapshot snapshot = fleet.snapshot;
+        long roundMillis = 4_000L * snapshot.hosts().size();
         double sum = 0;
         long count = 0;
-        for (HostId host : world.hosts().keySet()) {
-            LoadTrial trial = new LoadTrial(host, MoveLimits.DEFAULT);
+        for (HostId host : snapshot.hosts().keySet()) {
+            LoadTrial trial = new LoadTrial(host, RolloutLimits.DEFAULT);
             for (long at = 0; at < roundMillis; at += TICK_MILLIS) {
-                sum += trial.share(seconds * NANOS_PER_SECOND, at, world, AVERAGE);
+                sum += trial.share(seconds * NANOS_PER_SECOND, at, snapshot, AVERAGE);
                 count++;
             }
         }
@@ -55,9 +56,9 @@
     public void turnsGetStronger() {
         FakeFleet fleet = fleet(3, 2);
         HostId first = fleet.hosts.keySet().iterator().next();
-        LoadTrial trial = new LoadTrial(first, MoveLimits.DEFAULT);
-        double early = trial.share(0, 0, fleet.world, AVERAGE);
-        double late = trial.share(600 * NANOS_PER_SECOND, 0, fleet.world, AVERAGE);
+        LoadTrial trial = new LoadTrial(first, RolloutLimits.DEFAULT);
+        double early = trial.share(0, 0, fleet.snapshot, AVERAGE);
+        double late = trial.share(600 * NANOS_PER_SECOND, 0, fleet.snapshot, AVERAGE);
         assertTrue(late > early, early + " then " + late);
         assertEquals(late, 1.0);
     }
@@ -66,9 +67,9 @@
     public void oneServerOfTheHostsOwnDomainGetsTheWork() {
         FakeFleet fleet = fleet(3, 1);
         HostId host = fleet.hosts.keySet().iterator().next();
-        LoadTrial trial = new LoadTrial(host, MoveLimits.DEFAULT);
+        LoadTrial trial = new LoadTrial(host, RolloutLimits.DEFAULT);
         List<BackendServer> servers =
-                fleet.world.servers().values().stream()
+                fleet.snapshot.servers().values().stream()
                         .filter(server -> server.version().equals(FakeFleet.NEW))
                         .toList();
         Set<ServerId> heldBack = trial.heldBack(servers, new FailureDomain("d1"));
--- a/src/test/java/org/orioleshed/move/NaiveMove.java
+++ b/src/test/java/org/orioleshed/rollout/NaiveRollout.java
@@ -1,10 +1,10 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
-/** A move by fixed steps, evenly spread over the time, that looks at no evidence. */
-final class NaiveMove {
+/** A rollout by fixed steps, evenly spread over the time, that looks at no evidence. */
+final class NaiveRollout {
     private static final double[] SHARES = {0.01, 0.05, 0.25, 0.5, 1};
 
-    private NaiveMove() {}
+    private NaiveRollout() {}
 
     /**
      * Returns the new version's share.
--- a/src/test/java/org/orioleshed/move/PlacementTest.java
+++ b/src/test/java/org/orioleshed/rollout/PlacementTest.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/src/test/java/org/orioleshed/move/MoveFailuresTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,27 +6,28 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Target;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of moves while links, the store and hosts fail. */
-public class MoveFailuresTest {
+/** Tests of rollouts while links, the store and hosts fail. */
+public class RolloutFailuresTest {
     private static final long LENGTH_MILLIS = 120_000;
     private static final List<RouteId> ROUTES = FakeFleet.routes(2);
-    private static final String KEY = MoveRecord.key(FakeFleet.MOVE);
+    private static final String KEY = RolloutRecord.key(FakeFleet.ROLLOUT);
 
     private static FakeFleet fleet(int domains, int hostsPerDomain) {
         FakeFleet fleet =
-                new FakeFleet(new SplittableRandom(7), MoveLimits.DEFAULT, domains, hostsPerDomain);
-        fleet.plan(FakeFleet.MOVE, ROUTES, LENGTH_MILLIS);
+                new FakeFleet(
+                        new SplittableRandom(7), RolloutLimits.DEFAULT, domains, hostsPerDomain);
+        fleet.plan(FakeFleet.ROLLOUT, ROUTES, LENGTH_MILLIS);
         return fleet;
     }
 
@@ -52,46 +53,46 @@
         }
     }
 
-    private static MoveState state(FakeFleet fleet) {
-        return fleet.store.record(FakeFleet.MOVE).state();
+    private static RolloutState state(FakeFleet fleet) {
+        return fleet.store.record(FakeFleet.ROLLOUT).state();
     }
 
-    private static HostId mover(FakeFleet fleet) {
+    private static HostId coordinator(FakeFleet fleet) {
         for (FakeFleet.Host host : fleet.hosts.values()) {
-            if (host.core.status(fleet.nowNanos).get(0).moverFence() > 0) {
+            if (host.core.status(fleet.nowNanos).get(0).coordinatorFence() > 0) {
                 return host.id;
             }
         }
         throw new AssertionError("no mover");
     }
 
-    private static void assertOneOutcome(FakeFleet fleet, MoveState expected) {
+    private static void assertOneOutcome(FakeFleet fleet, RolloutState expected) {
         assertEquals(state(fleet), expected);
         assertEquals(fleet.store.outcomes.get(KEY), Integer.valueOf(1));
-        MoveAction.Notice.Kind told =
-                expected == MoveState.COMPLETED
-                        ? MoveAction.Notice.Kind.COMPLETED
-                        : MoveAction.Notice.Kind.TAKEN_BACK;
+        RolloutAction.Notice.Kind told =
+                expected == RolloutState.COMPLETED
+                        ? RolloutAction.Notice.Kind.COMPLETED
+                        : RolloutAction.Notice.Kind.TAKEN_BACK;
         for (FakeFleet.Host host : fleet.hosts.values()) {
             assertEquals(host.count(told), 1, host.id + " told " + host.notices);
             assertEquals(
                     host.split.currentVersions().get(ROUTES.get(0)),
-                    expected == MoveState.COMPLETED ? FakeFleet.NEW : FakeFleet.OLD);
+                    expected == RolloutState.COMPLETED ? FakeFleet.NEW : FakeFleet.OLD);
         }
     }
 
     @Test
     public void healthyVersionCompletesBeforeItsTime() {
         FakeFleet fleet = fleet(2, 2);
-        healthy(fleet, LENGTH_MILLIS - MoveLimits.DEFAULT.spreadMillis());
-        assertOneOutcome(fleet, MoveState.COMPLETED);
+        healthy(fleet, LENGTH_MILLIS - RolloutLimits.DEFAULT.spreadMillis());
+        assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
     @Test
     public void noTrafficAtAllIsNoProof() {
         FakeFleet fleet = fleet(2, 1);
         fleet.run(LENGTH_MILLIS, 500);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @DataProvider
@@ -100,7 +101,7 @@
     }
 
     @Test(dataProvider = "losses")
-    public void fuseSpreadsOverLossyLinks(double loss) {
+    public void breakerTripsOverLossyLinks(double loss) {
         FakeFleet fleet = fleet(2, 3);
         healthy(fleet, 20_000);
         fleet.linkLoss = loss;
@@ -118,18 +119,18 @@
         fleet.linkLoss = 0;
         fleet.store.away = false;
         healthy(fleet, 30_000);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
-    public void fuseNeverClosesAgain() {
+    public void breakerNeverClosesAgain() {
         FakeFleet fleet = fleet(1, 2);
         healthy(fleet, 20_000);
         fleet.store.away = true;
         traffic(fleet, 20_000, RunResult.Verdict.FAILED);
         healthy(fleet, 40_000);
         for (FakeFleet.Host host : fleet.hosts.values()) {
-            assertEquals(host.count(MoveAction.Notice.Kind.FUSE), 1);
+            assertEquals(host.count(RolloutAction.Notice.Kind.FUSE), 1);
             assertEquals(host.share(ROUTES.get(0)), 0.0);
         }
     }
@@ -142,29 +143,31 @@
         healthy(fleet, LENGTH_MILLIS);
         for (FakeFleet.Host host : fleet.hosts.values()) {
             assertEquals(host.share(ROUTES.get(0)), 0.0);
-            assertTrue(host.wasTold(MoveAction.Notice.Kind.CONCLUDED_BACK));
+            assertTrue(host.wasTold(RolloutAction.Notice.Kind.CONCLUDED_BACK));
         }
         fleet.store.away = false;
         healthy(fleet, 30_000);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
-    public void pausedMoverStopsFirst() {
+    public void pausedCoordinatorStopsFirst() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 10_000);
-        HostId mover = mover(fleet);
-        MoveCore core = fleet.hosts.get(mover).core;
-        long fence = core.status(fleet.nowNanos).get(0).moverFence();
-        fleet.paused.add(mover);
+        HostId coordinator = coordinator(fleet);
+        RolloutCore core = fleet.hosts.get(coordinator).core;
+        long fence = core.status(fleet.nowNanos).get(0).coordinatorFence();
+        fleet.paused.add(coordinator);
         healthy(fleet, 30_000);
-        assertEquals(core.status(fleet.nowNanos).get(0).moverFence(), 0);
+        assertEquals(core.status(fleet.nowNanos).get(0).coordinatorFence(), 0);
         fleet.paused.clear();
-        List<MoveAction> actions = core.on(fleet.nowNanos, new MoveEvent.Tick(fleet.epochMillis()));
-        assertFalse(actions.stream().anyMatch(MoveAction.SwapRecord.class::isInstance));
-        assertTrue(fleet.store.record(FakeFleet.MOVE).fence() > fence, "another mover took over");
+        List<RolloutAction> actions =
+                core.on(fleet.nowNanos, new RolloutEvent.Tick(fleet.epochMillis()));
+        assertFalse(actions.stream().anyMatch(RolloutAction.SwapRecord.class::isInstance));
+        assertTrue(
+                fleet.store.record(FakeFleet.ROLLOUT).fence() > fence, "another mover took over");
         healthy(fleet, LENGTH_MILLIS - 45_000);
-        assertOneOutcome(fleet, MoveState.COMPLETED);
+        assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
     @DataProvider
@@ -178,27 +181,27 @@
         fleet.store.lostTakeEffect = takeEffect;
         fleet.store.loseAnswers = count;
         healthy(fleet, LENGTH_MILLIS);
-        assertOneOutcome(fleet, MoveState.COMPLETED);
+        assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
     @Test
-    public void earlierOfTwoRacingMovesGoesOn() {
+    public void earlierOfTwoRacingRolloutsGoesOn() {
         FakeFleet fleet = fleet(2, 2);
-        MoveId second = new MoveId("m2");
+        RolloutId second = new RolloutId("m2");
         fleet.plan(second, ROUTES.subList(0, 1), LENGTH_MILLIS);
         healthy(fleet, LENGTH_MILLIS);
-        assertOneOutcome(fleet, MoveState.COMPLETED);
-        assertEquals(fleet.store.record(second).state(), MoveState.TAKEN_BACK);
-        assertEquals(fleet.store.outcomes.get(MoveRecord.key(second)), Integer.valueOf(1));
+        assertOneOutcome(fleet, RolloutState.COMPLETED);
+        assertEquals(fleet.store.record(second).state(), RolloutState.TAKEN_BACK);
+        assertEquals(fleet.store.outcomes.get(RolloutRecord.key(second)), Integer.valueOf(1));
     }
 
     @Test
     public void plainServiceMovesLastAndLeast() {
         FakeFleet fleet = fleet(1, 2);
         RouteId bookings = new RouteId("bookings");
-        MoveId service = new MoveId("m2");
-        MoveRecord record =
-                MoveRecord.plan(
+        RolloutId service = new RolloutId("m2");
+        RolloutRecord record =
+                RolloutRecord.plan(
                         service,
                         new Target.Service(new ServiceId("bookings")),
                         FakeFleet.OLD,
@@ -209,15 +212,15 @@
                         List.of(),
                         "operator",
                         "test");
-        fleet.store.put(MoveRecord.key(service), record.toPayload());
+        fleet.store.put(RolloutRecord.key(service), record.toPayload());
         healthy(fleet, LENGTH_MILLIS / 2);
-        assertEquals(fleet.store.record(service).state(), MoveState.PLANNED);
+        assertEquals(fleet.store.record(service).state(), RolloutState.PLANNED);
         healthy(fleet, LENGTH_MILLIS / 2);
-        assertOneOutcome(fleet, MoveState.COMPLETED);
+        assertOneOutcome(fleet, RolloutState.COMPLETED);
         healthy(fleet, 5_000);
-        assertEquals(fleet.store.record(service).state(), MoveState.RUNNING);
+        assertEquals(fleet.store.record(service).state(), RolloutState.RUNNING);
         for (FakeFleet.Host host : fleet.hosts.values()) {
-            assertTrue(host.share(bookings) < MoveLimits.DEFAULT.shares().get(0));
+            assertTrue(host.share(bookings) < RolloutLimits.DEFAULT.shares().get(0));
         }
     }
 
@@ -226,19 +229,19 @@
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 2_000);
         HostId cut = cutOff(fleet, "d1");
-        healthy(fleet, MoveLimits.DEFAULT.freshMillis() + 500);
-        int step = fleet.store.record(FakeFleet.MOVE).step();
-        assertTrue(step < MoveLimits.DEFAULT.lastStep(), "steps are left: " + step);
+        healthy(fleet, RolloutLimits.DEFAULT.freshMillis() + 500);
+        int step = fleet.store.record(FakeFleet.ROLLOUT).step();
+        assertTrue(step < RolloutLimits.DEFAULT.lastStep(), "steps are left: " + step);
         healthy(fleet, LENGTH_MILLIS / 2);
-        assertEquals(fleet.store.record(FakeFleet.MOVE).step(), step);
+        assertEquals(fleet.store.record(FakeFleet.ROLLOUT).step(), step);
         healthy(fleet, LENGTH_MILLIS);
-        assertEquals(state(fleet), MoveState.TAKEN_BACK);
+        assertEquals(state(fleet), RolloutState.TAKEN_BACK);
         FakeFleet.Host alone = fleet.hosts.get(cut);
         assertEquals(alone.share(ROUTES.get(0)), 0.0);
-        assertTrue(alone.wasTold(MoveAction.Notice.Kind.CONCLUDED_BACK));
+        assertTrue(alone.wasTold(RolloutAction.Notice.Kind.CONCLUDED_BACK));
         heal(fleet);
         healthy(fleet, 10_000);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
@@ -259,7 +262,7 @@
         }
         heal(fleet);
         healthy(fleet, 10_000);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     private static HostId cutOff(FakeFleet fleet, String domain) {
@@ -292,7 +295,7 @@
             }
             healthy(fleet, 3_000);
         }
-        assertEquals(host.count(MoveAction.Notice.Kind.FUSE), 0);
+        assertEquals(host.count(RolloutAction.Notice.Kind.FUSE), 0);
     }
 
     private static void crashOnNew(FakeFleet.Host host, FakeFleet fleet, Fingerprint content) {
@@ -310,7 +313,7 @@
             fleet.step(2_500);
         }
         fleet.step(500);
-        assertOneOutcome(fleet, MoveState.TAKEN_BACK);
+        assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
@@ -319,11 +322,11 @@
         healthy(fleet, 20_000);
         traffic(fleet, 40_000, RunResult.Verdict.CUT);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
-        assertEquals(host.count(MoveAction.Notice.Kind.FUSE), 0);
+        assertEquals(host.count(RolloutAction.Notice.Kind.FUSE), 0);
     }
 
     @Test
-    public void versionThatHangsUntilRunsAreCutBlowsTheFuse() {
+    public void versionThatHangsUntilRunsAreCutTripsTheBreaker() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 20_000);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
@@ -332,7 +335,7 @@
             RunResult hung = new RunResult(RunResult.Verdict.CUT, 9_000, 0, 0, 0, 0.2, content);
             fleet.observe(host, ROUTES.get(0), FakeFleet.NEW, hung);
         }
-        assertTrue(host.wasTold(MoveAction.Notice.Kind.FUSE));
+        assertTrue(host.wasTold(RolloutAction.Notice.Kind.FUSE));
     }
 
     @Test
@@ -346,18 +349,18 @@
         }
         fleet.run(1_000, 100);
         for (FakeFleet.Host each : fleet.hosts.values()) {
-            assertTrue(each.wasTold(MoveAction.Notice.Kind.FAULT_AFTER_COMPLETION));
+            assertTrue(each.wasTold(RolloutAction.Notice.Kind.FAULT_AFTER_COMPLETION));
             assertEquals(each.split.currentVersions().get(ROUTES.get(0)), FakeFleet.OLD);
         }
-        assertEquals(state(fleet), MoveState.COMPLETED);
+        assertEquals(state(fleet), RolloutState.COMPLETED);
         assertEquals(fleet.store.outcomes.get(KEY), Integer.valueOf(1));
     }
 
     @Test
-    public void serverIsGivenToTheNewMoverOnlyAfterTheOldLease() {
-        MoveRecord record =
-                MoveRecord.plan(
-                        FakeFleet.MOVE,
+    public void serverIsGivenToTheNewCoordinatorOnlyAfterTheOldLease() {
+        RolloutRecord record =
+                RolloutRecord.plan(
+                        FakeFleet.ROLLOUT,
                         FakeFleet.LETTERS,
                         FakeFleet.OLD,
                         FakeFleet.NEW,
@@ -367,20 +370,21 @@
                         List.of(new ServerId("d0-new"), new ServerId("d1-new")),
                         "operator",
                         "test");
-        FakeFleet fleet = new FakeFleet(new SplittableRandom(1), MoveLimits.DEFAULT, 2, 1);
-        OrderPlan plan = new OrderPlan(record, MoveLimits.DEFAULT);
+        FakeFleet fleet = new FakeFleet(new SplittableRandom(1), RolloutLimits.DEFAULT, 2, 1);
+        OrderPlan plan = new OrderPlan(record, RolloutLimits.DEFAULT);
         assertEquals(plan.tick(0, 5, 0, ignoringFences(fleet)), List.of());
         long oldLeaseMillis =
-                MoveLimits.DEFAULT.leaseMillis() + MoveLimits.DEFAULT.leaseMarginMillis();
-        List<MoveAction> late =
-                plan.tick(oldLeaseMillis * MoveCore.NANOS_PER_MILLI, 5, 0, ignoringFences(fleet));
+                RolloutLimits.DEFAULT.leaseMillis() + RolloutLimits.DEFAULT.leaseMarginMillis();
+        List<RolloutAction> late =
+                plan.tick(
+                        oldLeaseMillis * RolloutCore.NANOS_PER_MILLI, 5, 0, ignoringFences(fleet));
         assertEquals(late.size(), 1, "one load at a time: " + late);
         plan.onState(new ServerId("d0-new"), FakeFleet.NEW);
         plan.onState(new ServerId("d1-new"), FakeFleet.NEW);
         assertTrue(plan.isDone());
     }
 
-    private static World ignoringFences(FakeFleet fleet) {
-        return FakeFleet.withFencing(fleet.world, false);
+    private static FleetSnapshot ignoringFences(FakeFleet fleet) {
+        return FakeFleet.withFencing(fleet.snapshot, false);
     }
 }
--- a/src/test/java/org/orioleshed/move/MoveProperties.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutProperties.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import static org.testng.Assert.assertEquals;
 
@@ -14,21 +14,21 @@
 import net.jqwik.api.constraints.IntRange;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
-import org.orioleshed.model.MoveId;
 import org.orioleshed.model.Payload;
+import org.orioleshed.model.RolloutId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of evidence, tests and messages of moves. */
-class MoveProperties {
+/** Properties of evidence, tests and messages of rollouts. */
+class RolloutProperties {
     private static final FailureDomain DOMAIN = new FailureDomain("d");
 
     @Property(seed = "11", tries = 300)
     void evidenceMergesTheSameInAnyOrderAndRepetition(@ForAll Random random) {
-        List<MoveMessage.Evidence> messages = history(random);
+        List<RolloutMessage.Evidence> messages = history(random);
         PooledEvidence inOrder = pooled();
         messages.forEach(message -> merge(inOrder, message));
-        List<MoveMessage.Evidence> mixed = new ArrayList<>(messages);
+        List<RolloutMessage.Evidence> mixed = new ArrayList<>(messages);
         mixed.addAll(messages.subList(0, messages.size() / 2));
         Collections.shuffle(mixed, random);
         PooledEvidence anyOrder = pooled();
@@ -36,9 +36,10 @@
         assertEquals(anyOrder.newRuns(), inOrder.newRuns());
     }
 
-    private static List<MoveMessage.Evidence> history(Random random) {
-        MoveMessage.Key key = new MoveMessage.Key(new RouteId("r0"), FakeFleet.NEW, LoadBand.LOW);
-        List<MoveMessage.Evidence> messages = new ArrayList<>();
+    private static List<RolloutMessage.Evidence> history(Random random) {
+        RolloutMessage.Key key =
+                new RolloutMessage.Key(new RouteId("r0"), FakeFleet.NEW, LoadBand.LOW);
+        List<RolloutMessage.Evidence> messages = new ArrayList<>();
         Tally tally = Tally.NONE;
         for (int i = 0; i < 20; i++) {
             tally = tally.plus(new Tally(1 + random.nextInt(5), random.nextInt(2), 0, 1, 0));
@@ -47,14 +48,14 @@
         return messages;
     }
 
-    private static MoveMessage.Evidence evidence(Map<MoveMessage.Key, Tally> tallies) {
-        return new MoveMessage.Evidence(FakeFleet.MOVE, DOMAIN, 1, false, 0, tallies);
+    private static RolloutMessage.Evidence evidence(Map<RolloutMessage.Key, Tally> tallies) {
+        return new RolloutMessage.Evidence(FakeFleet.ROLLOUT, DOMAIN, 1, false, 0, tallies);
     }
 
     private static PooledEvidence pooled() {
-        MoveRecord record =
-                MoveRecord.plan(
-                        FakeFleet.MOVE,
+        RolloutRecord record =
+                RolloutRecord.plan(
+                        FakeFleet.ROLLOUT,
                         FakeFleet.LETTERS,
                         FakeFleet.OLD,
                         FakeFleet.NEW,
@@ -64,32 +65,33 @@
                         List.of(),
                         "operator",
                         "test");
-        return new PooledEvidence(record, MoveLimits.DEFAULT);
+        return new PooledEvidence(record, RolloutLimits.DEFAULT);
     }
 
-    private static void merge(PooledEvidence pooled, MoveMessage.Evidence message) {
+    private static void merge(PooledEvidence pooled, RolloutMessage.Evidence message) {
         pooled.merge(0, new HostId("h"), DOMAIN, message.incarnation(), message.tallies());
     }
 
     @Property(seed = "12", tries = 200)
     void evidenceSurvivesTheCodec(
             @ForAll @IntRange(min = 0, max = 1_000_000) int runs,
-            @ForAll boolean fuse,
+            @ForAll boolean breaker,
             @ForAll LoadBand band)
             throws BadMessageException {
-        Map<MoveMessage.Key, Tally> tallies = new HashMap<>();
+        Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
         Tally tally = new Tally(runs, runs / 2, runs / 3, runs, runs / 5);
-        tallies.put(new MoveMessage.Key(new RouteId("r"), FakeFleet.NEW, band), tally);
-        MoveMessage message =
-                new MoveMessage.Evidence(new MoveId("m"), DOMAIN, runs, fuse, runs, tallies);
-        MoveCodec codec = new MoveCodec();
+        tallies.put(new RolloutMessage.Key(new RouteId("r"), FakeFleet.NEW, band), tally);
+        RolloutMessage message =
+                new RolloutMessage.Evidence(
+                        new RolloutId("m"), DOMAIN, runs, breaker, runs, tallies);
+        RolloutCodec codec = new RolloutCodec();
         assertEquals(codec.decode(codec.encode(message)), message);
     }
 
     @Property(seed = "13", tries = 2_000)
     void anyBytesGiveAMessageOrATypedError(@ForAll byte[] bytes) {
         try {
-            new MoveCodec().decode(bytes);
+            new RolloutCodec().decode(bytes);
         } catch (BadMessageException e) {
             assertEquals(e.getMessage().isBlank(), false);
         }
@@ -98,7 +100,7 @@
     @Property(seed = "14", tries = 2_000)
     void anyTextGivesARecordOrATypedError(@ForAll String text) {
         try {
-            MoveRecord.parse(Payload.of(text));
+            RolloutRecord.parse(Payload.of(text));
         } catch (BadRecordException e) {
             assertEquals(e.getMessage().isBlank(), false);
         }
--- a/src/test/java/org/orioleshed/move/MoveSimulation.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutSimulation.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,11 +9,11 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * One move of three hosts in three failure domains, fed outcomes drawn from stated distributions;
- * no queues and no engines, only draws. Fifty requests a second over ten minutes on three routes
- * with 50, 30 and 20 in 100 of the requests; 30 in 100 meet a server under load.
+ * One rollout of three hosts in three failure domains, fed outcomes drawn from stated
+ * distributions; no queues and no engines, only draws. Fifty requests a second over ten minutes on
+ * three routes with 50, 30 and 20 in 100 of the requests; 30 in 100 meet a server under load.
  */
-final class MoveSimulation {
+final class RolloutSimulation {
     static final long LENGTH_MILLIS = 600_000;
     private static final int REQUESTS_PER_SECOND = 50;
     private static final long STEP_MILLIS = 500;
@@ -32,12 +32,12 @@
         ONE_ROUTE
     }
 
-    /** What one move came to. */
+    /** What one rollout came to. */
     record Result(
             Fault fault,
             boolean slow,
             double size,
-            MoveState outcome,
+            RolloutState outcome,
             long requests,
             long newRequests,
             long badRequests,
@@ -62,9 +62,9 @@
     private long badRequests;
     private long naiveBadRequests;
     private long lateRequests;
-    private long fuseNanos = Long.MAX_VALUE;
+    private long breakerNanos = Long.MAX_VALUE;
 
-    MoveSimulation(long seed, Fault fault) {
+    RolloutSimulation(long seed, Fault fault) {
         random = new SplittableRandom(seed);
         this.fault = fault;
         slow = random.nextBoolean();
@@ -73,24 +73,24 @@
         badRoute = ROUTES.get(random.nextInt(ROUTES.size()));
         baseFailures = random.nextDouble(0, 0.02);
         incidentAt = random.nextDouble() < 0.3 ? random.nextDouble(0.1, 0.8) : 2;
-        fleet = new FakeFleet(random, MoveLimits.DEFAULT, 3, 1);
+        fleet = new FakeFleet(random, RolloutLimits.DEFAULT, 3, 1);
         hosts = new ArrayList<>(fleet.hosts.values());
         newRunsByHost = new int[hosts.size()];
     }
 
     Result run() {
-        fleet.plan(FakeFleet.MOVE, ROUTES, LENGTH_MILLIS);
+        fleet.plan(FakeFleet.ROLLOUT, ROUTES, LENGTH_MILLIS);
         int perStep = (int) (REQUESTS_PER_SECOND * STEP_MILLIS / 1_000);
         long passed = 0;
         while (passed < LENGTH_MILLIS && !isDecided()) {
             for (int i = 0; i < perStep; i++) {
                 request((double) passed / LENGTH_MILLIS);
             }
-            noteFuse();
+            noteBreaker();
             fleet.step(STEP_MILLIS);
             passed += STEP_MILLIS;
         }
-        MoveRecord record = fleet.store.record(FakeFleet.MOVE);
+        RolloutRecord record = fleet.store.record(FakeFleet.ROLLOUT);
         for (; passed < LENGTH_MILLIS; passed += STEP_MILLIS) {
             countNaive((double) passed / LENGTH_MILLIS, perStep);
         }
@@ -104,24 +104,24 @@
                 badRequests,
                 naiveBadRequests,
                 lateRequests,
-                fleet.store.outcomes.getOrDefault(MoveRecord.key(FakeFleet.MOVE), 0),
+                fleet.store.outcomes.getOrDefault(RolloutRecord.key(FakeFleet.ROLLOUT), 0),
                 record.reason());
     }
 
-    private void noteFuse() {
-        boolean blown = hosts.stream().anyMatch(h -> h.wasTold(MoveAction.Notice.Kind.FUSE));
-        if (blown) {
-            fuseNanos = Math.min(fuseNanos, fleet.nowNanos);
+    private void noteBreaker() {
+        boolean tripped = hosts.stream().anyMatch(h -> h.wasTold(RolloutAction.Notice.Kind.FUSE));
+        if (tripped) {
+            breakerNanos = Math.min(breakerNanos, fleet.nowNanos);
         }
     }
 
     private boolean isDecided() {
-        return fleet.store.record(FakeFleet.MOVE).state().isOutcome();
+        return fleet.store.record(FakeFleet.ROLLOUT).state().isOutcome();
     }
 
     private void countNaive(double progress, int count) {
         for (int i = 0; i < count; i++) {
-            if (random.nextDouble() < NaiveMove.share(progress)) {
+            if (random.nextDouble() < NaiveRollout.share(progress)) {
                 countNaive(progress, route(), random.nextDouble() < HIGH_LOAD_PART);
             }
         }
@@ -160,11 +160,11 @@
         if (onNew) {
             newRequests++;
             newRunsByHost[index]++;
-            if (fleet.nowNanos - fuseNanos > 1_000 * MoveCore.NANOS_PER_MILLI) {
+            if (fleet.nowNanos - breakerNanos > 1_000 * RolloutCore.NANOS_PER_MILLI) {
                 lateRequests++;
             }
         }
-        if (random.nextDouble() < NaiveMove.share(progress)) {
+        if (random.nextDouble() < NaiveRollout.share(progress)) {
             countNaive(progress, route, high);
         }
         boolean faulty = onNew && isFaulty(progress, route, high);
--- a/src/test/java/org/orioleshed/move/MoveStatisticsTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutStatisticsTest.java
@@ -1,4 +1,4 @@
-package org.orioleshed.move;
+package org.orioleshed.rollout;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -12,26 +12,26 @@
 import java.util.concurrent.Future;
 import org.testng.annotations.Test;
 
-/** Measures the outcomes of many moves against the stated targets and {@link NaiveMove}. */
-public class MoveStatisticsTest {
+/** Measures the outcomes of many rollouts against the stated targets and {@link NaiveRollout}. */
+public class RolloutStatisticsTest {
     private static final int GOOD_MOVES = Integer.getInteger("moves.good", 1_000);
     private static final int BAD_MOVES = Integer.getInteger("moves.bad", 1_000);
     private static final int THREADS = 3;
 
     @Test
     public void goodVersionsCompleteAndBadOnesAreTakenBack() throws Exception {
-        List<MoveSimulation.Result> results = runAll();
+        List<RolloutSimulation.Result> results = runAll();
         int good = 0;
         int goodCompleted = 0;
         int bad = 0;
         int badCompleted = 0;
         double worstShare = 0;
         long late = 0;
-        for (MoveSimulation.Result result : results) {
+        for (RolloutSimulation.Result result : results) {
             assertEquals(result.outcomes(), 1, "outcomes of one move");
-            boolean completed = result.outcome() == MoveState.COMPLETED;
+            boolean completed = result.outcome() == RolloutState.COMPLETED;
             late += result.lateRequests();
-            if (result.fault() == MoveSimulation.Fault.NONE) {
+            if (result.fault() == RolloutSimulation.Fault.NONE) {
                 good++;
                 goodCompleted += completed ? 1 : 0;
             } else {
@@ -40,7 +40,7 @@
                 worstShare =
                         Math.max(worstShare, (double) result.newRequests() / result.requests());
             }
-            boolean wrong = completed != (result.fault() == MoveSimulation.Fault.NONE);
+            boolean wrong = completed != (result.fault() == RolloutSimulation.Fault.NONE);
             if (wrong) {
                 print("wrong %s", result);
             }
@@ -55,28 +55,28 @@
         assertEquals(late, 0, "requests to a bad version a second after a fuse blew");
     }
 
-    private static void printByFault(List<MoveSimulation.Result> results) {
-        for (MoveSimulation.Fault fault : MoveSimulation.Fault.values()) {
-            long moves = 0;
+    private static void printByFault(List<RolloutSimulation.Result> results) {
+        for (RolloutSimulation.Fault fault : RolloutSimulation.Fault.values()) {
+            long rollouts = 0;
             long completed = 0;
             long sent = 0;
             long naive = 0;
-            for (MoveSimulation.Result result : results) {
+            for (RolloutSimulation.Result result : results) {
                 if (result.fault() != fault) {
                     continue;
                 }
-                moves++;
-                completed += result.outcome() == MoveState.COMPLETED ? 1 : 0;
+                rollouts++;
+                completed += result.outcome() == RolloutState.COMPLETED ? 1 : 0;
                 sent += result.badRequests();
                 naive += result.naiveBadRequests();
             }
             print(
                     "fault=%s moves=%d completed=%d faultyRequestsPerMove=%.1f naive=%.1f",
                     fault,
-                    moves,
+                    rollouts,
                     completed,
-                    (double) sent / Math.max(1, moves),
-                    (double) naive / Math.max(1, moves));
+                    (double) sent / Math.max(1, rollouts),
+                    (double) naive / Math.max(1, rollouts));
         }
     }
 
@@ -84,24 +84,26 @@
         System.out.println(String.format(Locale.ROOT, format, arguments));
     }
 
-    private static List<MoveSimulation.Result> runAll()
+    private static List<RolloutSimulation.Result> runAll()
             throws InterruptedException, ExecutionException {
-        List<Future<MoveSimulation.Result>> futures = new ArrayList<>();
+        List<Future<RolloutSimulation.Result>> futures = new ArrayList<>();
         try (ExecutorService threads = Executors.newFixedThreadPool(THREADS)) {
             for (int i = 0; i < GOOD_MOVES; i++) {
                 long seed = i;
                 futures.add(
                         threads.submit(
-                                () -> new MoveSimulation(seed, MoveSimulation.Fault.NONE).run()));
+                                () ->
+                                        new RolloutSimulation(seed, RolloutSimulation.Fault.NONE)
+                                                .run()));
             }
-            MoveSimulation.Fault[] faults = MoveSimulation.Fault.values();
+            RolloutSimulation.Fault[] faults = RolloutSimulation.Fault.values();
             for (int i = 0; i < BAD_MOVES; i++) {
                 long seed = 1_000_000L + i;
-                MoveSimulation.Fault fault = faults[1 + i % (faults.length - 1)];
-                futures.add(threads.submit(() -> new MoveSimulation(seed, fault).run()));
+                RolloutSimulation.Fault fault = faults[1 + i % (faults.length - 1)];
+                futures.add(threads.submit(() -> new RolloutSimulation(seed, fault).run()));
             }
-            List<MoveSimulation.Result> results = new ArrayList<>();
-            for (Future<MoveSimulation.Result> future : futures) {
+            List<RolloutSimulation.Result> results = new ArrayList<>();
+            for (Future<RolloutSimulation.Result> future : futures) {
                 results.add(future.get());
             }
             return results;
--- a/src/test/java/org/orioleshed/routing/FairQueueProperties.java
+++ b/src/test/java/org/orioleshed/routing/FairQueueProperties.java
@@ -101,9 +101,9 @@
 
     private static Waiting waiting(long sequence, int weight, long deadlineNanos, long workMillis) {
         return new Waiting(
-                Worlds.run(sequence),
+                FleetSnapshots.run(sequence),
                 new HostId("h"),
-                Worlds.offer(Tier.STANDARD, 1_000, weight, 0),
+                FleetSnapshots.offer(Tier.STANDARD, 1_000, weight, 0),
                 deadlineNanos,
                 0,
                 0,
--- a/src/test/java/org/orioleshed/routing/Worlds.java
+++ b/src/test/java/org/orioleshed/routing/FleetSnapshots.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.PatienceWindow;
 import org.orioleshed.fleet.Route;
 import org.orioleshed.fleet.Target;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
@@ -33,8 +33,8 @@
 import org.orioleshed.model.WorkspaceId;
 import org.orioleshed.routing.RoutingMessage.Offer;
 
-/** Worlds and requests for tests. */
-final class Worlds {
+/** Fleet snapshots and requests for tests. */
+final class FleetSnapshots {
     static final RouteId ROUTE = new RouteId("gangway");
     static final Target MODEL = new Target.Model(new ModelId("letters"));
     static final FailureDomain NEAR = new FailureDomain("suva-a");
@@ -43,10 +43,10 @@
     private static final PatienceWindow NIGHT =
             new PatienceWindow(LocalTime.of(20, 0), LocalTime.of(6, 0), ZoneOffset.UTC);
 
-    private Worlds() {}
+    private FleetSnapshots() {}
 
-    /** Returns a world of {@code domains} failure domains, alike in size. */
-    static World of(int domains, int hostsEach, int serversEach, int places) {
+    /** Returns a fleet snapshot of {@code domains} failure domains, alike in size. */
+    static FleetSnapshot of(int domains, int hostsEach, int serversEach, int places) {
         List<EntryHost> hosts = new ArrayList<>();
         List<BackendServer> servers = new ArrayList<>();
         for (int d = 0; d < domains; d++) {
@@ -61,7 +61,7 @@
         return of(hosts, servers);
     }
 
-    static World of(List<EntryHost> hosts, List<BackendServer> servers) {
+    static FleetSnapshot of(List<EntryHost> hosts, List<BackendServer> servers) {
         Map<HostId, EntryHost> hostMap = new HashMap<>();
         hosts.forEach(host -> hostMap.put(host.id(), host));
         Map<ServerId, BackendServer> serverMap = new HashMap<>();
@@ -72,7 +72,7 @@
             workspaces.put(workspace.id(), workspace);
         }
         Route route = new Route(ROUTE, MODEL, Map.of());
-        return new World(
+        return new FleetSnapshot(
                 1, hostMap, serverMap, Map.of(ROUTE, route), workspaces, Map.of(), Map.of());
     }
 
--- a/src/test/java/org/orioleshed/routing/OneServer.java
+++ b/src/test/java/org/orioleshed/routing/OneServer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.Payload;
@@ -18,13 +18,13 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** A home core with one backend server, and an accepting host that places what is granted. */
+/** An owner core with one backend server, and an accepting host that places what is granted. */
 final class OneServer {
     static final ServerId SERVER = new ServerId("suva-a-1");
 
     private static final long MILLI = 1_000_000;
 
-    final HomeCore core;
+    final OwnerCore core;
     final List<RunId> granted = new ArrayList<>();
     final Map<RunId, Refused> refused = new LinkedHashMap<>();
     final Map<RunId, RunEnd> ended = new LinkedHashMap<>();
@@ -38,12 +38,12 @@
     long nowNanos = 1_000 * MILLI;
 
     OneServer(RoutingLimits limits, int places) {
-        core = new HomeCore(Worlds.SELF, limits);
-        tell(new HostEvent.WorldChanged(Worlds.of(1, 1, 1, places)));
+        core = new OwnerCore(FleetSnapshots.SELF, limits);
+        tell(new HostEvent.FleetChanged(FleetSnapshots.of(1, 1, 1, places)));
     }
 
-    void world(World world) {
-        tell(new HostEvent.WorldChanged(world));
+    void fleet(FleetSnapshot fleet) {
+        tell(new HostEvent.FleetChanged(fleet));
     }
 
     void offer(RunId run, Offer offer) {
@@ -55,7 +55,7 @@
     }
 
     void receive(RoutingMessage message) {
-        tell(new HostEvent.RoutingReceived(Worlds.SELF, message));
+        tell(new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
     }
 
     void pass(long millis) {
--- a/src/test/java/org/orioleshed/routing/HomeCoreProperties.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreProperties.java
@@ -16,8 +16,8 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.Tier;
 
-/** Properties of {@link HomeCore} over random orders of events. */
-class HomeCoreProperties {
+/** Properties of {@link OwnerCore} over random orders of events. */
+class OwnerCoreProperties {
     private static final int PLACES = 4;
     private static final int QUEUE_LENGTH = 5;
     private static final List<Tier> TIERS = List.of(Tier.URGENT, Tier.STANDARD, Tier.PATIENT);
@@ -56,12 +56,12 @@
     @Property(seed = "11", tries = 400)
     boolean keepsTierAndDeadlineOrderAndShedsNoUrgentWorkWhileALowerTierRuns(
             @ForAll("happenings") List<Happening> happenings) {
-        OneServer home = new OneServer(LIMITS, PLACES);
-        home.tell(new HostEvent.WallClock(0));
+        OneServer owner = new OneServer(LIMITS, PLACES);
+        owner.tell(new HostEvent.WallClock(0));
         for (Happening happening : happenings) {
-            apply(home, happening);
-            if (!home.violations.isEmpty() || home.onEngine.size() > PLACES) {
-                throw new AssertionError(home.violations + " on engine " + home.onEngine);
+            apply(owner, happening);
+            if (!owner.violations.isEmpty() || owner.onEngine.size() > PLACES) {
+                throw new AssertionError(owner.violations + " on engine " + owner.onEngine);
             }
         }
         return true;
@@ -69,16 +69,16 @@
 
     @Property(seed = "12", tries = 200)
     boolean nothingIsForgotten(@ForAll("happenings") List<Happening> happenings) {
-        OneServer home = new OneServer(LIMITS, PLACES);
+        OneServer owner = new OneServer(LIMITS, PLACES);
         for (Happening happening : happenings) {
-            apply(home, happening);
+            apply(owner, happening);
         }
-        for (int i = 0; i < 2_000 && !home.core.isIdle(); i++) {
-            List.copyOf(home.cancelling).forEach(home::confirmCancel);
-            List.copyOf(home.onEngine).forEach(home::finish);
-            home.pass(100);
+        for (int i = 0; i < 2_000 && !owner.core.isIdle(); i++) {
+            List.copyOf(owner.cancelling).forEach(owner::confirmCancel);
+            List.copyOf(owner.onEngine).forEach(owner::finish);
+            owner.pass(100);
         }
-        return home.core.isIdle() && home.waiting.isEmpty() && home.onEngine.isEmpty();
+        return owner.core.isIdle() && owner.waiting.isEmpty() && owner.onEngine.isEmpty();
     }
 
     @Property(seed = "13", tries = 200)
@@ -97,10 +97,10 @@
                 naive.finish(done);
                 running--;
             } else {
-                RunId run = Worlds.run(++sequence);
+                RunId run = FleetSnapshots.run(++sequence);
                 line.add(run);
-                clever.offer(run, Worlds.offer(Tier.STANDARD, 3_600_000));
-                naive.offer(run, Worlds.offer(Tier.STANDARD, 3_600_000));
+                clever.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
+                naive.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
                 clever.pass(20);
                 naive.pass(20);
             }
@@ -112,50 +112,53 @@
         return clever.granted.equals(expected) && naive.granted.equals(expected);
     }
 
-    private static void apply(OneServer home, Happening happening) {
+    private static void apply(OneServer owner, Happening happening) {
         switch (happening.kind()) {
-            case OFFER -> offer(home, happening.a(), happening.b());
+            case OFFER -> offer(owner, happening.a(), happening.b());
             case BURST -> {
                 for (int i = 0; i < 8; i++) {
-                    offer(home, happening.a(), happening.b());
+                    offer(owner, happening.a(), happening.b());
                 }
             }
             case REPEAT ->
-                    any(List.copyOf(home.tiers.keySet()), happening.a(), run -> repeat(home, run));
-            case FINISH -> any(List.copyOf(home.onEngine), happening.a(), home::finish);
+                    any(
+                            List.copyOf(owner.tiers.keySet()),
+                            happening.a(),
+                            run -> repeat(owner, run));
+            case FINISH -> any(List.copyOf(owner.onEngine), happening.a(), owner::finish);
             case CONFIRM_CANCEL ->
-                    any(List.copyOf(home.cancelling), happening.a(), home::confirmCancel);
+                    any(List.copyOf(owner.cancelling), happening.a(), owner::confirmCancel);
             case CANCEL ->
                     any(
-                            List.copyOf(home.tiers.keySet()),
+                            List.copyOf(owner.tiers.keySet()),
                             happening.a(),
-                            run -> home.receive(new RoutingMessage.Cancelled(run)));
+                            run -> owner.receive(new RoutingMessage.Cancelled(run)));
             case WITHDRAW ->
                     any(
-                            List.copyOf(home.waiting.keySet()),
+                            List.copyOf(owner.waiting.keySet()),
                             happening.a(),
                             run -> {
-                                home.waiting.remove(run);
-                                home.receive(new RoutingMessage.Withdrawn(run, OneServer.SERVER));
+                                owner.waiting.remove(run);
+                                owner.receive(new RoutingMessage.Withdrawn(run, OneServer.SERVER));
                             });
             case TOKENS ->
                     any(
-                            List.copyOf(home.onEngine),
+                            List.copyOf(owner.onEngine),
                             happening.a(),
-                            run -> home.tokens(run, 0, 1 + happening.b() % 5));
-            case PASS -> home.pass(happening.a());
+                            run -> owner.tokens(run, 0, 1 + happening.b() % 5));
+            case PASS -> owner.pass(happening.a());
         }
     }
 
-    private static void offer(OneServer home, int a, int b) {
-        RunId run = Worlds.run(home.tiers.size() + 1L);
+    private static void offer(OneServer owner, int a, int b) {
+        RunId run = FleetSnapshots.run(owner.tiers.size() + 1L);
         Tier tier = TIERS.get(a % TIERS.size());
         long remainingMillis = DEADLINES_MILLIS.get(b % DEADLINES_MILLIS.size()) + a;
-        home.offer(run, Worlds.offer(tier, remainingMillis, 1 + a % 4, b / 7 % 4));
+        owner.offer(run, FleetSnapshots.offer(tier, remainingMillis, 1 + a % 4, b / 7 % 4));
     }
 
-    private static void repeat(OneServer home, RunId run) {
-        home.receive(new RoutingMessage.Placed(run, OneServer.SERVER, Payload.EMPTY, 0, 10));
+    private static void repeat(OneServer owner, RunId run) {
+        owner.receive(new RoutingMessage.Placed(run, OneServer.SERVER, Payload.EMPTY, 0, 10));
     }
 
     private static void any(List<RunId> runs, int choice, Consumer<RunId> action) {
--- a/src/test/java/org/orioleshed/routing/RoutingBench.java
+++ b/src/test/java/org/orioleshed/routing/RoutingBench.java
@@ -14,7 +14,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.host.HostAction;
 import org.orioleshed.host.HostEvent;
 import org.orioleshed.model.Payload;
@@ -26,7 +26,7 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
-/** The cost of a choice, and of a run's whole life on its home, by the fleet's size. */
+/** The cost of a choice, and of a run's whole life on its owner, by the fleet's size. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -41,36 +41,36 @@
     public int servers;
 
     private final List<Request> requests = new ArrayList<>();
-    private final List<ServerId> homeServers = new ArrayList<>();
+    private final List<ServerId> ownedServers = new ArrayList<>();
     private ServerChooser chooser;
-    private HomeCore home;
-    private World world;
+    private OwnerCore owner;
+    private FleetSnapshot fleet;
     private long nowNanos;
     private long sequence;
 
     /** Fills the chooser with loads and prefixes. */
     @Setup
     public void setUp() {
-        world = Worlds.of(DOMAINS, HOSTS_EACH, servers, PLACES);
-        chooser = new ServerChooser(Worlds.SELF, RoutingLimits.DEFAULTS);
-        home = new HomeCore(Worlds.SELF, RoutingLimits.DEFAULTS);
-        home.on(0, new HostEvent.WorldChanged(world));
-        Homes homes = Homes.of(world);
-        for (ServerId server : world.servers().keySet()) {
-            if (homes.home(server).filter(Worlds.SELF::equals).isPresent()) {
-                homeServers.add(server);
+        fleet = FleetSnapshots.of(DOMAINS, HOSTS_EACH, servers, PLACES);
+        chooser = new ServerChooser(FleetSnapshots.SELF, RoutingLimits.DEFAULTS);
+        owner = new OwnerCore(FleetSnapshots.SELF, RoutingLimits.DEFAULTS);
+        owner.on(0, new HostEvent.FleetChanged(fleet));
+        ServerOwners owners = ServerOwners.of(fleet);
+        for (ServerId server : fleet.servers().keySet()) {
+            if (owners.owner(server).filter(FleetSnapshots.SELF::equals).isPresent()) {
+                ownedServers.add(server);
             }
         }
         for (int i = 0; i < REQUESTS; i++) {
             long first = 1_000L * (i % 32);
             List<Long> prefix = LongStream.range(first, first + 16).boxed().toList();
-            requests.add(Worlds.request(i, Tier.STANDARD, prefix));
+            requests.add(FleetSnapshots.request(i, Tier.STANDARD, prefix));
         }
         choice();
         List<ServerLoad> loads = new ArrayList<>();
         for (int i = 1; i <= servers; i++) {
             List<Long> waits = List.of(0L, 10L * (i % 7), 50L * (i % 5));
-            ServerId id = new ServerId(Worlds.NEAR + "-" + i);
+            ServerId id = new ServerId(FleetSnapshots.NEAR + "-" + i);
             loads.add(new ServerLoad(id, i % PLACES, PLACES, waits, 4_000, 20 + i % 20));
         }
         chooser.learn(0, new ServerLoads(loads));
@@ -84,32 +84,34 @@
     @Benchmark
     public List<Candidate> choice() {
         Request request = requests.get((int) (sequence++ % REQUESTS));
-        return chooser.choose(world, request, Optional.empty(), Set.of(), 2, nowNanos);
+        return chooser.choose(fleet, request, Optional.empty(), Set.of(), 2, nowNanos);
     }
 
-    /** A run's life on its home: offer, grant, start, ten tokens, end. */
+    /** A run's life on its owner: offer, grant, start, ten tokens, end. */
     @Benchmark
-    public List<HostAction> runOnHome() {
+    public List<HostAction> runOnOwner() {
         nowNanos += 1_000_000;
-        ServerId server = homeServers.get((int) (sequence % homeServers.size()));
-        RunId run = Worlds.run(++sequence);
-        receive(new RoutingMessage.Offered(run, server, Worlds.offer(Tier.STANDARD, 60_000)));
+        ServerId server = ownedServers.get((int) (sequence % ownedServers.size()));
+        RunId run = FleetSnapshots.run(++sequence);
+        receive(
+                new RoutingMessage.Offered(
+                        run, server, FleetSnapshots.offer(Tier.STANDARD, 60_000)));
         receive(new RoutingMessage.Placed(run, server, Payload.EMPTY, 0, 256));
         for (int i = 0; i < 10; i++) {
-            home.on(nowNanos, new HostEvent.RunTokens(run, server, i, 1, Payload.EMPTY));
+            owner.on(nowNanos, new HostEvent.RunTokens(run, server, i, 1, Payload.EMPTY));
         }
-        return home.on(nowNanos, new HostEvent.RunEnded(run, server, new RunEnd.Finished(10)));
+        return owner.on(nowNanos, new HostEvent.RunEnded(run, server, new RunEnd.Finished(10)));
     }
 
-    /** The work of 20 ms that comes without any event, over all servers of the home. */
+    /** The work of 20 ms that comes without any event, over all servers of the owner. */
     @Benchmark
-    public List<HostAction> tickOfHome() {
+    public List<HostAction> tickOfOwners() {
         nowNanos += 20_000_000;
-        return home.on(nowNanos, new HostEvent.Tick());
+        return owner.on(nowNanos, new HostEvent.Tick());
     }
 
     private void receive(RoutingMessage message) {
-        home.on(nowNanos, new HostEvent.RoutingReceived(Worlds.SELF, message));
+        owner.on(nowNanos, new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
     }
 
     private List<Long> prefixOf(int request) {
--- a/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
+++ b/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
@@ -19,13 +19,13 @@
 
 /** Properties of {@link RoutingCodec}. */
 class RoutingCodecProperties {
-    private static final RunId RUN = Worlds.run(7);
+    private static final RunId RUN = FleetSnapshots.run(7);
     private static final ServerId SERVER = new ServerId("suva-a-1");
     private static final Payload TEXT = Payload.of("ngunu \u0e44\u0e17\u0e22");
 
     private static final List<RoutingMessage> MESSAGES =
             List.of(
-                    new RoutingMessage.Offered(RUN, SERVER, Worlds.offer(Tier.PATIENT, -3)),
+                    new RoutingMessage.Offered(RUN, SERVER, FleetSnapshots.offer(Tier.PATIENT, -3)),
                     new RoutingMessage.Granted(RUN, SERVER, 1_000),
                     new RoutingMessage.Refused(
                             RUN, SERVER, RoutingMessage.RefusalReason.OVERLOAD, true, 12),
--- a/src/test/java/org/orioleshed/routing/ServerChooserTest.java
+++ b/src/test/java/org/orioleshed/routing/ServerChooserTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.ModelId;
 import org.orioleshed.model.RouteId;
@@ -31,14 +31,14 @@
 
     @BeforeMethod
     public void setUp() {
-        chooser = new ServerChooser(Worlds.SELF, RoutingLimits.DEFAULTS);
+        chooser = new ServerChooser(FleetSnapshots.SELF, RoutingLimits.DEFAULTS);
     }
 
-    private List<ServerId> choose(World world, Tier tier, List<Long> prefix, int count) {
+    private List<ServerId> choose(FleetSnapshot fleet, Tier tier, List<Long> prefix, int count) {
         return chooser
                 .choose(
-                        world,
-                        Worlds.request(1, tier, prefix),
+                        fleet,
+                        FleetSnapshots.request(1, tier, prefix),
                         Optional.empty(),
                         Set.of(),
                         count,
@@ -59,49 +59,49 @@
 
     @Test
     public void prefersTheShortestWait() {
-        World world = Worlds.of(1, 2, 3, 8);
-        choose(world, Tier.STANDARD, List.of(), 1);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 2, 3, 8);
+        choose(fleet, Tier.STANDARD, List.of(), 1);
         chooser.learn(
                 0, new ServerLoads(List.of(load(1, 900, 30), load(2, 90, 30), load(3, 500, 30))));
         assertEquals(
-                choose(world, Tier.STANDARD, List.of(), 3),
+                choose(fleet, Tier.STANDARD, List.of(), 3),
                 List.of(id("suva-a", 2), id("suva-a", 3), id("suva-a", 1)));
     }
 
     @Test
     public void keepsUrgentWorkOffSlowStreams() {
-        World world = Worlds.of(1, 1, 2, 8);
-        choose(world, Tier.URGENT, List.of(), 1);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
+        choose(fleet, Tier.URGENT, List.of(), 1);
         chooser.learn(0, new ServerLoads(List.of(load(1, 0, 200), load(2, 600, 30))));
-        assertEquals(choose(world, Tier.URGENT, List.of(), 1), List.of(id("suva-a", 2)));
+        assertEquals(choose(fleet, Tier.URGENT, List.of(), 1), List.of(id("suva-a", 2)));
     }
 
     @Test
     public void theServerWithMostOfThePromptIsAmongTheChosen() {
-        World world = Worlds.of(1, 1, 3, 8);
-        choose(world, Tier.STANDARD, PREFIX, 1);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
+        choose(fleet, Tier.STANDARD, PREFIX, 1);
         chooser.learn(
                 0, new ServerLoads(List.of(load(1, 2_000, 30), load(2, 0, 30), load(3, 10, 30))));
         chooser.placed(id("suva-a", 1), PREFIX);
         assertEquals(
-                choose(world, Tier.STANDARD, PREFIX, 2), List.of(id("suva-a", 2), id("suva-a", 1)));
+                choose(fleet, Tier.STANDARD, PREFIX, 2), List.of(id("suva-a", 2), id("suva-a", 1)));
     }
 
     @Test
     public void aCachedPromptOutweighsAShortWait() {
-        World world = Worlds.of(1, 1, 2, 8);
-        choose(world, Tier.STANDARD, PREFIX, 1);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
+        choose(fleet, Tier.STANDARD, PREFIX, 1);
         chooser.learn(0, new ServerLoads(List.of(load(1, 50, 30), load(2, 0, 30))));
         chooser.placed(id("suva-a", 1), PREFIX);
-        assertEquals(choose(world, Tier.STANDARD, PREFIX, 1), List.of(id("suva-a", 1)));
+        assertEquals(choose(fleet, Tier.STANDARD, PREFIX, 1), List.of(id("suva-a", 1)));
     }
 
     @Test
     public void requestsWithinOneReportSpreadOut() {
-        World world = Worlds.of(1, 1, 4, 2);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 4, 2);
         Set<ServerId> chosen = new HashSet<>();
         for (int i = 0; i < 8; i++) {
-            ServerId server = choose(world, Tier.STANDARD, List.of(), 1).getFirst();
+            ServerId server = choose(fleet, Tier.STANDARD, List.of(), 1).getFirst();
             chosen.add(server);
             chooser.placed(server, List.of());
         }
@@ -110,8 +110,8 @@
 
     @Test
     public void aDistantDomainsSumLeadsToItsBestServers() {
-        World world = Worlds.of(2, 1, 3, 8);
-        choose(world, Tier.STANDARD, List.of(), 1);
+        FleetSnapshot fleet = FleetSnapshots.of(2, 1, 3, 8);
+        choose(fleet, Tier.STANDARD, List.of(), 1);
         chooser.learn(
                 0,
                 new ServerLoads(
@@ -120,16 +120,16 @@
         ModelLoad sum =
                 new ModelLoad(new ModelId("letters"), 3, 4, List.of(0L, 0L, 0L), List.of(best));
         chooser.learn(0, new DomainLoads(new FailureDomain("suva-b"), List.of(sum)));
-        assertEquals(choose(world, Tier.STANDARD, List.of(), 1), List.of(best));
+        assertEquals(choose(fleet, Tier.STANDARD, List.of(), 1), List.of(best));
     }
 
     @Test
     public void leavesOutWhatIsExcludedLeavingOrOfAnotherVersion() {
-        World world = Worlds.of(1, 1, 3, 8);
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
         List<Candidate> none =
                 chooser.choose(
-                        world,
-                        Worlds.request(1, Tier.URGENT, List.of()),
+                        fleet,
+                        FleetSnapshots.request(1, Tier.URGENT, List.of()),
                         Optional.of(new VersionId("v2")),
                         Set.of(),
                         3,
@@ -137,17 +137,19 @@
         assertTrue(none.isEmpty());
         List<Candidate> some =
                 chooser.choose(
-                        world,
-                        Worlds.request(1, Tier.URGENT, List.of()),
+                        fleet,
+                        FleetSnapshots.request(1, Tier.URGENT, List.of()),
                         Optional.of(new VersionId("v1")),
                         Set.of(id("suva-a", 1)),
                         Integer.MAX_VALUE,
                         0);
         assertEquals(some.size(), 2);
-        World leaving =
-                Worlds.of(
-                        List.copyOf(world.hosts().values()),
-                        List.of(Worlds.server("suva-a-1", Worlds.NEAR, 8).withLeaving(true)));
+        FleetSnapshot leaving =
+                FleetSnapshots.of(
+                        List.copyOf(fleet.hosts().values()),
+                        List.of(
+                                FleetSnapshots.server("suva-a-1", FleetSnapshots.NEAR, 8)
+                                        .withLeaving(true)));
         assertTrue(choose(leaving, Tier.URGENT, List.of(), 3).isEmpty());
     }
 
@@ -158,23 +160,24 @@
 
     @Test(dataProvider = "sizes")
     public void allServersAreReturnedWhenAllAreAskedFor(int servers) {
-        World world = Worlds.of(2, 2, servers, 8);
-        List<ServerId> all = choose(world, Tier.URGENT, List.of(), Integer.MAX_VALUE);
-        assertEquals(new HashSet<>(all), world.servers().keySet());
+        FleetSnapshot fleet = FleetSnapshots.of(2, 2, servers, 8);
+        List<ServerId> all = choose(fleet, Tier.URGENT, List.of(), Integer.MAX_VALUE);
+        assertEquals(new HashSet<>(all), fleet.servers().keySet());
         assertEquals(all.size(), 2 * servers);
     }
 
     @Test
     public void theNaivePolicyTakesServersInTurn() {
         ServerChooser naive =
-                new ServerChooser(Worlds.SELF, RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE));
-        World world = Worlds.of(1, 1, 3, 8);
+                new ServerChooser(
+                        FleetSnapshots.SELF, RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE));
+        FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
         List<ServerId> chosen = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             chosen.add(
                     naive.choose(
-                                    world,
-                                    Worlds.request(i, Tier.URGENT, PREFIX),
+                                    fleet,
+                                    FleetSnapshots.request(i, Tier.URGENT, PREFIX),
                                     Optional.empty(),
                                     Set.of(),
                                     1,
@@ -192,6 +195,6 @@
         for (int i = 0; i < 50; i++) {
             chooser.answered(new RouteId("gangway"), 20);
         }
-        assertEquals(chooser.expectedTokens(Worlds.request(1, Tier.URGENT, List.of())), 20);
+        assertEquals(chooser.expectedTokens(FleetSnapshots.request(1, Tier.URGENT, List.of())), 20);
     }
 }
--- a/src/test/java/org/orioleshed/routing/HomesProperties.java
+++ b/src/test/java/org/orioleshed/routing/ServerOwnersProperties.java
@@ -9,28 +9,28 @@
 import net.jqwik.api.constraints.IntRange;
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.fleet.EntryHost;
-import org.orioleshed.fleet.World;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
 
-/** Properties of {@link Homes}. */
-class HomesProperties {
+/** Properties of {@link ServerOwners}. */
+class ServerOwnersProperties {
     private static final int SERVERS = 333;
 
     @Property(seed = "31", tries = 50)
     boolean losingAHostMovesItsServersOnly(
             @ForAll @IntRange(min = 2, max = 8) int hosts,
             @ForAll @IntRange(min = 0, max = 7) int lost) {
-        World before = Worlds.of(2, hosts, SERVERS, 8);
+        FleetSnapshot before = FleetSnapshots.of(2, hosts, SERVERS, 8);
         HostId gone = new HostId("suva-a-h" + (1 + lost % hosts));
         List<EntryHost> left = new ArrayList<>(before.hosts().values());
         left.removeIf(host -> host.id().equals(gone));
-        World after = Worlds.of(left, List.copyOf(before.servers().values()));
-        Homes old = Homes.of(before);
-        Homes now = old.in(after);
+        FleetSnapshot after = FleetSnapshots.of(left, List.copyOf(before.servers().values()));
+        ServerOwners old = ServerOwners.of(before);
+        ServerOwners now = old.in(after);
         for (ServerId server : before.servers().keySet()) {
-            boolean moved = !old.home(server).equals(now.home(server));
-            if (moved != old.home(server).orElseThrow().equals(gone)) {
+            boolean moved = !old.owner(server).equals(now.owner(server));
+            if (moved != old.owner(server).orElseThrow().equals(gone)) {
                 return false;
             }
         }
@@ -39,11 +39,11 @@
 
     @Property(seed = "32", tries = 30)
     boolean spreadsServersEvenly(@ForAll @IntRange(min = 2, max = 8) int hosts) {
-        World world = Worlds.of(1, hosts, SERVERS, 8);
-        Homes homes = Homes.of(world);
+        FleetSnapshot fleet = FleetSnapshots.of(1, hosts, SERVERS, 8);
+        ServerOwners owners = ServerOwners.of(fleet);
         Map<HostId, Integer> counts = new HashMap<>();
-        for (ServerId server : world.servers().keySet()) {
-            counts.merge(homes.home(server).orElseThrow(), 1, Integer::sum);
+        for (ServerId server : fleet.servers().keySet()) {
+            counts.merge(owners.owner(server).orElseThrow(), 1, Integer::sum);
         }
         double mean = (double) SERVERS / hosts;
         // Four standard deviations of the count that an even draw gives.
@@ -53,20 +53,20 @@
     }
 
     @Property(seed = "33", tries = 30)
-    boolean homesAreInTheServersOwnFailureDomainWhileItHasHosts(
+    boolean ownersAreInTheServersOwnFailureDomainWhileItHasHosts(
             @ForAll @IntRange(min = 1, max = 4) int hosts) {
-        World world = Worlds.of(3, hosts, 20, 8);
-        Homes homes = Homes.of(world);
-        for (BackendServer server : world.servers().values()) {
-            EntryHost home = world.hosts().get(homes.home(server.id()).orElseThrow());
-            if (!home.domain().equals(server.domain())) {
+        FleetSnapshot fleet = FleetSnapshots.of(3, hosts, 20, 8);
+        ServerOwners owners = ServerOwners.of(fleet);
+        for (BackendServer server : fleet.servers().values()) {
+            EntryHost owner = fleet.hosts().get(owners.owner(server.id()).orElseThrow());
+            if (!owner.domain().equals(server.domain())) {
                 return false;
             }
         }
-        List<EntryHost> others = new ArrayList<>(world.hosts().values());
-        others.removeIf(host -> host.domain().equals(Worlds.NEAR));
-        World cut = Worlds.of(others, List.copyOf(world.servers().values()));
-        Homes fallen = Homes.of(cut);
-        return world.servers().keySet().stream().allMatch(s -> fallen.home(s).isPresent());
+        List<EntryHost> others = new ArrayList<>(fleet.hosts().values());
+        others.removeIf(host -> host.domain().equals(FleetSnapshots.NEAR));
+        FleetSnapshot cut = FleetSnapshots.of(others, List.copyOf(fleet.servers().values()));
+        ServerOwners fallen = ServerOwners.of(cut);
+        return fleet.servers().keySet().stream().allMatch(s -> fallen.owner(s).isPresent());
     }
 }
--- a/src/test/java/org/orioleshed/settings/ProposalProperties.java
+++ b/src/test/java/org/orioleshed/settings/ProposalProperties.java
@@ -97,7 +97,7 @@
         Store.Result result =
                 switch (call.action()) {
                     case ProposalAction.ReadStore read -> store.get(KEY, 1).join();
-                    case ProposalAction.SwapStore swap ->
+                    case ProposalAction.CompareAndSwap swap ->
                             store.swap(KEY, swap.expectedRevision(), swap.value(), 0, 1).join();
                     case ProposalAction.Settled done -> throw new AssertionError(done);
                 };
--- a/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
+++ b/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.orioleshed.fleet.FleetSnapshot;
 import org.orioleshed.fleet.Workspace;
-import org.orioleshed.fleet.World;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Tier;
@@ -55,21 +55,21 @@
     }
 
     @Test
-    public void theWorldHasLeavingMarksAndMovedVersions() {
+    public void theFleetSnapshotHasLeavingMarksAndMovedVersions() {
         ServerId marked = new ServerId("suva-a-1");
         RouteId route = new RouteId("gangway");
-        World world =
+        FleetSnapshot fleet =
                 tree(SampleTree.TEXT)
-                        .world(
+                        .fleet(
                                 7,
                                 Map.of(),
                                 Map.of(marked, true),
                                 Map.of(),
                                 Map.of(route, new VersionId("v2")));
-        assertTrue(world.servers().get(marked).leaving());
-        assertFalse(world.servers().get(new ServerId("suva-a-2")).leaving());
-        assertEquals(world.currentVersions().get(route), new VersionId("v2"));
-        assertEquals(world.settingsRevision(), 7);
+        assertTrue(fleet.servers().get(marked).leaving());
+        assertFalse(fleet.servers().get(new ServerId("suva-a-2")).leaving());
+        assertEquals(fleet.currentVersions().get(route), new VersionId("v2"));
+        assertEquals(fleet.settingsRevision(), 7);
     }
 
     @DataProvider
--- a/src/test/java/org/orioleshed/standin/StoreServerTest.java
+++ b/src/test/java/org/orioleshed/standin/StoreServerTest.java
@@ -45,7 +45,7 @@
     }
 
     private JsonNode json(String path, String body) throws IOException, InterruptedException {
-        return JsonDoor.JSON.readTree(post(path, body, BodyHandlers.ofByteArray()).body());
+        return JsonHandler.JSON.readTree(post(path, body, BodyHandlers.ofByteArray()).body());
     }
 
     private static String base64(String text) {
@@ -102,7 +102,7 @@
                                 StandardCharsets.UTF_8))) {
             assertTrue(lines.readLine().contains("\"created\":true"));
             swap("a/x", 0);
-            JsonNode event = JsonDoor.JSON.readTree(lines.readLine()).at("/result/events/0/kv");
+            JsonNode event = JsonHandler.JSON.readTree(lines.readLine()).at("/result/events/0/kv");
             assertEquals(event.path("key").asText(), base64("a/x"));
         }
         assertEquals(json("/standin/counts", "{}").path("watches").asInt(), 1);
