--- a/src/main/java/org/orioleshed/catalog/CallRoute.java
+++ b/src/main/java/org/orioleshed/catalog/CallRoute.java
@@ -10,7 +10,7 @@
  * @param id the operators' name of the route
  * @param host the host name that callers use
  * @param prefix the path prefix; begins and ends with a slash
- * @param repeat what may be repeated
+ * @param repeatability what may be repeated
  * @param resumable whether a stream may go on at another server after its last event
  * @param timeoutMillis the longest time that a caller is kept waiting, in milliseconds; positive
  * @param targetMillis the time within which an answer is worth most, in milliseconds; positive
@@ -25,7 +25,7 @@
         RouteId id,
         String host,
         String prefix,
-        Repeat repeat,
+        Repeatability repeatability,
         boolean resumable,
         long timeoutMillis,
         long targetMillis,
@@ -58,7 +58,7 @@
 
     /** Returns whether a call that a server may have begun may be sent to another one. */
     public boolean mayRunAgain() {
-        return switch (repeat) {
+        return switch (repeatability) {
             case IDEMPOTENT -> true;
             case ONCE -> false;
             case STREAM -> resumable;
--- a/src/main/java/org/orioleshed/catalog/Catalog.java
+++ b/src/main/java/org/orioleshed/catalog/Catalog.java
@@ -14,7 +14,7 @@
  * @param routes all routes, by host name and prefix
  * @param pools all pools, by service
  * @param keys the workspace that holds each key
- * @param tenancies all workspaces
+ * @param workspaces all workspaces
  * @param limits what callers may send
  */
 public record Catalog(
@@ -22,14 +22,14 @@
         Map<String, Map<String, CallRoute>> routes,
         Map<ServiceId, Pool> pools,
         Map<String, WorkspaceId> keys,
-        Map<WorkspaceId, WorkspaceConfig> tenancies,
+        Map<WorkspaceId, WorkspaceConfig> workspaces,
         CallerLimits limits) {
     /** Copies the maps. */
     public Catalog {
         routes = Map.copyOf(routes);
         pools = Map.copyOf(pools);
         keys = Map.copyOf(keys);
-        tenancies = Map.copyOf(tenancies);
+        workspaces = Map.copyOf(workspaces);
     }
 
     /** Returns routes as {@link #routes} holds them. */
@@ -64,11 +64,11 @@
 
     /** Returns the workspace that holds {@code key}. */
     public Optional<WorkspaceConfig> holder(String key) {
-        return Optional.ofNullable(keys.get(key)).map(tenancies::get);
+        return Optional.ofNullable(keys.get(key)).map(workspaces::get);
     }
 
     /** Returns whether callers need a key on routes that are not open. */
-    public boolean wantsKeys() {
-        return !tenancies.isEmpty();
+    public boolean requiresKeys() {
+        return !workspaces.isEmpty();
     }
 }
--- a/src/main/java/org/orioleshed/catalog/CatalogDecoder.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogDecoder.java
@@ -12,25 +12,26 @@
     String operatorPrefix();
 
     /**
-     * Returns the order to move a pool between versions that lies under {@code key}; empty where
+     * Returns the order to roll out a version of a pool that lies under {@code key}; empty where
      * the key holds something else.
      *
      * @throws BadCatalogException when it can't be read
      */
-    Optional<MoveOrder> order(String key, byte[] value, long revision) throws BadCatalogException;
+    Optional<RolloutOrder> order(String key, byte[] value, long revision)
+            throws BadCatalogException;
 
-    /** Returns the key under which the outcome of a pool's move is recorded. */
+    /** Returns the key under which the outcome of a pool's rollout is recorded. */
     String outcomeKey(ServiceId service);
 
     /** Returns an outcome as it is recorded. */
-    byte[] encodeOutcome(MoveOrder order, MoveOutcome outcome);
+    byte[] encodeOutcome(RolloutOrder order, RolloutOutcome outcome);
 
     /**
      * Returns the recorded outcome; empty where it belongs to another order.
      *
      * @throws BadCatalogException when it can't be read
      */
-    Optional<MoveOutcome> outcome(MoveOrder order, byte[] value) throws BadCatalogException;
+    Optional<RolloutOutcome> outcome(RolloutOrder order, byte[] value) throws BadCatalogException;
 
     /** Returns the prefix of the keys under which servers register themselves. */
     String serversPrefix();
--- a/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
@@ -11,7 +11,7 @@
  * @param operators what operators wrote, as the store holds it
  * @param entries the servers' entries, as the store holds them
  * @param servers the servers that may be used
- * @param orders the newest order to move each pool between versions
+ * @param orders the newest rollout order of each pool
  */
 public record CatalogSnapshot(
         long configRevision,
@@ -19,7 +19,7 @@
         EntryView operators,
         EntryView entries,
         List<PoolServer> servers,
-        List<MoveOrder> orders) {
+        List<RolloutOrder> orders) {
     /** What a host knows at its start. */
     public static final CatalogSnapshot NOTHING =
             new CatalogSnapshot(
--- a/src/main/java/org/orioleshed/catalog/CatalogState.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogState.java
@@ -26,7 +26,7 @@
     private final CatalogDecoder decoder;
     private final Consumer<String> log;
     private final Map<String, Store.Entry> operators = new HashMap<>();
-    private final Map<ServiceId, MoveOrder> orders = new HashMap<>();
+    private final Map<ServiceId, RolloutOrder> orders = new HashMap<>();
     private final Map<String, Known> servers = new HashMap<>();
     private final LinkedHashMap<String, Long> removed = new LinkedHashMap<>();
     private Optional<Catalog> catalog = Optional.empty();
@@ -101,7 +101,7 @@
 
     private boolean order(Store.Entry entry, String source) {
         try {
-            Optional<MoveOrder> order =
+            Optional<RolloutOrder> order =
                     decoder.order(entry.key(), entry.value().toBytes(), entry.revision());
             order.ifPresent(
                     it -> {
--- a/src/main/java/org/orioleshed/catalog/CatalogFollower.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogWatcher.java
@@ -13,7 +13,7 @@
  * Keeps the configuration and the servers in force, from the store's watches and from what peers
  * know. Revisions only rise. All work is done on one executor's thread.
  */
-public final class CatalogFollower {
+public final class CatalogWatcher {
     private static final long CALL_TIMEOUT_MILLIS = 1_500;
     private static final long FIRST_RETRY_MILLIS = 150;
     private static final long MAX_RETRY_MILLIS = 1_000;
@@ -34,7 +34,7 @@
      *
      * @param log takes a line for each change of belief
      */
-    public CatalogFollower(
+    public CatalogWatcher(
             Store store,
             CatalogDecoder decoder,
             ScheduledExecutorService executor,
--- a/src/main/java/org/orioleshed/catalog/PoolServer.java
+++ b/src/main/java/org/orioleshed/catalog/PoolServer.java
@@ -16,7 +16,7 @@
  * @param version the version of its software
  * @param slots the calls that it runs at once; positive
  * @param draining whether it is about to leave
- * @param bornMillis the wall-clock time of its start, in Unix milliseconds; 0 where it states none
+ * @param startMillis the wall-clock time of its start, in Unix milliseconds; 0 where it states none
  */
 public record PoolServer(
         ServerId id,
@@ -26,9 +26,9 @@
         VersionId version,
         int slots,
         boolean draining,
-        long bornMillis) {
+        long startMillis) {
     /** Returns whether {@code other} is the same start of the same server. */
     public boolean sameStart(PoolServer other) {
-        return id.equals(other.id) && bornMillis == other.bornMillis;
+        return id.equals(other.id) && startMillis == other.startMillis;
     }
 }
--- a/src/main/java/org/orioleshed/catalog/Repeat.java
+++ b/src/main/java/org/orioleshed/catalog/Repeatability.java
@@ -1,7 +1,7 @@
 package org.orioleshed.catalog;
 
 /** What may be repeated of a call. */
-public enum Repeat {
+public enum Repeatability {
     /** The call may run any number of times. */
     IDEMPOTENT,
     /** The call runs at most once for each attempt of its caller. */
--- a/src/main/java/org/orioleshed/catalog/MoveOutcome.java
+++ b/src/main/java/org/orioleshed/catalog/RolloutOutcome.java
@@ -1,7 +1,7 @@
 package org.orioleshed.catalog;
 
-/** How far a move between versions is. */
-public enum MoveOutcome {
+/** How far a rollout is. */
+public enum RolloutOutcome {
     /** Under way. */
     RUNNING,
     /** All calls go to the target, and the old servers may stop. */
--- a/src/main/java/org/orioleshed/dispatch/AdmissionRule.java
+++ b/src/main/java/org/orioleshed/dispatch/AdmissionRule.java
@@ -40,8 +40,8 @@
 
     private double ahead(int rank) {
         return pool.waiters().stream()
-                .map(QueuedRequest::ask)
-                .filter(ask -> ask.rank() <= rank)
+                .map(QueuedRequest::request)
+                .filter(request -> request.rank() <= rank)
                 .mapToDouble(pool::busyMillis)
                 .sum();
     }
@@ -56,16 +56,16 @@
     }
 
     /** Returns whether a new request may wait. */
-    boolean mayWait(Ask ask) {
-        double ahead = ahead(ask.rank());
-        double wait = waitMillis(ahead, ask.rank());
-        if (wait > ask.targetLeftMillis()) {
+    boolean mayWait(PlacementRequest request) {
+        double ahead = ahead(request.rank());
+        double wait = waitMillis(ahead, request.rank());
+        if (wait > request.targetLeftMillis()) {
             // Those of its own rank that can still be in time go on coming, and go before it.
-            wait = waitMillis(ahead, ask.rank() + 1);
+            wait = waitMillis(ahead, request.rank() + 1);
         }
-        double needed = wait + pool.busyMillis(ask);
-        return wait <= MAX_WAIT_PART * ask.deadlineLeftMillis()
-                && needed <= ask.deadlineLeftMillis();
+        double needed = wait + pool.busyMillis(request);
+        return wait <= MAX_WAIT_PART * request.deadlineLeftMillis()
+                && needed <= request.deadlineLeftMillis();
     }
 
     /**
@@ -77,7 +77,7 @@
         double ahead = 0;
         for (QueuedRequest waiter : pool.inOrder()) {
             if (mayGoOn(waiter, ahead)) {
-                ahead += pool.busyMillis(waiter.ask());
+                ahead += pool.busyMillis(waiter.request());
             } else {
                 result.add(waiter);
             }
@@ -86,22 +86,22 @@
     }
 
     private boolean mayGoOn(QueuedRequest waiter, double ahead) {
-        Ask ask = waiter.ask();
+        PlacementRequest request = waiter.request();
         long waited = waiter.waitedMillis(nowNanos);
         boolean late = waiter.targetNanos() < nowNanos;
-        double more = late ? waitMillis(ahead, ask.rank() + 1) : 0;
-        return waited + more <= MAX_WAIT_PART * ask.deadlineLeftMillis()
-                && waited + pool.busyMillis(ask) <= ask.deadlineLeftMillis();
+        double more = late ? waitMillis(ahead, request.rank() + 1) : 0;
+        return waited + more <= MAX_WAIT_PART * request.deadlineLeftMillis()
+                && waited + pool.busyMillis(request) <= request.deadlineLeftMillis();
     }
 
     /**
      * Returns when a caller that is turned away should come back, in milliseconds.
      *
-     * @param ask what it needed
+     * @param request what it needed
      * @param betterMillis when it would fare better
      */
-    static long retryAfterMillis(Ask ask, double betterMillis) {
-        double most = MAX_RETRY_PART * Math.max(0, ask.deadlineLeftMillis());
+    static long retryAfterMillis(PlacementRequest request, double betterMillis) {
+        double most = MAX_RETRY_PART * Math.max(0, request.deadlineLeftMillis());
         return (long) Math.clamp(betterMillis, Math.min(LEAST_RETRY_MILLIS, most), most);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/CrashTracker.java
+++ b/src/main/java/org/orioleshed/dispatch/CrashTracker.java
@@ -82,7 +82,7 @@
     }
 
     /** Adds crashes that another host saw. */
-    void recall(Map<Long, Integer> crashes, long nowNanos) {
+    void applyReport(Map<Long, Integer> crashes, long nowNanos) {
         crashes.forEach(
                 (content, count) -> {
                     for (int crash = 0; crash < Math.min(count, HOLDING_CRASHES); crash++) {
--- a/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
@@ -20,10 +20,10 @@
     @Override
     public byte[] encode(DispatchMessage message) {
         return switch (message) {
-            case DispatchMessage.ToHome to -> write(to.event());
-            case DispatchMessage.FromHome from -> write(from.action());
-            case DispatchMessage.Follows follows -> write(Dispatch.Kind.FOLLOWS);
-            case DispatchMessage.Begins begins -> write(Dispatch.Kind.HOME_BEGINS);
+            case DispatchMessage.ToPrimary to -> write(to.event());
+            case DispatchMessage.FromPrimary from -> write(from.action());
+            case DispatchMessage.Follow follow -> write(Dispatch.Kind.FOLLOWS);
+            case DispatchMessage.PrimaryStarted started -> write(Dispatch.Kind.HOME_BEGINS);
         };
     }
 
@@ -33,14 +33,14 @@
 
     private static byte[] write(DispatchEvent event) {
         return switch (event) {
-            case DispatchEvent.Asked asked ->
-                    start(Dispatch.Kind.ASKED, asked.run())
-                            .setAsk(write(asked.ask()))
+            case DispatchEvent.PlacementRequested requested ->
+                    start(Dispatch.Kind.ASKED, requested.run())
+                            .setAsk(write(requested.request()))
                             .build()
                             .toByteArray();
             case DispatchEvent.Placed placed ->
                     start(Dispatch.Kind.PLACED, placed.run())
-                            .setAsk(write(placed.ask()))
+                            .setAsk(write(placed.request()))
                             .setServer(placed.server().value())
                             .build()
                             .toByteArray();
@@ -52,8 +52,8 @@
                             .build()
                             .toByteArray();
             case DispatchEvent.Ended ended ->
-                    write(ended.end().limit(), start(Dispatch.Kind.ENDED, ended.run()))
-                            .setEnd(write(ended.end()))
+                    write(ended.report().limit(), start(Dispatch.Kind.ENDED, ended.run()))
+                            .setEnd(write(ended.report()))
                             .build()
                             .toByteArray();
             case DispatchEvent.QuotasHanded handed -> write(handed);
@@ -61,19 +61,19 @@
                     Dispatch.newBuilder()
                             .setKind(Dispatch.Kind.SERVER_LEAVING)
                             .setServer(leaving.server().value())
-                            .setMillis(leaving.bornMillis())
+                            .setMillis(leaving.startMillis())
                             .build()
                             .toByteArray();
             case DispatchEvent.ServerLimited limited ->
                     Dispatch.newBuilder()
                             .setKind(Dispatch.Kind.SERVER_LIMITED)
                             .setServer(limited.server().value())
-                            .setMillis(limited.bornMillis())
+                            .setMillis(limited.startMillis())
                             .setLimitPerSecond(limited.limit().perSecond())
                             .build()
                             .toByteArray();
-            case DispatchEvent.CrashesRecalled recalled -> RecallCodec.write(recalled);
-            case DispatchEvent.MoveRecalled recalled -> RecallCodec.write(recalled);
+            case DispatchEvent.CrashesReported reported -> ReportCodec.write(reported);
+            case DispatchEvent.RolloutReported reported -> ReportCodec.write(reported);
             case DispatchEvent.HostGone gone -> throw new IllegalArgumentException("not sent");
             case DispatchEvent.ServersChanged changed ->
                     throw new IllegalArgumentException("not sent");
@@ -81,9 +81,9 @@
                     throw new IllegalArgumentException("not sent");
             case DispatchEvent.ShareChanged changed ->
                     throw new IllegalArgumentException("not sent");
-            case DispatchEvent.MoveOrdered ordered ->
+            case DispatchEvent.RolloutOrdered ordered ->
                     throw new IllegalArgumentException("not sent");
-            case DispatchEvent.MoveSettled settled ->
+            case DispatchEvent.RolloutSettled settled ->
                     throw new IllegalArgumentException("not sent");
             case DispatchEvent.Tick tick -> throw new IllegalArgumentException("not sent");
         };
@@ -144,30 +144,30 @@
         };
     }
 
-    private static Dispatch.Ask write(Ask ask) {
+    private static Dispatch.Ask write(PlacementRequest request) {
         Dispatch.Ask.Builder wire =
                 Dispatch.Ask.newBuilder()
-                        .setService(ask.service().value())
-                        .setRoute(ask.route().value())
-                        .setDomain(ask.domain().value())
-                        .setRank(ask.rank())
-                        .setTargetLeftMillis(ask.targetLeftMillis())
-                        .setDeadlineLeftMillis(ask.deadlineLeftMillis())
-                        .setPromptTokens(ask.promptTokens())
-                        .setOutputTokens(ask.outputTokens())
-                        .setQuotaUnits(ask.quotaUnits())
-                        .setContent(ask.content());
-        ask.workspace().ifPresent(workspace -> wire.setWorkspace(workspace.value()));
-        ask.excluded().forEach(server -> wire.addExcluded(server.value()));
+                        .setService(request.service().value())
+                        .setRoute(request.route().value())
+                        .setDomain(request.domain().value())
+                        .setRank(request.rank())
+                        .setTargetLeftMillis(request.targetLeftMillis())
+                        .setDeadlineLeftMillis(request.deadlineLeftMillis())
+                        .setPromptTokens(request.promptTokens())
+                        .setOutputTokens(request.outputTokens())
+                        .setQuotaUnits(request.quotaUnits())
+                        .setContent(request.content());
+        request.workspace().ifPresent(workspace -> wire.setWorkspace(workspace.value()));
+        request.excluded().forEach(server -> wire.addExcluded(server.value()));
         return wire.build();
     }
 
-    private static Dispatch.End write(RunEnd end) {
+    private static Dispatch.End write(RunReport report) {
         return Dispatch.End.newBuilder()
-                .setOutcome(Dispatch.Outcome.valueOf(end.outcome().name()))
-                .setEvents(end.events())
-                .setFirstMillis(end.firstMillis())
-                .setTotalMillis(end.totalMillis())
+                .setOutcome(Dispatch.Outcome.valueOf(report.outcome().name()))
+                .setEvents(report.events())
+                .setFirstMillis(report.firstMillis())
+                .setTotalMillis(report.totalMillis())
                 .build();
     }
 
@@ -182,54 +182,55 @@
 
     private static DispatchMessage read(Dispatch wire) throws BadMessageException {
         if (wire.getKind() == Dispatch.Kind.FOLLOWS) {
-            return new DispatchMessage.Follows();
+            return new DispatchMessage.Follow();
         }
         if (wire.getKind() == Dispatch.Kind.QUOTAS_HANDED) {
-            return new DispatchMessage.ToHome(readQuotas(wire));
+            return new DispatchMessage.ToPrimary(readQuotas(wire));
         }
         if (wire.getKind() == Dispatch.Kind.SERVER_LEAVING) {
-            return new DispatchMessage.ToHome(
+            return new DispatchMessage.ToPrimary(
                     new DispatchEvent.ServerLeaving(
                             new ServerId(wire.getServer()), wire.getMillis()));
         }
         if (wire.getKind() == Dispatch.Kind.SERVER_LIMITED) {
-            return new DispatchMessage.ToHome(
+            return new DispatchMessage.ToPrimary(
                     new DispatchEvent.ServerLimited(
                             new ServerId(wire.getServer()),
                             wire.getMillis(),
                             new StatedLimit.Rate(wire.getLimitPerSecond())));
         }
         if (wire.getKind() == Dispatch.Kind.HOME_BEGINS) {
-            return new DispatchMessage.Begins();
+            return new DispatchMessage.PrimaryStarted();
         }
         if (wire.getKind() == Dispatch.Kind.CRASHES_RECALLED) {
-            return new DispatchMessage.ToHome(RecallCodec.readCrashes(wire));
+            return new DispatchMessage.ToPrimary(ReportCodec.readCrashes(wire));
         }
         if (wire.getKind() == Dispatch.Kind.MOVE_RECALLED) {
-            return new DispatchMessage.ToHome(RecallCodec.readMove(wire));
+            return new DispatchMessage.ToPrimary(ReportCodec.readRollout(wire));
         }
         RunKey run = new RunKey(new HostId(wire.getOrigin()), wire.getRun());
         return switch (wire.getKind()) {
             case ASKED ->
-                    new DispatchMessage.ToHome(new DispatchEvent.Asked(run, read(wire.getAsk())));
-            case WITHDRAWN -> new DispatchMessage.ToHome(new DispatchEvent.Withdrawn(run));
+                    new DispatchMessage.ToPrimary(
+                            new DispatchEvent.PlacementRequested(run, read(wire.getAsk())));
+            case WITHDRAWN -> new DispatchMessage.ToPrimary(new DispatchEvent.Withdrawn(run));
             case PLACED ->
-                    new DispatchMessage.ToHome(
+                    new DispatchMessage.ToPrimary(
                             new DispatchEvent.Placed(
                                     run, read(wire.getAsk()), new ServerId(wire.getServer())));
             case FIRST ->
-                    new DispatchMessage.ToHome(
+                    new DispatchMessage.ToPrimary(
                             new DispatchEvent.First(run, wire.getMillis(), readLimit(wire)));
             case ENDED ->
-                    new DispatchMessage.ToHome(
+                    new DispatchMessage.ToPrimary(
                             new DispatchEvent.Ended(run, read(wire.getEnd(), readLimit(wire))));
             case GRANT ->
-                    new DispatchMessage.FromHome(
+                    new DispatchMessage.FromPrimary(
                             new DispatchAction.Grant(
                                     run, new ServerId(wire.getServer()), wire.getWhy()));
-            case QUEUED -> new DispatchMessage.FromHome(new DispatchAction.Queued(run));
+            case QUEUED -> new DispatchMessage.FromPrimary(new DispatchAction.Queued(run));
             case REFUSE ->
-                    new DispatchMessage.FromHome(
+                    new DispatchMessage.FromPrimary(
                             new DispatchAction.Refuse(
                                     run, read(wire.getReason()), wire.getMillis()));
             case FOLLOWS,
@@ -271,12 +272,12 @@
         };
     }
 
-    private static Ask read(Dispatch.Ask wire) {
+    private static PlacementRequest read(Dispatch.Ask wire) {
         Optional<WorkspaceId> workspace =
                 wire.getWorkspace().isEmpty()
                         ? Optional.empty()
                         : Optional.of(new WorkspaceId(wire.getWorkspace()));
-        return new Ask(
+        return new PlacementRequest(
                 new ServiceId(wire.getService()),
                 new RouteId(wire.getRoute()),
                 workspace,
@@ -291,9 +292,9 @@
                 wire.getExcludedList().stream().map(ServerId::new).collect(Collectors.toSet()));
     }
 
-    private static RunEnd read(Dispatch.End wire, StatedLimit limit) {
-        return new RunEnd(
-                RunEnd.Outcome.valueOf(wire.getOutcome().name()),
+    private static RunReport read(Dispatch.End wire, StatedLimit limit) {
+        return new RunReport(
+                RunReport.Outcome.valueOf(wire.getOutcome().name()),
                 wire.getEvents(),
                 wire.getFirstMillis(),
                 wire.getTotalMillis(),
--- a/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Map;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.Pool;
 import org.orioleshed.catalog.PoolServer;
 import org.orioleshed.catalog.Quota;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
@@ -15,13 +15,13 @@
 /** What can happen to a scheduler. */
 public sealed interface DispatchEvent {
     /** A request needs a server. */
-    record Asked(RunKey run, Ask ask) implements DispatchEvent {}
+    record PlacementRequested(RunKey run, PlacementRequest request) implements DispatchEvent {}
 
     /** A request needs none any more. */
     record Withdrawn(RunKey run) implements DispatchEvent {}
 
     /** A request was placed by another scheduler. */
-    record Placed(RunKey run, Ask ask, ServerId server) implements DispatchEvent {}
+    record Placed(RunKey run, PlacementRequest request, ServerId server) implements DispatchEvent {}
 
     /**
      * A run's first event came.
@@ -38,7 +38,7 @@
     }
 
     /** A run ended. */
-    record Ended(RunKey run, RunEnd end) implements DispatchEvent {}
+    record Ended(RunKey run, RunReport report) implements DispatchEvent {}
 
     /** A host is gone, and its runs with it. */
     record HostGone(HostId host) implements DispatchEvent {}
@@ -47,46 +47,46 @@
      * A server told a host in an answer that it leaves.
      *
      * @param server the server
-     * @param bornMillis which start of it, as {@link
-     *     org.orioleshed.catalog.PoolServer#bornMillis()}
+     * @param startMillis which start of it, as {@link
+     *     org.orioleshed.catalog.PoolServer#startMillis()}
      */
-    record ServerLeaving(ServerId server, long bornMillis) implements DispatchEvent {}
+    record ServerLeaving(ServerId server, long startMillis) implements DispatchEvent {}
 
     /**
      * A server told a host some time ago how many requests it takes.
      *
      * @param server the server
-     * @param bornMillis which start of it, as {@link
-     *     org.orioleshed.catalog.PoolServer#bornMillis()}
+     * @param startMillis which start of it, as {@link
+     *     org.orioleshed.catalog.PoolServer#startMillis()}
      * @param limit how many
      */
-    record ServerLimited(ServerId server, long bornMillis, StatedLimit.Rate limit)
+    record ServerLimited(ServerId server, long startMillis, StatedLimit.Rate limit)
             implements DispatchEvent {}
 
     /**
-     * What a host saw of requests that crash servers, told to a home that begins.
+     * What a host saw of requests that crash servers, told to a primary that begins.
      *
      * @param host the host
      * @param crashes how many crashes each content caused, by its fingerprint
      */
-    record CrashesRecalled(HostId host, Map<Long, Integer> crashes) implements DispatchEvent {
+    record CrashesReported(HostId host, Map<Long, Integer> crashes) implements DispatchEvent {
         /** Copies the map. */
-        public CrashesRecalled {
+        public CrashesReported {
             crashes = Map.copyOf(crashes);
         }
     }
 
     /**
-     * What a host saw of a move, told to a home that begins.
+     * What a host saw of a rollout, told to a primary that begins.
      *
      * @param host the host
-     * @param order the move
+     * @param order the rollout
      * @param tallies what it saw of each server
      */
-    record MoveRecalled(HostId host, MoveOrder order, List<MoveTally> tallies)
+    record RolloutReported(HostId host, RolloutOrder order, List<RolloutTally> tallies)
             implements DispatchEvent {
         /** Copies the list. */
-        public MoveRecalled {
+        public RolloutReported {
             tallies = List.copyOf(tallies);
         }
     }
@@ -118,7 +118,7 @@
     record ShareChanged(double places, double quota) implements DispatchEvent {}
 
     /**
-     * The home before this one has stopped giving out quotas and hands over what is left.
+     * The primary before this one has stopped giving out quotas and hands over what is left.
      *
      * @param parts the part of its burst that each workspace has left: at most 1, and negative for
      *     a debt
@@ -134,18 +134,18 @@
     }
 
     /**
-     * An order to move a pool between versions.
+     * An order to roll out a version of a pool.
      *
      * @param order the order
      * @param seenNanos when this host saw it, on its monotonic clock
      * @param evidenceHere whether this scheduler sees the pool's answers and may use the new
      *     version
      */
-    record MoveOrdered(MoveOrder order, long seenNanos, boolean evidenceHere)
+    record RolloutOrdered(RolloutOrder order, long seenNanos, boolean evidenceHere)
             implements DispatchEvent {}
 
-    /** The recorded outcome of a move. */
-    record MoveSettled(MoveOrder order, MoveOutcome outcome) implements DispatchEvent {}
+    /** The recorded outcome of a rollout. */
+    record RolloutSettled(RolloutOrder order, RolloutOutcome outcome) implements DispatchEvent {}
 
     /** Time passed; comes at least every 20 ms while anything waits, and every 100 ms else. */
     record Tick() implements DispatchEvent {}
--- a/src/main/java/org/orioleshed/dispatch/Placement.java
+++ b/src/main/java/org/orioleshed/dispatch/Placement.java
@@ -48,36 +48,37 @@
     }
 
     /** Returns the best server with a free place; empty where none has one. */
-    Optional<ServerState> choose(Ask ask) {
-        if (pool.move().isEmpty()) {
-            return best(ask, server -> true);
+    Optional<ServerState> choose(PlacementRequest request) {
+        if (pool.rollout().isEmpty()) {
+            return best(request, server -> true);
         }
-        VersionMove move = pool.move().get();
-        boolean wantsNew = (move.nextIsNew() && hasVersion(move, true)) || !hasVersion(move, false);
+        VersionRollout rollout = pool.rollout().get();
+        boolean wantsNew =
+                (rollout.nextIsNew() && hasVersion(rollout, true)) || !hasVersion(rollout, false);
         Optional<ServerState> chosen =
-                best(ask, server -> move.isTarget(server.server().version()) == wantsNew);
-        return chosen.isEmpty() && move.mayUseOther(wantsNew)
-                ? best(ask, server -> move.isTarget(server.server().version()) != wantsNew)
+                best(request, server -> rollout.isTarget(server.server().version()) == wantsNew);
+        return chosen.isEmpty() && rollout.mayUseOther(wantsNew)
+                ? best(request, server -> rollout.isTarget(server.server().version()) != wantsNew)
                 : chosen;
     }
 
     /** Returns whether any server of the new, or of the old, version takes calls. */
-    private boolean hasVersion(VersionMove move, boolean target) {
+    private boolean hasVersion(VersionRollout rollout, boolean target) {
         return pool.servers().all().stream()
                 .anyMatch(
                         server ->
                                 !server.isLeaving()
-                                        && move.isTarget(server.server().version()) == target);
+                                        && rollout.isTarget(server.server().version()) == target);
     }
 
-    private Optional<ServerState> best(Ask ask, Predicate<ServerState> allowed) {
+    private Optional<ServerState> best(PlacementRequest request, Predicate<ServerState> allowed) {
         ServerState best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         for (ServerState server : pool.servers().all()) {
-            if (!allowed.test(server) || !maySend(server, ask) || !hasRoom(server, ask)) {
+            if (!allowed.test(server) || !maySend(server, request) || !hasRoom(server, request)) {
                 continue;
             }
-            double score = score(server, ask);
+            double score = score(server, request);
             if (score < bestScore) {
                 best = server;
                 bestScore = score;
@@ -111,8 +112,8 @@
                 .orElse(most);
     }
 
-    private boolean maySend(ServerState server, Ask ask) {
-        return isUsable(server) && !ask.excluded().contains(server.server().id());
+    private boolean maySend(ServerState server, PlacementRequest request) {
+        return isUsable(server) && !request.excluded().contains(server.server().id());
     }
 
     private boolean isUsable(ServerState server) {
@@ -121,12 +122,12 @@
                 && !server.isSilent(SILENT_MILLIS, nowNanos);
     }
 
-    private boolean hasRoom(ServerState server, Ask ask) {
+    private boolean hasRoom(ServerState server, PlacementRequest request) {
         if (server.running() >= limit(server) || !takesOne(server)) {
             return false;
         }
         long memory = pool.declared().map(Pool::memoryTokens).orElse(0L);
-        long needed = server.heldTokens() + ask.promptTokens() + ask.outputTokens();
+        long needed = server.heldTokens() + request.promptTokens() + request.outputTokens();
         return memory == 0 || server.running() == 0 || needed <= memory * MEMORY_PART;
     }
 
@@ -140,20 +141,20 @@
     }
 
     /** Returns the expected time to the first event, and what else counts, in milliseconds. */
-    double score(ServerState server, Ask ask) {
-        boolean engine = ask.promptTokens() > 0;
+    double score(ServerState server, PlacementRequest request) {
+        boolean engine = request.promptTokens() > 0;
         double load = (double) server.running() / limit(server);
-        double expected = engine ? engineMillis(server, ask) : plainMillis(server, load);
-        boolean near = server.server().domain().equals(ask.domain());
+        double expected = engine ? engineMillis(server, request) : plainMillis(server, load);
+        boolean near = server.server().domain().equals(request.domain());
         double away = engine ? OTHER_DOMAIN_ENGINE_MILLIS : OTHER_DOMAIN_PLAIN_MILLIS;
         double faults = server.faultRate(nowNanos) * FAULT_TARGETS * USUAL_TARGET_MILLIS;
         return expected + faults + (near ? 0 : away);
     }
 
-    private double engineMillis(ServerState server, Ask ask) {
+    private double engineMillis(ServerState server, PlacementRequest request) {
         double first =
                 server.firstFactor()
-                        * pool.speed().firstMillis(server.pendingTokens() + ask.promptTokens());
+                        * pool.speed().firstMillis(server.pendingTokens() + request.promptTokens());
         double stream = server.eventFactor() * pool.speed().eventMillis() * WEIGHED_EVENTS;
         return first + stream + FULL_MILLIS * server.running() / limit(server);
     }
--- a/src/main/java/org/orioleshed/dispatch/Ask.java
+++ b/src/main/java/org/orioleshed/dispatch/PlacementRequest.java
@@ -25,7 +25,7 @@
  * @param content a fingerprint of what is asked and by whom
  * @param excluded servers that must not get it
  */
-public record Ask(
+public record PlacementRequest(
         ServiceId service,
         RouteId route,
         Optional<WorkspaceId> workspace,
@@ -42,7 +42,7 @@
     private static final int RANKS_OF_A_WORKSPACE = 64;
 
     /** Copies the set. */
-    public Ask {
+    public PlacementRequest {
         excluded = Set.copyOf(excluded);
     }
 
@@ -61,18 +61,18 @@
         return rank % RANKS_OF_A_WORKSPACE;
     }
 
-    /** Returns the same ask without a quota to use, since that is paid elsewhere. */
-    public Ask withoutQuota() {
+    /** Returns the same request without a quota to use, since that is paid elsewhere. */
+    public PlacementRequest withoutQuota() {
         return with(Optional.empty(), 0, 0);
     }
 
-    /** Returns the same ask at a later moment. */
-    public Ask again(long laterMillis) {
+    /** Returns the same request at a later moment. */
+    public PlacementRequest aged(long laterMillis) {
         return with(workspace, quotaUnits, laterMillis);
     }
 
-    private Ask with(Optional<WorkspaceId> payer, long units, long laterMillis) {
-        return new Ask(
+    private PlacementRequest with(Optional<WorkspaceId> payer, long units, long laterMillis) {
+        return new PlacementRequest(
                 service,
                 route,
                 payer,
--- a/src/main/java/org/orioleshed/dispatch/PoolServers.java
+++ b/src/main/java/org/orioleshed/dispatch/PoolServers.java
@@ -57,7 +57,7 @@
 
     /** One that does not state its birth may have started anew while its entry was away. */
     private static boolean isSameStart(ServerState known, PoolServer server, boolean wasAbsent) {
-        boolean stated = server.bornMillis() != 0;
+        boolean stated = server.startMillis() != 0;
         return known.server().sameStart(server) && (stated || !wasAbsent);
     }
 
--- a/src/main/java/org/orioleshed/dispatch/PoolState.java
+++ b/src/main/java/org/orioleshed/dispatch/PoolState.java
@@ -24,7 +24,7 @@
     private final PoolSpeed speed = new PoolSpeed();
     private final RankLoad load = new RankLoad();
     private Pool declared;
-    private VersionMove move;
+    private VersionRollout rollout;
 
     PoolServers servers() {
         return servers;
@@ -46,13 +46,13 @@
         return Optional.ofNullable(declared);
     }
 
-    /** Returns the move between versions that was ordered last. */
-    Optional<VersionMove> move() {
-        return Optional.ofNullable(move);
+    /** Returns the rollout that was ordered last. */
+    Optional<VersionRollout> rollout() {
+        return Optional.ofNullable(rollout);
     }
 
-    void move(VersionMove newMove) {
-        move = newMove;
+    void rollout(VersionRollout newRollout) {
+        rollout = newRollout;
     }
 
     int waiting() {
@@ -105,7 +105,7 @@
         QueuedRequest a = next(first);
         QueuedRequest b = next(second);
         while (a != null || b != null) {
-            if (b == null || (a != null && a.ask().rank() <= b.ask().rank())) {
+            if (b == null || (a != null && a.request().rank() <= b.request().rank())) {
                 result.add(a);
                 a = next(first);
             } else {
@@ -120,73 +120,79 @@
         return from.hasNext() ? from.next() : null;
     }
 
-    /** Returns how long a server of usual speed is busy with {@code ask}, in milliseconds. */
-    double busyMillis(Ask ask) {
-        if (ask.promptTokens() == 0) {
+    /** Returns how long a server of usual speed is busy with {@code request}, in milliseconds. */
+    double busyMillis(PlacementRequest request) {
+        if (request.promptTokens() == 0) {
             return speed.plainMillis();
         }
-        double events = (double) ask.outputTokens() / eventTokens();
-        return speed.firstMillis(ask.promptTokens()) + events * speed.eventMillis();
+        double events = (double) request.outputTokens() / eventTokens();
+        return speed.firstMillis(request.promptTokens()) + events * speed.eventMillis();
     }
 
     /** Returns the same for those who wait, on average. */
     double waitersBusyMillis() {
         return waiters.values().stream()
-                .mapToDouble(waiter -> busyMillis(waiter.ask()))
+                .mapToDouble(waiter -> busyMillis(waiter.request()))
                 .average()
                 .orElse(0);
     }
 
-    /** A run's first event came; tells the move between versions how long it took. */
-    void firstInMove(ServerState server, RunKey run, long firstMillis) {
+    /** A run's first event came; tells the rollout how long it took. */
+    void firstInRollout(ServerState server, RunKey run, long firstMillis) {
         Running running = server.runs().get(run);
         if (running != null && running.reading() > 0) {
-            tookInMove(server, running, firstMillis);
+            tookInRollout(server, running, firstMillis);
         }
     }
 
-    private void tookInMove(ServerState server, Running running, long millis) {
+    private void tookInRollout(ServerState server, Running running, long millis) {
         double slowness = millis / speed.expectedMillis(running);
-        move().ifPresent(it -> it.took(server.server(), running.ask().route(), slowness));
+        rollout().ifPresent(it -> it.took(server.server(), running.request().route(), slowness));
     }
 
-    /** A run ended; tells the move between versions how. */
-    void endInMove(ServerState server, RunKey run, RunEnd end) {
+    /** A run ended; tells the rollout how. */
+    void endInRollout(ServerState server, RunKey run, RunReport report) {
         Running running = server.runs().get(run);
         if (running == null) {
             return;
         }
-        boolean plain = running.ask().promptTokens() == 0;
-        if (plain && end.outcome() == RunEnd.Outcome.ANSWERED) {
-            tookInMove(server, running, end.totalMillis());
+        boolean plain = running.request().promptTokens() == 0;
+        if (plain && report.outcome() == RunReport.Outcome.ANSWERED) {
+            tookInRollout(server, running, report.totalMillis());
         }
-        move().ifPresent(it -> it.ended(server.server(), running.ask().route(), end.outcome()));
-    }
-
-    /** Has the move between versions, if any is under way, decide. */
-    void decideMove(long nowNanos) {
-        if (move == null) {
+        rollout()
+                .ifPresent(
+                        it ->
+                                it.ended(
+                                        server.server(),
+                                        running.request().route(),
+                                        report.outcome()));
+    }
+
+    /** Has the rollout, if any is under way, decide. */
+    void decideRollout(long nowNanos) {
+        if (rollout == null) {
             return;
         }
-        move.nobodyWaits();
+        rollout.nobodyWaits();
         int oldRuns = 0;
         boolean newServers = false;
         for (ServerState server : servers.all()) {
-            boolean target = move.isTarget(server.server().version());
+            boolean target = rollout.isTarget(server.server().version());
             oldRuns += target ? 0 : server.running();
             newServers |= target && !server.isLeaving();
             tellWaiting(server, nowNanos);
         }
-        move.decide(nowNanos, oldRuns, newServers);
+        rollout.decide(nowNanos, oldRuns, newServers);
     }
 
-    /** Tells the move which requests wait longer for their answers than usual. */
+    /** Tells the rollout which requests wait longer for their answers than usual. */
     private void tellWaiting(ServerState server, long nowNanos) {
         for (Running run : server.runs().values()) {
             double millis = (nowNanos - run.sentNanos()) / NANOS_PER_MILLI;
             double slowness = millis / speed.expectedMillis(run);
             if (run.waitsForFirst() && slowness > LONG_WAIT) {
-                move.waits(server.server(), run.ask().route(), slowness);
+                rollout.waits(server.server(), run.request().route(), slowness);
             }
         }
     }
--- a/src/main/java/org/orioleshed/dispatch/Quotas.java
+++ b/src/main/java/org/orioleshed/dispatch/Quotas.java
@@ -20,7 +20,7 @@
     private final double firstFill;
 
     private final Slack slack;
-    private final Giver giver;
+    private final Role role;
     private final Map<WorkspaceId, TokenBucket> buckets = new HashMap<>();
     private Map<WorkspaceId, Quota> limits = Map.of();
     private double share = 1;
@@ -44,22 +44,22 @@
     }
 
     /** Who gives out quotas. */
-    public enum Giver {
-        /** The home of the pools. */
-        HOME(1, 1, 1),
+    public enum Role {
+        /** The primary of the pools. */
+        PRIMARY(1, 1, 1),
         /**
-         * A host that does not hear the home. Answers the load pattern of a home that falls silent
-         * just after it gave out the bursts, or goes on giving out beyond a cut that it has not
-         * noticed: bursts are not given out again, the rate by a third only, and servers that take
-         * few requests are left to the home.
+         * A host that does not hear the primary. Answers the load pattern of a primary that falls
+         * silent just after it gave out the bursts, or goes on giving out beyond a cut that it has
+         * not noticed: bursts are not given out again, the rate by a third only, and servers that
+         * take few requests are left to the primary.
          */
-        STAND_IN(0.35, 0, 0);
+        FALLBACK(0.35, 0, 0);
 
         private final double ratePart;
         private final double burstPart;
         private final double serverRatePart;
 
-        Giver(double ratePart, double burstPart, double serverRatePart) {
+        Role(double ratePart, double burstPart, double serverRatePart) {
             this.ratePart = ratePart;
             this.burstPart = burstPart;
             this.serverRatePart = serverRatePart;
@@ -71,10 +71,10 @@
         }
     }
 
-    Quotas(double firstFill, Slack slack, Giver giver) {
+    Quotas(double firstFill, Slack slack, Role role) {
         this.firstFill = firstFill;
         this.slack = slack;
-        this.giver = giver;
+        this.role = role;
     }
 
     void limit(Map<WorkspaceId, Quota> quotas, long nowNanos) {
@@ -98,9 +98,9 @@
     }
 
     private void limitOne(WorkspaceId workspace, Quota quota, long nowNanos) {
-        double perSecond = quota.perSecond() * giver.ratePart * (1 + slack.part()) * share;
+        double perSecond = quota.perSecond() * role.ratePart * (1 + slack.part()) * share;
         double extraUnits = quota.inTokens() ? slack.units() : 0;
-        double ofQuota = quota.burst() * giver.burstPart * (1 + slack.part());
+        double ofQuota = quota.burst() * role.burstPart * (1 + slack.part());
         double burst = Math.max(1, (ofQuota + extraUnits) * share);
         TokenBucket bucket = buckets.get(workspace);
         if (bucket == null) {
@@ -124,7 +124,7 @@
         return parts;
     }
 
-    /** Goes on with what another giver has handed over, in place of the first fill. */
+    /** Goes on with what another scheduler has handed over, in place of the first fill. */
     void takeOver(Map<WorkspaceId, Double> parts) {
         parts.forEach(
                 (workspace, part) -> {
@@ -136,10 +136,10 @@
     }
 
     /** Takes units; false when too few are left. */
-    boolean take(Ask ask, long nowNanos) {
-        return ask.workspace()
+    boolean take(PlacementRequest request, long nowNanos) {
+        return request.workspace()
                 .map(buckets::get)
-                .map(bucket -> bucket.take(ask.quotaUnits(), kept(ask), nowNanos))
+                .map(bucket -> bucket.take(request.quotaUnits(), kept(request), nowNanos))
                 .orElse(true);
     }
 
@@ -148,26 +148,30 @@
      * the load pattern of a workspace beyond its quota, whose patient calls used up what its urgent
      * ones needed. A plain call uses next to nothing.
      */
-    private static double kept(Ask ask) {
-        boolean plain = ask.promptTokens() == 0;
-        return plain ? 0 : Math.min(MAX_KEPT, KEPT_FOR_EACH_RANK * ask.routeRank());
+    private static double kept(PlacementRequest request) {
+        boolean plain = request.promptTokens() == 0;
+        return plain ? 0 : Math.min(MAX_KEPT, KEPT_FOR_EACH_RANK * request.routeRank());
     }
 
     /** Takes units of a request that another scheduler placed, whether or not they are there. */
-    void charge(Ask ask) {
-        ask.workspace().map(buckets::get).ifPresent(bucket -> bucket.giveBack(-ask.quotaUnits()));
+    void charge(PlacementRequest request) {
+        request.workspace()
+                .map(buckets::get)
+                .ifPresent(bucket -> bucket.giveBack(-request.quotaUnits()));
     }
 
     /** Gives back what a request that never ran had taken. */
-    void giveBack(Ask ask) {
-        ask.workspace().map(buckets::get).ifPresent(bucket -> bucket.giveBack(ask.quotaUnits()));
+    void giveBack(PlacementRequest request) {
+        request.workspace()
+                .map(buckets::get)
+                .ifPresent(bucket -> bucket.giveBack(request.quotaUnits()));
     }
 
-    /** Returns when the units of {@code ask} can be taken, in milliseconds from now. */
-    long millisUntil(Ask ask) {
-        return ask.workspace()
+    /** Returns when the units of {@code request} can be taken, in milliseconds from now. */
+    long millisUntil(PlacementRequest request) {
+        return request.workspace()
                 .map(buckets::get)
-                .map(bucket -> bucket.millisUntil(ask.quotaUnits(), kept(ask)))
+                .map(bucket -> bucket.millisUntil(request.quotaUnits(), kept(request)))
                 .orElse(0L);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/RecallCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/ReportCodec.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.orioleshed.catalog.MoveOrder;
+import org.orioleshed.catalog.RolloutOrder;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
@@ -10,16 +10,16 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.wire.DispatchWire.Dispatch;
 
-/** Writes what hosts tell a home that begins as protobuf. */
-final class RecallCodec {
-    private RecallCodec() {}
+/** Writes what hosts tell a primary that begins as protobuf. */
+final class ReportCodec {
+    private ReportCodec() {}
 
-    static byte[] write(DispatchEvent.CrashesRecalled recalled) {
+    static byte[] write(DispatchEvent.CrashesReported reported) {
         Dispatch.Builder wire =
                 Dispatch.newBuilder()
                         .setKind(Dispatch.Kind.CRASHES_RECALLED)
-                        .setOrigin(recalled.host().value());
-        recalled.crashes()
+                        .setOrigin(reported.host().value());
+        reported.crashes()
                 .forEach(
                         (content, count) ->
                                 wire.addCrashes(
@@ -29,32 +29,32 @@
         return wire.build().toByteArray();
     }
 
-    static DispatchEvent.CrashesRecalled readCrashes(Dispatch wire) {
+    static DispatchEvent.CrashesReported readCrashes(Dispatch wire) {
         Map<Long, Integer> crashes = new HashMap<>();
         for (Dispatch.Crashes one : wire.getCrashesList()) {
             crashes.put(one.getContent(), one.getCount());
         }
-        return new DispatchEvent.CrashesRecalled(new HostId(wire.getOrigin()), crashes);
+        return new DispatchEvent.CrashesReported(new HostId(wire.getOrigin()), crashes);
     }
 
-    static byte[] write(DispatchEvent.MoveRecalled recalled) {
-        MoveOrder order = recalled.order();
+    static byte[] write(DispatchEvent.RolloutReported reported) {
+        RolloutOrder order = reported.order();
         Dispatch.Move.Builder move =
                 Dispatch.Move.newBuilder()
                         .setService(order.service().value())
                         .setTarget(order.target().value())
                         .setDurationMillis(order.durationMillis())
                         .setRevision(order.revision());
-        recalled.tallies().forEach(tally -> move.addTallies(write(tally)));
+        reported.tallies().forEach(tally -> move.addTallies(write(tally)));
         return Dispatch.newBuilder()
                 .setKind(Dispatch.Kind.MOVE_RECALLED)
-                .setOrigin(recalled.host().value())
+                .setOrigin(reported.host().value())
                 .setMove(move)
                 .build()
                 .toByteArray();
     }
 
-    private static Dispatch.Tally write(MoveTally tally) {
+    private static Dispatch.Tally write(RolloutTally tally) {
         return Dispatch.Tally.newBuilder()
                 .setServer(tally.server().value())
                 .setRoute(tally.route().value())
@@ -68,22 +68,22 @@
                 .build();
     }
 
-    static DispatchEvent.MoveRecalled readMove(Dispatch wire) {
+    static DispatchEvent.RolloutReported readRollout(Dispatch wire) {
         Dispatch.Move move = wire.getMove();
-        MoveOrder order =
-                new MoveOrder(
+        RolloutOrder order =
+                new RolloutOrder(
                         new ServiceId(move.getService()),
                         new VersionId(move.getTarget()),
                         move.getDurationMillis(),
                         move.getRevision());
-        return new DispatchEvent.MoveRecalled(
+        return new DispatchEvent.RolloutReported(
                 new HostId(wire.getOrigin()),
                 order,
-                move.getTalliesList().stream().map(RecallCodec::read).toList());
+                move.getTalliesList().stream().map(ReportCodec::read).toList());
     }
 
-    private static MoveTally read(Dispatch.Tally tally) {
-        return new MoveTally(
+    private static RolloutTally read(Dispatch.Tally tally) {
+        return new RolloutTally(
                 new ServerId(tally.getServer()),
                 new RouteId(tally.getRoute()),
                 tally.getIsNew(),
--- a/src/main/java/org/orioleshed/dispatch/MoveEvidence.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutEvidence.java
@@ -9,10 +9,10 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * What the answers of old and new servers showed in a move, by server and route. Evidence of
+ * What the answers of old and new servers showed in a rollout, by server and route. Evidence of
  * several hosts adds up.
  */
-final class MoveEvidence {
+final class RolloutEvidence {
     private static final double LEAST_SLOWNESS = 0.05;
     private static final double MOST_SLOWNESS = 20;
 
@@ -52,8 +52,8 @@
             return samples == 0 ? 0 : Math.max(0, logSquares - logSum * logSum / samples);
         }
 
-        private MoveTally toTell(Key key) {
-            return new MoveTally(
+        private RolloutTally toTell(Key key) {
+            return new RolloutTally(
                     key.server(),
                     key.route(),
                     key.isNew(),
@@ -65,7 +65,7 @@
                     logSquares);
         }
 
-        private void add(MoveTally told) {
+        private void add(RolloutTally told) {
             sent += told.sent();
             answers += told.answers();
             faults += told.faults();
@@ -112,19 +112,19 @@
     }
 
     /** Returns this and other evidence together; it must not change any more. */
-    MoveEvidence plus(MoveEvidence other) {
+    RolloutEvidence plus(RolloutEvidence other) {
         if (other.tallies.isEmpty()) {
             return this;
         }
-        MoveEvidence sum = new MoveEvidence();
+        RolloutEvidence sum = new RolloutEvidence();
         tallies.forEach((key, tally) -> sum.tally(key).add(tally));
         other.tallies.forEach((key, tally) -> sum.tally(key).add(tally));
         return sum;
     }
 
     /** Returns what came since an earlier state of this evidence. */
-    MoveEvidence since(MoveEvidence earlier) {
-        MoveEvidence later = new MoveEvidence();
+    RolloutEvidence since(RolloutEvidence earlier) {
+        RolloutEvidence later = new RolloutEvidence();
         tallies.forEach(
                 (key, tally) -> {
                     Tally difference = later.tally(key);
@@ -140,16 +140,16 @@
         return later;
     }
 
-    MoveEvidence copy() {
-        return new MoveEvidence().plus(this);
+    RolloutEvidence copy() {
+        return new RolloutEvidence().plus(this);
     }
 
     /** Returns the evidence of each route; it must not change any more. */
-    Collection<MoveEvidence> byRoute() {
-        Map<RouteId, MoveEvidence> parts = new HashMap<>();
+    Collection<RolloutEvidence> byRoute() {
+        Map<RouteId, RolloutEvidence> parts = new HashMap<>();
         tallies.forEach(
                 (key, tally) ->
-                        parts.computeIfAbsent(key.route(), route -> new MoveEvidence())
+                        parts.computeIfAbsent(key.route(), route -> new RolloutEvidence())
                                 .tallies
                                 .put(key, tally));
         return parts.values();
@@ -179,16 +179,16 @@
     }
 
     /** Returns all of it, for another host. */
-    List<MoveTally> toTell() {
+    List<RolloutTally> toTell() {
         return tallies.entrySet().stream()
                 .map(entry -> entry.getValue().toTell(entry.getKey()))
                 .toList();
     }
 
     /** Returns the evidence that another host told. */
-    static MoveEvidence of(List<MoveTally> told) {
-        MoveEvidence evidence = new MoveEvidence();
-        for (MoveTally one : told) {
+    static RolloutEvidence of(List<RolloutTally> told) {
+        RolloutEvidence evidence = new RolloutEvidence();
+        for (RolloutTally one : told) {
             Key key = new Key(one.server(), one.route(), one.isNew());
             evidence.tally(key).add(one);
         }
--- a/src/main/java/org/orioleshed/dispatch/MovePolicy.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutPolicy.java
@@ -6,12 +6,12 @@
  * @param share the part of a pool's requests that it may get, from 0 to 1
  * @param slack requests that it may get beside that
  */
-public record MovePolicy(double share, double slack) {
+public record RolloutPolicy(double share, double slack) {
     /** What holds where nothing is said. */
-    public static final MovePolicy DEFAULT = new MovePolicy(0.1, 50);
+    public static final RolloutPolicy DEFAULT = new RolloutPolicy(0.1, 50);
 
     /** Checks the arguments. */
-    public MovePolicy {
+    public RolloutPolicy {
         if (share < 0 || share > 1 || slack < 0) {
             throw new IllegalArgumentException("share must be a part, and slack not negative");
         }
--- a/src/main/java/org/orioleshed/dispatch/MoveTally.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutTally.java
@@ -4,7 +4,8 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * What a host saw of one server's answers on one route in a move, as hosts tell it to a new home.
+ * What a host saw of one server's answers on one route in a rollout, as hosts tell it to a new
+ * primary.
  *
  * @param server the server
  * @param route the route
@@ -16,7 +17,7 @@
  * @param logSum the sum of the logarithms of these times against what is usual
  * @param logSquares the sum of the squares of these logarithms
  */
-public record MoveTally(
+public record RolloutTally(
         ServerId server,
         RouteId route,
         boolean isNew,
@@ -27,7 +28,7 @@
         double logSum,
         double logSquares) {
     /** Checks the counts. */
-    public MoveTally {
+    public RolloutTally {
         boolean counts = sent >= 0 && answers >= faults && faults >= 0 && samples >= 0;
         if (!counts || !Double.isFinite(logSum) || !Double.isFinite(logSquares)) {
             throw new IllegalArgumentException("no tally: " + server);
--- a/src/main/java/org/orioleshed/dispatch/RunEnd.java
+++ b/src/main/java/org/orioleshed/dispatch/RunReport.java
@@ -11,10 +11,10 @@
  * @param limit what the answer says of how many requests its server takes; unknown where that was
  *     told with its first event
  */
-public record RunEnd(
+public record RunReport(
         Outcome outcome, int events, long firstMillis, long totalMillis, StatedLimit limit) {
     /** Makes one that says nothing of the server's limit. */
-    public RunEnd(Outcome outcome, int events, long firstMillis, long totalMillis) {
+    public RunReport(Outcome outcome, int events, long firstMillis, long totalMillis) {
         this(outcome, events, firstMillis, totalMillis, StatedLimit.UNKNOWN);
     }
 
--- a/src/main/java/org/orioleshed/dispatch/Scheduler.java
+++ b/src/main/java/org/orioleshed/dispatch/Scheduler.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PoolServer;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.dispatch.DispatchAction.Reason;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Machine;
@@ -18,8 +18,8 @@
 import org.orioleshed.model.ServiceId;
 
 /**
- * The home of pools: one queue for each pool, ordered by urgency, before servers that get no more
- * at once than they can run. Everything that hosts see of the servers comes here, so no two
+ * The primary of pools: one queue for each pool, ordered by urgency, before servers that get no
+ * more at once than they can run. Everything that hosts see of the servers comes here, so no two
  * requests are sent to the same idle place.
  */
 public final class Scheduler implements Machine<DispatchEvent, DispatchAction> {
@@ -34,18 +34,18 @@
     /** A run of which nothing was heard for this long after its deadline is forgotten. */
     private static final long FORGET_MILLIS = 1_500;
 
-    /** Hosts tell a home that begins what they know within this time. */
-    private static final long RECALL_NANOS = 2_000 * NANOS_PER_MILLI;
+    /** Hosts tell a primary that begins what they know within this time. */
+    private static final long REPORT_WINDOW_NANOS = 2_000 * NANOS_PER_MILLI;
 
     private static final long FORGET_PERIOD_NANOS = 200 * NANOS_PER_MILLI;
 
     private final Map<ServiceId, PoolState> pools = new HashMap<>();
     private final Map<RunKey, ServerState> runs = new HashMap<>();
     private final CrashTracker crashes = new CrashTracker();
-    private final Set<HostId> crashesRecalledBy = new HashSet<>();
+    private final Set<HostId> crashesReportedBy = new HashSet<>();
     private final Quotas quotas;
     private final ServerRates rates;
-    private final MovePolicy movePolicy;
+    private final RolloutPolicy rolloutPolicy;
     private List<DispatchAction> actions = new ArrayList<>();
     private double placeShare = 1;
     private long order;
@@ -59,14 +59,14 @@
      *
      * @param firstFill the part of each quota that may be used at once, from 0 to 1
      * @param slack what may be used beyond quotas
-     * @param giver whether it gives out quotas as the home or in its place
-     * @param movePolicy what a bad version may cost
+     * @param role whether it gives out quotas as the primary or in its place
+     * @param rolloutPolicy what a bad version may cost
      */
     public Scheduler(
-            double firstFill, Quotas.Slack slack, Quotas.Giver giver, MovePolicy movePolicy) {
-        this.movePolicy = movePolicy;
-        this.quotas = new Quotas(firstFill, slack, giver);
-        this.rates = new ServerRates(giver);
+            double firstFill, Quotas.Slack slack, Quotas.Role role, RolloutPolicy rolloutPolicy) {
+        this.rolloutPolicy = rolloutPolicy;
+        this.quotas = new Quotas(firstFill, slack, role);
+        this.rates = new ServerRates(role);
     }
 
     @Override
@@ -78,33 +78,34 @@
         }
         actions = new ArrayList<>();
         switch (event) {
-            case DispatchEvent.Asked asked -> ask(asked.run(), asked.ask());
+            case DispatchEvent.PlacementRequested requested ->
+                    admit(requested.run(), requested.request());
             case DispatchEvent.Withdrawn withdrawn -> withdraw(withdrawn.run());
             case DispatchEvent.Placed placed -> placed(placed);
             case DispatchEvent.First first -> first(first);
-            case DispatchEvent.Ended ended -> end(ended.run(), ended.end());
-            case DispatchEvent.CrashesRecalled recalled -> recall(recalled);
-            case DispatchEvent.MoveRecalled recalled -> recall(recalled);
+            case DispatchEvent.Ended ended -> end(ended.run(), ended.report());
+            case DispatchEvent.CrashesReported reported -> applyReport(reported);
+            case DispatchEvent.RolloutReported reported -> applyReport(reported);
             case DispatchEvent.HostGone gone -> forget(gone.host());
             case DispatchEvent.ServersChanged changed -> take(changed.servers());
             case DispatchEvent.ServerLeaving leaving -> leave(leaving);
             case DispatchEvent.ServerLimited limited ->
-                    rates.recalled(
+                    rates.reported(
                             limited.server(),
-                            limited.bornMillis(),
+                            limited.startMillis(),
                             limited.limit().perSecond(),
                             nowNanos);
             case DispatchEvent.LimitsChanged changed -> limit(changed);
             case DispatchEvent.ShareChanged changed -> share(changed);
             case DispatchEvent.QuotasHanded handed -> quotas.takeOver(handed.parts());
-            case DispatchEvent.MoveOrdered ordered -> order(ordered);
-            case DispatchEvent.MoveSettled settled -> settle(settled);
+            case DispatchEvent.RolloutOrdered ordered -> order(ordered);
+            case DispatchEvent.RolloutSettled settled -> settle(settled);
             case DispatchEvent.Tick tick -> tick();
         }
         return actions;
     }
 
-    /** Stops giving out what has gathered of quotas, and returns that for the next giver. */
+    /** Stops giving out what has gathered of quotas, and returns that for the next scheduler. */
     public DispatchEvent.QuotasHanded handOverQuotas(long now) {
         return new DispatchEvent.QuotasHanded(quotas.handOver(now));
     }
@@ -123,38 +124,38 @@
         return pools.computeIfAbsent(service, key -> new PoolState());
     }
 
-    private void ask(RunKey run, Ask ask) {
-        PoolState pool = pool(ask.service());
+    private void admit(RunKey run, PlacementRequest request) {
+        PoolState pool = pool(request.service());
         if (repeats(run, pool)) {
             return;
         }
-        if (crashes.isHeld(ask.content(), nowNanos)) {
-            refuse(run, ask, Reason.HELD, (double) ask.deadlineLeftMillis());
+        if (crashes.isHeld(request.content(), nowNanos)) {
+            refuse(run, request, Reason.HELD, (double) request.deadlineLeftMillis());
             return;
         }
-        if (!quotas.take(ask, nowNanos)) {
-            refuse(run, ask, Reason.QUOTA, (double) quotas.millisUntil(ask));
+        if (!quotas.take(request, nowNanos)) {
+            refuse(run, request, Reason.QUOTA, (double) quotas.millisUntil(request));
             return;
         }
-        if (ask.excluded().containsAll(pool.servers().ids())) {
-            turnAway(run, ask, Reason.NO_SERVER, (double) NO_SERVER_RETRY_MILLIS);
+        if (request.excluded().containsAll(pool.servers().ids())) {
+            turnAway(run, request, Reason.NO_SERVER, (double) NO_SERVER_RETRY_MILLIS);
             return;
         }
         Placement placement = new Placement(pool, rates, placeShare, nowNanos);
-        if (isNext(pool, ask) && grant(pool, placement, run, ask)) {
+        if (isNext(pool, request) && grant(pool, placement, run, request)) {
             return;
         }
-        double places = placement.usablePlaces(pool.busyMillis(ask));
+        double places = placement.usablePlaces(pool.busyMillis(request));
         AdmissionRule admission = new AdmissionRule(pool, places, nowNanos);
-        if (!admission.mayWait(ask)) {
-            turnAway(run, ask, Reason.OVERLOAD, admission.waitMillis(ask.rank()));
+        if (!admission.mayWait(request)) {
+            turnAway(run, request, Reason.OVERLOAD, admission.waitMillis(request.rank()));
             return;
         }
-        pool.add(new QueuedRequest(run, ask, nowNanos, order++));
+        pool.add(new QueuedRequest(run, request, nowNanos, order++));
         actions.add(new DispatchAction.Queued(run));
     }
 
-    /** Answers once more who asks once more, since the first answer may be lost. */
+    /** Answers a repeated request again, since the first answer may be lost. */
     private boolean repeats(RunKey run, PoolState pool) {
         ServerState server = runs.get(run);
         if (server != null) {
@@ -169,12 +170,14 @@
     }
 
     /** Returns whether nobody of the same or a more urgent rank waits. */
-    private static boolean isNext(PoolState pool, Ask ask) {
-        return pool.waiters().stream().noneMatch(waiter -> waiter.ask().rank() <= ask.rank());
+    private static boolean isNext(PoolState pool, PlacementRequest request) {
+        return pool.waiters().stream()
+                .noneMatch(waiter -> waiter.request().rank() <= request.rank());
     }
 
-    private boolean grant(PoolState pool, Placement placement, RunKey run, Ask ask) {
-        Optional<ServerState> chosen = placement.choose(ask);
+    private boolean grant(
+            PoolState pool, Placement placement, RunKey run, PlacementRequest request) {
+        Optional<ServerState> chosen = placement.choose(request);
         if (chosen.isEmpty()) {
             return false;
         }
@@ -184,37 +187,38 @@
                         .formatted(
                                 server.running(),
                                 server.pendingTokens(),
-                                placement.score(server, ask),
+                                placement.score(server, request),
                                 server.faultRate(nowNanos),
                                 pool.waiting());
         String limit =
                 rates.of(server.server())
                         .map(rate -> " limit_per_second=%.2f".formatted(rate.perSecond()))
                         .orElse("");
-        start(server, run, ask);
+        start(server, run, request);
         actions.add(new DispatchAction.Grant(run, server.server().id(), why + limit));
         return true;
     }
 
-    private void start(ServerState server, RunKey run, Ask ask) {
-        boolean engine = ask.promptTokens() > 0;
-        long reading = engine ? server.pendingTokens() + ask.promptTokens() : 0;
-        server.start(run, new Running(ask, nowNanos, reading, true));
+    private void start(ServerState server, RunKey run, PlacementRequest request) {
+        boolean engine = request.promptTokens() > 0;
+        long reading = engine ? server.pendingTokens() + request.promptTokens() : 0;
+        server.start(run, new Running(request, nowNanos, reading, true));
         runs.put(run, server);
         rates.of(server.server()).ifPresent(rate -> rate.sent(nowNanos));
-        PoolState pool = pool(ask.service());
-        pool.load().add(ask.rank(), pool.busyMillis(ask), nowNanos);
-        pool.move().ifPresent(move -> move.sent(server.server(), ask.route()));
+        PoolState pool = pool(request.service());
+        pool.load().add(request.rank(), pool.busyMillis(request), nowNanos);
+        pool.rollout().ifPresent(rollout -> rollout.sent(server.server(), request.route()));
     }
 
     /** Refuses what had taken of its quota. */
-    private void turnAway(RunKey run, Ask ask, Reason reason, double betterMillis) {
-        quotas.giveBack(ask);
-        refuse(run, ask, reason, betterMillis);
+    private void turnAway(
+            RunKey run, PlacementRequest request, Reason reason, double betterMillis) {
+        quotas.giveBack(request);
+        refuse(run, request, reason, betterMillis);
     }
 
-    private void refuse(RunKey run, Ask ask, Reason reason, double betterMillis) {
-        long retryAfterMillis = AdmissionRule.retryAfterMillis(ask, betterMillis);
+    private void refuse(RunKey run, PlacementRequest request, Reason reason, double betterMillis) {
+        long retryAfterMillis = AdmissionRule.retryAfterMillis(request, betterMillis);
         actions.add(new DispatchAction.Refuse(run, reason, retryAfterMillis));
     }
 
@@ -222,23 +226,23 @@
         for (PoolState pool : pools.values()) {
             Optional<QueuedRequest> waiter = pool.remove(run);
             if (waiter.isPresent()) {
-                quotas.giveBack(waiter.get().ask());
+                quotas.giveBack(waiter.get().request());
                 return;
             }
         }
-        end(run, new RunEnd(RunEnd.Outcome.CANCELLED, 0, 0, 0));
+        end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
     }
 
     private void placed(DispatchEvent.Placed placed) {
-        PoolState pool = pool(placed.ask().service());
+        PoolState pool = pool(placed.request().service());
         pool.remove(placed.run());
         if (runs.containsKey(placed.run())) {
             return;
         }
-        quotas.charge(placed.ask());
+        quotas.charge(placed.request());
         pool.servers()
                 .get(placed.server())
-                .ifPresent(server -> start(server, placed.run(), placed.ask()));
+                .ifPresent(server -> start(server, placed.run(), placed.request()));
     }
 
     private void first(DispatchEvent.First first) {
@@ -248,7 +252,7 @@
         }
         stated(server, first.run(), first.limit());
         PoolState pool = pool(server.server().service());
-        pool.firstInMove(server, first.run(), first.firstMillis());
+        pool.firstInRollout(server, first.run(), first.firstMillis());
         server.first(first.run(), first.firstMillis(), pool.speed(), nowNanos);
     }
 
@@ -259,26 +263,26 @@
         }
     }
 
-    private void end(RunKey run, RunEnd end) {
+    private void end(RunKey run, RunReport report) {
         ServerState server = runs.remove(run);
         if (server == null) {
             return;
         }
         PoolState pool = pool(server.server().service());
-        stated(server, run, end.limit());
-        watchCrashes(server, run, end.outcome());
-        pool.endInMove(server, run, end);
-        server.end(run, end, pool.speed(), nowNanos);
+        stated(server, run, report.limit());
+        watchCrashes(server, run, report.outcome());
+        pool.endInRollout(server, run, report);
+        server.end(run, report, pool.speed(), nowNanos);
         serve(pool);
     }
 
-    private void watchCrashes(ServerState server, RunKey run, RunEnd.Outcome outcome) {
+    private void watchCrashes(ServerState server, RunKey run, RunReport.Outcome outcome) {
         Running running = server.runs().get(run);
         if (running == null) {
             return;
         }
         ServerId id = server.server().id();
-        long content = running.ask().content();
+        long content = running.request().content();
         switch (outcome) {
             case BROKEN -> crashes.broke(id, content, nowNanos);
             case UNREACHABLE -> crashes.missed(id, nowNanos);
@@ -291,7 +295,7 @@
         List<RunKey> gone =
                 runs.keySet().stream().filter(run -> run.origin().equals(host)).toList();
         for (RunKey run : gone) {
-            end(run, new RunEnd(RunEnd.Outcome.CANCELLED, 0, 0, 0));
+            end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
         }
         for (PoolState pool : pools.values()) {
             List<QueuedRequest> waiters =
@@ -318,7 +322,7 @@
         for (PoolState pool : pools.values()) {
             pool.servers()
                     .get(leaving.server())
-                    .filter(server -> server.server().bornMillis() == leaving.bornMillis())
+                    .filter(server -> server.server().startMillis() == leaving.startMillis())
                     .ifPresent(ServerState::leave);
         }
     }
@@ -346,88 +350,98 @@
         rates.share(changed.quota(), nowNanos);
     }
 
-    private void order(DispatchEvent.MoveOrdered ordered) {
+    private void order(DispatchEvent.RolloutOrdered ordered) {
         PoolState pool = pool(ordered.order().service());
-        boolean known = pool.move().map(move -> move.order().equals(ordered.order())).orElse(false);
+        boolean known =
+                pool.rollout()
+                        .map(rollout -> rollout.order().equals(ordered.order()))
+                        .orElse(false);
         if (!known) {
-            MovePolicy allowed = ordered.evidenceHere() ? movePolicy : new MovePolicy(0, 0);
-            pool.move(new VersionMove(ordered.order(), allowed, ordered.seenNanos()));
+            RolloutPolicy allowed =
+                    ordered.evidenceHere() ? rolloutPolicy : new RolloutPolicy(0, 0);
+            pool.rollout(new VersionRollout(ordered.order(), allowed, ordered.seenNanos()));
         }
     }
 
-    private void settle(DispatchEvent.MoveSettled settled) {
+    private void settle(DispatchEvent.RolloutSettled settled) {
         pool(settled.order().service())
-                .move()
-                .filter(move -> move.order().equals(settled.order()))
-                .ifPresent(move -> move.settle(settled.outcome()));
+                .rollout()
+                .filter(rollout -> rollout.order().equals(settled.order()))
+                .ifPresent(rollout -> rollout.settle(settled.outcome()));
     }
 
-    /** Returns the moves under way and those decided, with their outcomes so far. */
-    public List<MoveView> moves() {
+    /** Returns the rollouts under way and those decided, with their outcomes so far. */
+    public List<RolloutView> rollouts() {
         return pools.values().stream()
-                .flatMap(pool -> pool.move().stream())
+                .flatMap(pool -> pool.rollout().stream())
                 .map(
-                        move ->
-                                new MoveView(
-                                        move.order(), move.outcome(), move.step(), move::evidence))
+                        rollout ->
+                                new RolloutView(
+                                        rollout.order(),
+                                        rollout.outcome(),
+                                        rollout.step(),
+                                        rollout::evidence))
                 .toList();
     }
 
     /**
-     * A move.
+     * A rollout.
      *
      * @param order the order
      * @param outcome its outcome so far
      * @param step which step of its share the new version has reached; -1 until it is proved
      * @param evidence says what speaks for it, for the log
      */
-    public record MoveView(
-            MoveOrder order, MoveOutcome outcome, int step, Supplier<String> evidence) {}
+    public record RolloutView(
+            RolloutOrder order, RolloutOutcome outcome, int step, Supplier<String> evidence) {}
 
     /**
-     * Returns what this scheduler saw itself and the next home can't know: crashes by content, and
-     * the evidence of moves.
+     * Returns what this scheduler saw itself and the next primary can't know: crashes by content,
+     * and the evidence of rollouts.
      *
      * @param self the host that tells it
      */
-    public List<DispatchEvent> recall(HostId self, long now) {
+    public List<DispatchEvent> reports(HostId self, long now) {
         List<DispatchEvent> events = new ArrayList<>();
         Map<Long, Integer> strikes = crashes.strikes(now);
         if (!strikes.isEmpty()) {
-            events.add(new DispatchEvent.CrashesRecalled(self, strikes));
+            events.add(new DispatchEvent.CrashesReported(self, strikes));
         }
         for (PoolState pool : pools.values()) {
-            pool.move()
-                    .filter(move -> !move.isSettled())
-                    .map(move -> new DispatchEvent.MoveRecalled(self, move.order(), move.toTell()))
+            pool.rollout()
+                    .filter(rollout -> !rollout.isSettled())
+                    .map(
+                            rollout ->
+                                    new DispatchEvent.RolloutReported(
+                                            self, rollout.order(), rollout.toTell()))
                     .ifPresent(events::add);
         }
         return events;
     }
 
-    private void recall(DispatchEvent.CrashesRecalled recalled) {
-        if (isYoung() && crashesRecalledBy.add(recalled.host())) {
-            crashes.recall(recalled.crashes(), nowNanos);
+    private void applyReport(DispatchEvent.CrashesReported reported) {
+        if (isYoung() && crashesReportedBy.add(reported.host())) {
+            crashes.applyReport(reported.crashes(), nowNanos);
         }
     }
 
-    private void recall(DispatchEvent.MoveRecalled recalled) {
+    private void applyReport(DispatchEvent.RolloutReported reported) {
         if (isYoung()) {
-            pool(recalled.order().service())
-                    .move()
-                    .filter(move -> move.order().equals(recalled.order()))
-                    .ifPresent(move -> move.recall(recalled.host(), recalled.tallies()));
+            pool(reported.order().service())
+                    .rollout()
+                    .filter(rollout -> rollout.order().equals(reported.order()))
+                    .ifPresent(rollout -> rollout.applyReport(reported.host(), reported.tallies()));
         }
     }
 
-    /** What hosts recall is new to a home that begins; one that goes on saw it itself. */
+    /** What hosts report is new to a primary that begins; one that goes on saw it itself. */
     private boolean isYoung() {
-        return nowNanos - beganNanos < RECALL_NANOS;
+        return nowNanos - beganNanos < REPORT_WINDOW_NANOS;
     }
 
     private void tick() {
         forgetOverdue();
-        pools.values().forEach(pool -> pool.decideMove(nowNanos));
+        pools.values().forEach(pool -> pool.decideRollout(nowNanos));
         for (PoolState pool : pools.values()) {
             if (pool.waiting() > 0) {
                 pool.sortLate(nowNanos);
@@ -447,11 +461,11 @@
                         .filter(entry -> isOverdue(entry.getValue().runs().get(entry.getKey())))
                         .map(Map.Entry::getKey)
                         .toList();
-        overdue.forEach(run -> end(run, new RunEnd(RunEnd.Outcome.CANCELLED, 0, 0, 0)));
+        overdue.forEach(run -> end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0)));
     }
 
     private boolean isOverdue(Running run) {
-        long allowed = run.ask().deadlineLeftMillis() + FORGET_MILLIS;
+        long allowed = run.request().deadlineLeftMillis() + FORGET_MILLIS;
         return nowNanos - run.sentNanos() > allowed * NANOS_PER_MILLI;
     }
 
@@ -461,8 +475,8 @@
         AdmissionRule admission = new AdmissionRule(pool, places, nowNanos);
         for (QueuedRequest waiter : admission.hopeless()) {
             pool.remove(waiter.run());
-            Ask left = waiter.ask().again(waiter.waitedMillis(nowNanos));
-            quotas.giveBack(waiter.ask());
+            PlacementRequest left = waiter.request().aged(waiter.waitedMillis(nowNanos));
+            quotas.giveBack(waiter.request());
             refuse(waiter.run(), left, Reason.OVERLOAD, admission.waitMillis(left.rank()));
         }
     }
@@ -475,7 +489,7 @@
         Placement placement = new Placement(pool, rates, placeShare, nowNanos);
         int skipped = 0;
         for (QueuedRequest waiter : pool.inOrder()) {
-            if (grant(pool, placement, waiter.run(), waiter.ask())) {
+            if (grant(pool, placement, waiter.run(), waiter.request())) {
                 pool.remove(waiter.run());
             } else {
                 skipped++;
--- a/src/main/java/org/orioleshed/dispatch/ServerRate.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerRate.java
@@ -4,8 +4,8 @@
  * How many requests a server takes from all hosts together, as it names it in its answers, and how
  * many of them may be sent now. Answers the load pattern of a server in need whose callers go on as
  * before: every request that goes to it is counted here, whoever placed it and whether it is its
- * first, and nothing is there at the start, so that a new home or a repeated notice gives nothing
- * out again.
+ * first, and nothing is there at the start, so that a new primary or a repeated notice gives
+ * nothing out again.
  */
 final class ServerRate {
     /** A pause lets this much gather, and one request at least. */
--- a/src/main/java/org/orioleshed/dispatch/ServerRates.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerRates.java
@@ -14,31 +14,31 @@
     private static final int MAX_SERVERS = 4_096;
 
     private final Map<ServerId, Entry> entries = new LinkedHashMap<>();
-    private final double giverPart;
+    private final double rolePart;
     private double share = 1;
 
-    private record Entry(long bornMillis, ServerRate rate) {}
+    private record Entry(long startMillis, ServerRate rate) {}
 
     /**
      * Makes an empty one.
      *
-     * @param giver who gives out
+     * @param role who gives out
      */
-    ServerRates(Quotas.Giver giver) {
-        this.giverPart = giver.serverRatePart();
+    ServerRates(Quotas.Role role) {
+        this.rolePart = role.serverRatePart();
     }
 
     /** Returns the rate that a server has named. */
     Optional<ServerRate> of(PoolServer server) {
         Entry entry = entries.get(server.id());
-        boolean same = entry != null && entry.bornMillis() == server.bornMillis();
+        boolean same = entry != null && entry.startMillis() == server.startMillis();
         return same ? Optional.of(entry.rate()) : Optional.empty();
     }
 
     /** Takes the part of each rate that belongs to this scheduler and those who follow it. */
     void share(double newShare, long nowNanos) {
         share = newShare;
-        entries.values().forEach(entry -> entry.rate().part(share * giverPart, nowNanos));
+        entries.values().forEach(entry -> entry.rate().part(share * rolePart, nowNanos));
     }
 
     /**
@@ -63,21 +63,21 @@
             known.get().named(perSecond, nowNanos);
             return;
         }
-        begin(server.id(), server.bornMillis(), perSecond, nowNanos);
+        begin(server.id(), server.startMillis(), perSecond, nowNanos);
     }
 
     /** A host remembers a rate that a server has named to it; a known one counts for more. */
-    void recalled(ServerId server, long bornMillis, double perSecond, long nowNanos) {
+    void reported(ServerId server, long startMillis, double perSecond, long nowNanos) {
         Entry entry = entries.get(server);
-        if (entry == null || entry.bornMillis() < bornMillis) {
-            begin(server, bornMillis, perSecond, nowNanos);
+        if (entry == null || entry.startMillis() < startMillis) {
+            begin(server, startMillis, perSecond, nowNanos);
         }
     }
 
-    private void begin(ServerId server, long bornMillis, double perSecond, long nowNanos) {
+    private void begin(ServerId server, long startMillis, double perSecond, long nowNanos) {
         entries.remove(server);
-        ServerRate rate = new ServerRate(perSecond, share * giverPart, nowNanos);
-        entries.put(server, new Entry(bornMillis, rate));
+        ServerRate rate = new ServerRate(perSecond, share * rolePart, nowNanos);
+        entries.put(server, new Entry(startMillis, rate));
         if (entries.size() > MAX_SERVERS) {
             entries.remove(entries.keySet().iterator().next());
         }
--- a/src/main/java/org/orioleshed/dispatch/ServerState.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerState.java
@@ -90,7 +90,7 @@
             lastSignNanos = run.sentNanos();
         }
         runs.put(key, run);
-        pendingTokens += run.ask().promptTokens();
+        pendingTokens += run.request().promptTokens();
         heldTokens += run.tokens();
     }
 
@@ -101,7 +101,7 @@
         if (run == null || run.reading() == 0) {
             return;
         }
-        pendingTokens -= run.ask().promptTokens();
+        pendingTokens -= run.request().promptTokens();
         double expected = pool.firstMillis(run.reading());
         firstFactor = mix(firstFactor, firstMillis / expected);
         pool.learnFirst(run.reading(), firstMillis / firstFactor);
@@ -109,27 +109,27 @@
     }
 
     /** A run ended; returns whether it was known. */
-    boolean end(RunKey key, RunEnd end, PoolSpeed pool, long nowNanos) {
+    boolean end(RunKey key, RunReport report, PoolSpeed pool, long nowNanos) {
         Running run = runs.remove(key);
         if (run == null) {
             return false;
         }
         heldTokens -= run.tokens();
         if (run.reading() > 0) {
-            pendingTokens -= run.ask().promptTokens();
+            pendingTokens -= run.request().promptTokens();
         }
-        learn(run, end, pool, nowNanos);
+        learn(run, report, pool, nowNanos);
         return true;
     }
 
-    private void learn(Running run, RunEnd end, PoolSpeed pool, long nowNanos) {
-        switch (end.outcome()) {
+    private void learn(Running run, RunReport report, PoolSpeed pool, long nowNanos) {
+        switch (report.outcome()) {
             case ANSWERED -> {
                 lastSignNanos = nowNanos;
                 faultsInRow = 0;
                 heldUntilNanos = Long.MIN_VALUE;
                 fault(0, nowNanos);
-                learnSpeed(run, end, pool);
+                learnSpeed(run, report, pool);
             }
             case FAILED -> {
                 lastSignNanos = nowNanos;
@@ -145,15 +145,16 @@
         }
     }
 
-    private void learnSpeed(Running run, RunEnd end, PoolSpeed pool) {
-        if (end.events() > 1) {
-            double gap = (double) (end.totalMillis() - end.firstMillis()) / (end.events() - 1);
+    private void learnSpeed(Running run, RunReport report, PoolSpeed pool) {
+        if (report.events() > 1) {
+            double gap =
+                    (double) (report.totalMillis() - report.firstMillis()) / (report.events() - 1);
             eventFactor = mix(eventFactor, gap / pool.eventMillis());
             pool.learnEvent(gap / eventFactor);
         }
-        if (run.ask().promptTokens() == 0) {
-            firstFactor = mix(firstFactor, end.totalMillis() / pool.plainMillis());
-            pool.learnPlain(end.totalMillis() / firstFactor);
+        if (run.request().promptTokens() == 0) {
+            firstFactor = mix(firstFactor, report.totalMillis() / pool.plainMillis());
+            pool.learnPlain(report.totalMillis() / firstFactor);
         }
     }
 
--- a/src/main/java/org/orioleshed/dispatch/SpeedShift.java
+++ b/src/main/java/org/orioleshed/dispatch/SpeedShift.java
@@ -55,7 +55,7 @@
         private int freedoms;
         private double deviations;
 
-        void add(MoveEvidence.Key key, MoveEvidence.Tally tally, double usual) {
+        void add(RolloutEvidence.Key key, RolloutEvidence.Tally tally, double usual) {
             double logs = tally.logSum() - tally.samples() * usual;
             servers.merge(
                     key.server(),
@@ -110,7 +110,7 @@
     }
 
     /** Compares; the mean is 0 and the errors are infinite where there is nothing to compare. */
-    static SpeedShift of(MoveEvidence evidence) {
+    static SpeedShift of(RolloutEvidence evidence) {
         Map<RouteId, Sum> usual = new HashMap<>();
         evidence.tallies()
                 .forEach(
--- a/src/main/java/org/orioleshed/dispatch/VersionJudge.java
+++ b/src/main/java/org/orioleshed/dispatch/VersionJudge.java
@@ -1,9 +1,9 @@
 package org.orioleshed.dispatch;
 
 /**
- * Judges a new version by the evidence of a move. It is looked at many times while evidence comes,
- * so a finding needs more than a single look would. Answers the load patterns of a version that
- * fails or slows a part of its requests, on all routes or on one, before servers that differ
+ * Judges a new version by the evidence of a rollout. It is looked at many times while evidence
+ * comes, so a finding needs more than a single look would. Answers the load patterns of a version
+ * that fails or slows a part of its requests, on all routes or on one, before servers that differ
  * severalfold in speed.
  */
 final class VersionJudge {
@@ -44,16 +44,16 @@
     private VersionJudge() {}
 
     /** Returns whether the new version is worse, on all routes or on one. */
-    static boolean isWorse(MoveEvidence evidence) {
+    static boolean isWorse(RolloutEvidence evidence) {
         return isWorseAsAWhole(evidence)
                 || evidence.byRoute().stream().anyMatch(VersionJudge::isWorseAsAWhole);
     }
 
-    private static boolean isWorseAsAWhole(MoveEvidence evidence) {
+    private static boolean isWorseAsAWhole(RolloutEvidence evidence) {
         return failsMore(evidence) || isSlower(SpeedShift.of(evidence));
     }
 
-    private static boolean failsMore(MoveEvidence evidence) {
+    private static boolean failsMore(RolloutEvidence evidence) {
         int answers = evidence.answers(true);
         int faults = evidence.faults(true);
         if (faults < LEAST_FAULTS) {
@@ -71,13 +71,13 @@
     }
 
     /** Returns whether the new version is shown to be no worse. */
-    static boolean isNoWorse(MoveEvidence evidence) {
+    static boolean isNoWorse(RolloutEvidence evidence) {
         return failsNoMore(evidence)
                 && isNoSlower(SpeedShift.of(evidence))
                 && evidence.byRoute().stream().allMatch(route -> isSound(route, ROUTE_ERRORS));
     }
 
-    private static boolean failsNoMore(MoveEvidence evidence) {
+    private static boolean failsNoMore(RolloutEvidence evidence) {
         int answers = evidence.answers(true);
         if (answers == 0) {
             return false;
@@ -96,7 +96,7 @@
     }
 
     /** Returns whether nothing in what came since a moment speaks against the new version. */
-    static boolean isSoundLately(MoveEvidence lately) {
+    static boolean isSoundLately(RolloutEvidence lately) {
         return isSound(lately, 1);
     }
 
@@ -105,7 +105,7 @@
      *
      * @param errors how many standard errors of answers that differ count against it
      */
-    private static boolean isSound(MoveEvidence part, double errors) {
+    private static boolean isSound(RolloutEvidence part, double errors) {
         SpeedShift shift = SpeedShift.of(part);
         boolean slow =
                 shift.samples() >= PART_SAMPLES
@@ -124,7 +124,7 @@
         return shift.spreadRatio() > UNUSUAL_SPREAD ? 0 : shift.serverError();
     }
 
-    private static boolean seemsToFailMore(MoveEvidence part) {
+    private static boolean seemsToFailMore(RolloutEvidence part) {
         int answers = part.answers(true);
         if (answers < PART_SAMPLES) {
             return false;
@@ -135,7 +135,7 @@
     }
 
     /** Returns the part of requests that old servers fail; never quite none. */
-    private static double usualFaults(MoveEvidence evidence) {
+    private static double usualFaults(RolloutEvidence evidence) {
         return (evidence.faults(false) + 1.0) / (evidence.answers(false) + 2.0);
     }
 
--- a/src/main/java/org/orioleshed/dispatch/VersionMove.java
+++ b/src/main/java/org/orioleshed/dispatch/VersionRollout.java
@@ -3,21 +3,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PoolServer;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.VersionId;
 
 /**
- * Decides how many of a pool's requests a new version gets, and when its move is completed or taken
- * back. The new version earns its share by answers that are shown to be no worse than those of the
- * old one over the same time, then gets more by steps, each of which must hold; without that by the
- * deadline, the move is taken back.
+ * Decides how many of a pool's requests a new version gets, and when its rollout is completed or
+ * taken back. The new version earns its share by answers that are shown to be no worse than those
+ * of the old one over the same time, then gets more by steps, each of which must hold; without that
+ * by the deadline, the rollout is taken back.
  */
-final class VersionMove {
-    /** A part of what a bad version may cost is kept for a second home beyond a cut. */
+final class VersionRollout {
+    /** A part of what a bad version may cost is kept for a second primary beyond a cut. */
     private static final double SAFETY = 0.75;
 
     /** The new version shows itself for this part of the time before it gets more. */
@@ -49,23 +49,23 @@
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final MoveOrder order;
-    private final MovePolicy policy;
+    private final RolloutOrder order;
+    private final RolloutPolicy policy;
     private final long seenNanos;
-    private final MoveEvidence seen = new MoveEvidence();
-    private final Map<HostId, MoveEvidence> recalled = new HashMap<>();
+    private final RolloutEvidence seen = new RolloutEvidence();
+    private final Map<HostId, RolloutEvidence> reported = new HashMap<>();
     private final Sends sends = new Sends();
     private Sends ofStep = new Sends();
-    private MoveEvidence waiting = new MoveEvidence();
-    private MoveEvidence before = new MoveEvidence();
+    private RolloutEvidence waiting = new RolloutEvidence();
+    private RolloutEvidence before = new RolloutEvidence();
     private long latelyNanos;
     private long judgedNanos = Long.MIN_VALUE / 2;
-    private MoveOutcome outcome = MoveOutcome.RUNNING;
+    private RolloutOutcome outcome = RolloutOutcome.RUNNING;
     private boolean settled;
     private boolean warm;
     private int step = -1;
     private long stepNanos;
-    private MoveEvidence stepStart = new MoveEvidence();
+    private RolloutEvidence stepStart = new RolloutEvidence();
     private int stepStartAnswers;
 
     /** How many requests went to servers of which version. */
@@ -80,18 +80,18 @@
     }
 
     /**
-     * Begins a move.
+     * Begins a rollout.
      *
      * @param seenNanos when the order was seen, on the monotonic clock
      */
-    VersionMove(MoveOrder order, MovePolicy policy, long seenNanos) {
+    VersionRollout(RolloutOrder order, RolloutPolicy policy, long seenNanos) {
         this.order = order;
         this.policy = policy;
         this.seenNanos = seenNanos;
         this.latelyNanos = seenNanos;
     }
 
-    MoveOrder order() {
+    RolloutOrder order() {
         return order;
     }
 
@@ -100,13 +100,13 @@
         return step;
     }
 
-    MoveOutcome outcome() {
+    RolloutOutcome outcome() {
         return outcome;
     }
 
     /** Takes an outcome that is recorded already. */
-    void settle(MoveOutcome recorded) {
-        if (recorded != MoveOutcome.RUNNING) {
+    void settle(RolloutOutcome recorded) {
+        if (recorded != RolloutOutcome.RUNNING) {
             outcome = recorded;
             settled = true;
         }
@@ -132,13 +132,13 @@
 
     /** Returns whether a request may go to the other version where its own has no place. */
     boolean mayUseOther(boolean wantsNew) {
-        return wantsNew && outcome == MoveOutcome.RUNNING && step < STEPS.length - 1;
+        return wantsNew && outcome == RolloutOutcome.RUNNING && step < STEPS.length - 1;
     }
 
     private boolean mayProve() {
         int ofNew = sends.ofNew;
         int total = sends.all;
-        for (MoveEvidence earlier : recalled.values()) {
+        for (RolloutEvidence earlier : reported.values()) {
             ofNew += earlier.sent(true);
             total += earlier.sent(true) + earlier.sent(false);
         }
@@ -150,12 +150,12 @@
         return ofStep.ofNew + 1 <= STEPS[step] * (ofStep.all + 1);
     }
 
-    private MoveEvidence.Key key(PoolServer server, RouteId route) {
-        return new MoveEvidence.Key(server.id(), route, isTarget(server.version()));
+    private RolloutEvidence.Key key(PoolServer server, RouteId route) {
+        return new RolloutEvidence.Key(server.id(), route, isTarget(server.version()));
     }
 
     void sent(PoolServer server, RouteId route) {
-        MoveEvidence.Key key = key(server, route);
+        RolloutEvidence.Key key = key(server, route);
         seen.sent(key);
         sends.add(key.isNew());
         ofStep.add(key.isNew());
@@ -174,15 +174,15 @@
     }
 
     /** Notes how a run ended. */
-    void ended(PoolServer server, RouteId route, RunEnd.Outcome how) {
-        if (how != RunEnd.Outcome.CANCELLED && how != RunEnd.Outcome.REJECTED) {
+    void ended(PoolServer server, RouteId route, RunReport.Outcome how) {
+        if (how != RunReport.Outcome.CANCELLED && how != RunReport.Outcome.REJECTED) {
             seen.answered(key(server, route), how.isFault());
         }
     }
 
     /** Forgets who waits; {@link #waits} tells anew. */
     void nobodyWaits() {
-        waiting = new MoveEvidence();
+        waiting = new RolloutEvidence();
     }
 
     /**
@@ -197,19 +197,19 @@
         }
     }
 
-    /** Returns what this scheduler saw itself, for the next home. */
-    List<MoveTally> toTell() {
+    /** Returns what this scheduler saw itself, for the next primary. */
+    List<RolloutTally> toTell() {
         return seen.toTell();
     }
 
-    /** Takes what a host saw before this home began; what it tells again takes its place. */
-    void recall(HostId host, List<MoveTally> told) {
-        recalled.put(host, MoveEvidence.of(told));
+    /** Takes what a host saw before this primary began; what it tells again takes its place. */
+    void applyReport(HostId host, List<RolloutTally> told) {
+        reported.put(host, RolloutEvidence.of(told));
     }
 
-    private MoveEvidence all() {
-        MoveEvidence all = seen;
-        for (MoveEvidence earlier : recalled.values()) {
+    private RolloutEvidence all() {
+        RolloutEvidence all = seen;
+        for (RolloutEvidence earlier : reported.values()) {
             all = all.plus(earlier);
         }
         return all;
@@ -222,22 +222,22 @@
      * @param newServers whether any server of the new version takes calls
      */
     void decide(long nowNanos, int oldRuns, boolean newServers) {
-        if (outcome != MoveOutcome.RUNNING || nowNanos - judgedNanos < JUDGE_NANOS) {
+        if (outcome != RolloutOutcome.RUNNING || nowNanos - judgedNanos < JUDGE_NANOS) {
             return;
         }
         judgedNanos = nowNanos;
         warm |= elapsedMillis(nowNanos) >= COLD_PART * order.durationMillis();
         if (isWorse(nowNanos) || isUnsoundStep(nowNanos)) {
-            outcome = MoveOutcome.TAKEN_BACK;
+            outcome = RolloutOutcome.TAKEN_BACK;
             return;
         }
         advance(nowNanos, newServers);
         boolean all = step == STEPS.length - 1;
         boolean over = elapsedMillis(nowNanos) >= order.durationMillis() - WRITE_MILLIS;
         if (all && (oldRuns == 0 || over)) {
-            outcome = MoveOutcome.COMPLETED;
+            outcome = RolloutOutcome.COMPLETED;
         } else if (over) {
-            outcome = MoveOutcome.TAKEN_BACK;
+            outcome = RolloutOutcome.TAKEN_BACK;
         }
     }
 
@@ -246,7 +246,7 @@
     }
 
     private boolean isWorse(long nowNanos) {
-        MoveEvidence all = all().plus(waiting);
+        RolloutEvidence all = all().plus(waiting);
         boolean worse = VersionJudge.isWorse(all) || VersionJudge.isWorse(lately());
         if (nowNanos - latelyNanos > LATELY_PART * order.durationMillis() * NANOS_PER_MILLI) {
             latelyNanos = nowNanos;
@@ -255,7 +255,7 @@
         return worse;
     }
 
-    private MoveEvidence lately() {
+    private RolloutEvidence lately() {
         return seen.since(before).plus(waiting);
     }
 
@@ -304,7 +304,7 @@
 
     /** Returns the evidence, for the log. */
     String evidence() {
-        MoveEvidence all = all();
+        RolloutEvidence all = all();
         SpeedShift shift = SpeedShift.of(all);
         return "step=%d new_sent=%d new_answers=%d new_faults=%d old_sent=%d old_answers=%d"
                         .formatted(
--- a/src/main/java/org/orioleshed/dispatch/package-info.java
+++ b/src/main/java/org/orioleshed/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions of a pool's home: who runs next, where, and who is turned away. */
+/** The decisions of a pool's primary: who runs next, where, and who is turned away. */
 package org.orioleshed.dispatch;
--- a/src/main/java/org/orioleshed/gateway/CallFacts.java
+++ b/src/main/java/org/orioleshed/gateway/CallHeaders.java
@@ -13,7 +13,7 @@
  * @param likelyTokens the tokens that it expects to be generated
  * @param statedTokens what it counts against a quota in tokens; negative where it states none
  */
-public record CallFacts(
+public record CallHeaders(
         String id,
         Optional<String> key,
         long deadlineMillis,
--- a/src/main/java/org/orioleshed/gateway/CatalogFeed.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogFeed.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import org.orioleshed.catalog.Catalog;
 import org.orioleshed.catalog.CatalogSnapshot;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PoolServer;
 import org.orioleshed.catalog.Quota;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.dispatch.DispatchAction;
 import org.orioleshed.dispatch.DispatchEvent;
 import org.orioleshed.dispatch.Scheduler;
@@ -19,8 +19,8 @@
 
 /** Tells schedulers what is in force. */
 final class CatalogFeed {
-    private final Map<MoveOrder, Long> ordersSeenNanos = new HashMap<>();
-    private final Map<MoveOrder, MoveOutcome> recorded = new HashMap<>();
+    private final Map<RolloutOrder, Long> ordersSeenNanos = new HashMap<>();
+    private final Map<RolloutOrder, RolloutOutcome> recorded = new HashMap<>();
     private final Map<ServerId, PoolServer> servers = new HashMap<>();
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
 
@@ -32,8 +32,8 @@
         newer.orders().forEach(order -> ordersSeenNanos.putIfAbsent(order, nowNanos));
     }
 
-    /** The store holds an outcome of a move. */
-    void recorded(MoveOrder order, MoveOutcome outcome) {
+    /** The store holds an outcome of a rollout. */
+    void recorded(RolloutOrder order, RolloutOutcome outcome) {
         recorded.put(order, outcome);
     }
 
@@ -50,12 +50,12 @@
     List<DispatchAction> to(Scheduler scheduler, boolean evidenceHere, long nowNanos) {
         List<DispatchEvent> events = new ArrayList<>();
         snapshot.catalog().ifPresent(catalog -> events.add(limits(catalog)));
-        for (MoveOrder order : snapshot.orders()) {
+        for (RolloutOrder order : snapshot.orders()) {
             long seenNanos = ordersSeenNanos.get(order);
-            events.add(new DispatchEvent.MoveOrdered(order, seenNanos, evidenceHere));
+            events.add(new DispatchEvent.RolloutOrdered(order, seenNanos, evidenceHere));
         }
         recorded.forEach(
-                (order, outcome) -> events.add(new DispatchEvent.MoveSettled(order, outcome)));
+                (order, outcome) -> events.add(new DispatchEvent.RolloutSettled(order, outcome)));
         events.add(new DispatchEvent.ServersChanged(snapshot.servers()));
         List<DispatchAction> actions = new ArrayList<>();
         events.forEach(event -> actions.addAll(scheduler.on(nowNanos, event)));
@@ -64,7 +64,8 @@
 
     private static DispatchEvent limits(Catalog catalog) {
         Map<WorkspaceId, Quota> quotas = new HashMap<>();
-        catalog.tenancies().forEach((id, tenancy) -> quotas.put(id, tenancy.quota()));
+        catalog.workspaces()
+                .forEach((id, workspaceConfig) -> quotas.put(id, workspaceConfig.quota()));
         return new DispatchEvent.LimitsChanged(catalog.pools(), quotas);
     }
 }
--- a/src/main/java/org/orioleshed/gateway/CatalogSpread.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogPropagation.java
@@ -18,7 +18,7 @@
  * change from it, tells the hosts of its failure domain at once; each host tells a random one now
  * and then; who is behind asks the first that is ahead.
  */
-final class CatalogSpread {
+final class CatalogPropagation {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** A host that is cut off from the store hears within about a second. */
@@ -42,8 +42,8 @@
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
     private CatalogUpdate.Revisions heard = new CatalogUpdate.Revisions(0, 0);
     private CatalogUpdate.Revisions told = new CatalogUpdate.Revisions(0, 0);
-    private CatalogUpdate.Revisions asked = new CatalogUpdate.Revisions(0, 0);
-    private long askedNanos;
+    private CatalogUpdate.Revisions requested = new CatalogUpdate.Revisions(0, 0);
+    private long requestedNanos;
     private long toldNanos;
 
     /** Someone is ahead; look again when the store should have told the same. */
@@ -55,7 +55,7 @@
      * @param adopter takes what peers know
      * @param clock the monotonic clock, in nanoseconds
      */
-    CatalogSpread(
+    CatalogPropagation(
             Member self,
             PeerPort peers,
             FleetView fleet,
@@ -151,17 +151,17 @@
         while (!hints.isEmpty() && nowNanos - hints.peek().dueNanos() >= 0) {
             Hint hint = hints.poll();
             boolean underWay =
-                    nowNanos - askedNanos < ANSWER_MILLIS * NANOS_PER_MILLI
-                            && latest(asked, hint.revisions()).equals(asked);
+                    nowNanos - requestedNanos < ANSWER_MILLIS * NANOS_PER_MILLI
+                            && latest(requested, hint.revisions()).equals(requested);
             if (!underWay && isBehind(hint.revisions())) {
-                ask(hint, nowNanos);
+                request(hint, nowNanos);
             }
         }
     }
 
-    private void ask(Hint hint, long nowNanos) {
-        askedNanos = nowNanos;
-        asked = hint.revisions();
+    private void request(Hint hint, long nowNanos) {
+        requestedNanos = nowNanos;
+        requested = hint.revisions();
         log.accept(
                 "event=catalog_behind from=%s operators_revision=%d own=%d servers_revision=%d own=%d"
                         .formatted(
--- a/src/main/java/org/orioleshed/gateway/Dispatcher.java
+++ b/src/main/java/org/orioleshed/gateway/Dispatcher.java
@@ -10,18 +10,18 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.orioleshed.catalog.CatalogSnapshot;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PoolServer;
-import org.orioleshed.dispatch.Ask;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.dispatch.DispatchAction;
 import org.orioleshed.dispatch.DispatchCodec;
 import org.orioleshed.dispatch.DispatchEvent;
 import org.orioleshed.dispatch.DispatchMessage;
-import org.orioleshed.dispatch.MovePolicy;
+import org.orioleshed.dispatch.PlacementRequest;
 import org.orioleshed.dispatch.Quotas;
-import org.orioleshed.dispatch.RunEnd;
+import org.orioleshed.dispatch.RolloutPolicy;
 import org.orioleshed.dispatch.RunKey;
+import org.orioleshed.dispatch.RunReport;
 import org.orioleshed.dispatch.Scheduler;
 import org.orioleshed.dispatch.StatedLimit;
 import org.orioleshed.model.HostId;
@@ -31,20 +31,26 @@
 import org.orioleshed.peer.PeerPort;
 
 /**
- * Gets places for this host's requests: from the home of the pools, or, while that is silent, from
- * a scheduler of its own that knows this host's runs only.
+ * Gets places for this host's requests: from the primary of the pools, or, while that is silent,
+ * from a scheduler of its own that knows this host's runs only.
  */
 final class Dispatcher {
-    /** The home answers each ask at once; a few round trips and a busy moment fit in this. */
-    private static final long HOME_ANSWER_MILLIS = 60;
+    /**
+     * The primary answers each request at once; a few round trips and a busy moment fit in this.
+     */
+    private static final long PRIMARY_ANSWER_MILLIS = 60;
 
-    /** Who waits at the home asks again at this interval: its grant may be lost. */
-    private static final long ASK_AGAIN_MILLIS = 500;
+    /**
+     * A request that waits at the primary is sent again at this interval: its grant may be lost.
+     */
+    private static final long RESEND_MILLIS = 500;
 
     /** A scheduler that begins does not know what was used before. */
     private static final double FIRST_FILL = 0.05;
 
-    /** While all hosts were down, quotas filled up; the first home gives that out, and no other. */
+    /**
+     * While all hosts were down, quotas filled up; the first primary gives that out, and no other.
+     */
     private static final double RESTART_FILL = 0.7;
 
     /** After a pause of this host's own, answers may wait unread; they come before judgement. */
@@ -62,15 +68,15 @@
     private final Map<RunKey, Active> active = new HashMap<>();
     private final Followers followers = new Followers();
     private final Quotas.Slack slack;
-    private final MovePolicy movePolicy;
+    private final RolloutPolicy rolloutPolicy;
     private final ServerNotices notices = new ServerNotices();
     private final CatalogFeed feed = new CatalogFeed();
-    private final Map<MoveOrder, Told> told = new HashMap<>();
+    private final Map<RolloutOrder, Told> told = new HashMap<>();
     private final Scheduler own;
-    private Scheduler asHome;
-    private final HomeLink home;
-    private BiConsumer<MoveOrder, MoveOutcome> recorder = (order, outcome) -> {};
-    private Runnable whenAsked = () -> {};
+    private Scheduler asPrimary;
+    private final PrimaryLink primary;
+    private BiConsumer<RolloutOrder, RolloutOutcome> recorder = (order, outcome) -> {};
+    private Runnable whenRequested = () -> {};
     private final QuotaHandOver handOver = new QuotaHandOver();
     private boolean followed;
     private long tickedNanos;
@@ -86,79 +92,79 @@
     }
 
     private static final class Pending {
-        private final Ask ask;
-        private final PlacementListener placee;
+        private final PlacementRequest request;
+        private final PlacementListener listener;
         private final long sinceNanos;
-        private long askedNanos;
-        private boolean atHome;
+        private long requestedNanos;
+        private boolean atPrimary;
         private boolean queued;
 
-        Pending(Ask ask, PlacementListener placee, long sinceNanos) {
-            this.ask = ask;
-            this.placee = placee;
+        Pending(PlacementRequest request, PlacementListener listener, long sinceNanos) {
+            this.request = request;
+            this.listener = listener;
             this.sinceNanos = sinceNanos;
         }
 
-        Ask askNow(long nowNanos) {
-            return ask.again((nowNanos - sinceNanos) / NANOS_PER_MILLI);
+        PlacementRequest agedRequest(long nowNanos) {
+            return request.aged((nowNanos - sinceNanos) / NANOS_PER_MILLI);
         }
     }
 
-    /** The state of a move that was logged last. */
-    private record Told(MoveOutcome outcome, int step) {}
+    /** The state of a rollout that was logged last. */
+    private record Told(RolloutOutcome outcome, int step) {}
 
-    private record Active(Ask ask, ServerId server, long sinceNanos) {}
+    private record Active(PlacementRequest request, ServerId server, long sinceNanos) {}
 
     Dispatcher(
             HostId self,
             PeerPort peers,
             FleetView fleet,
             Quotas.Slack slack,
-            MovePolicy movePolicy,
+            RolloutPolicy rolloutPolicy,
             LongSupplier clock,
             Consumer<String> log) {
         this.clock = clock;
         this.self = self;
         this.slack = slack;
-        this.movePolicy = movePolicy;
-        this.own = new Scheduler(FIRST_FILL, slack, Quotas.Giver.STAND_IN, movePolicy);
-        this.asHome = newHome(FIRST_FILL);
+        this.rolloutPolicy = rolloutPolicy;
+        this.own = new Scheduler(FIRST_FILL, slack, Quotas.Role.FALLBACK, rolloutPolicy);
+        this.asPrimary = newPrimary(FIRST_FILL);
         this.peers = peers;
         this.fleet = fleet;
-        this.home = new HomeLink(self, fleet, log);
+        this.primary = new PrimaryLink(self, fleet, log);
         this.log = log;
     }
 
-    private Scheduler newHome(double fill) {
-        return new Scheduler(fill, slack, Quotas.Giver.HOME, movePolicy);
+    private Scheduler newPrimary(double fill) {
+        return new Scheduler(fill, slack, Quotas.Role.PRIMARY, rolloutPolicy);
     }
 
     /** Asks for a place; the answer may come before this returns. */
-    void place(RunKey run, Ask ask, PlacementListener placee) {
+    void place(RunKey run, PlacementRequest request, PlacementListener listener) {
         long nowNanos = clock.getAsLong();
-        Pending wanted = new Pending(ask, placee, nowNanos);
+        Pending wanted = new Pending(request, listener, nowNanos);
         pending.put(run, wanted);
-        place(run, wanted, ask, nowNanos);
+        place(run, wanted, request, nowNanos);
     }
 
-    private void place(RunKey run, Pending wanted, Ask ask, long nowNanos) {
-        wanted.askedNanos = nowNanos;
+    private void place(RunKey run, Pending wanted, PlacementRequest request, long nowNanos) {
+        wanted.requestedNanos = nowNanos;
         wanted.queued = false;
-        if (home.isSelf()) {
-            wanted.atHome = true;
-            fromHome(asHome.on(nowNanos, new DispatchEvent.Asked(run, ask)));
+        if (primary.isSelf()) {
+            wanted.atPrimary = true;
+            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.PlacementRequested(run, request)));
             return;
         }
-        if (home.mayBeAsked(nowNanos)) {
-            wanted.atHome = true;
-            if (toHome(new DispatchEvent.Asked(run, ask))) {
-                home.asked(nowNanos);
-                whenAsked.run();
+        if (primary.acceptsRequests(nowNanos)) {
+            wanted.atPrimary = true;
+            if (toPrimary(new DispatchEvent.PlacementRequested(run, request))) {
+                primary.requested(nowNanos);
+                whenRequested.run();
                 return;
             }
         }
-        wanted.atHome = false;
-        fromOwn(own.on(nowNanos, new DispatchEvent.Asked(run, ask)));
+        wanted.atPrimary = false;
+        fromOwn(own.on(nowNanos, new DispatchEvent.PlacementRequested(run, request)));
     }
 
     /** Wants no place any more. */
@@ -168,8 +174,8 @@
             return;
         }
         DispatchEvent event = new DispatchEvent.Withdrawn(run);
-        if (wanted.atHome) {
-            tellHome(event);
+        if (wanted.atPrimary) {
+            reportToPrimary(event);
         } else {
             fromOwn(own.on(clock.getAsLong(), event));
         }
@@ -181,9 +187,9 @@
     }
 
     /** A run ended. */
-    void ended(RunKey run, RunEnd end) {
+    void ended(RunKey run, RunReport report) {
         if (active.remove(run) != null) {
-            tellAll(new DispatchEvent.Ended(run, end));
+            tellAll(new DispatchEvent.Ended(run, report));
         }
     }
 
@@ -198,8 +204,8 @@
     }
 
     /** Takes what an answer says of its server, and returns what is new in it. */
-    ServerNotices.News noticed(PoolServer server, AnswerFacts facts) {
-        ServerNotices.News news = notices.note(server, facts, clock.getAsLong());
+    ServerNotices.News noticed(PoolServer server, ResponseHeaders responseHeaders) {
+        ServerNotices.News news = notices.note(server, responseHeaders, clock.getAsLong());
         if (news.leaves()) {
             tellAll(leaving(server));
         }
@@ -207,88 +213,88 @@
     }
 
     private static DispatchEvent leaving(PoolServer server) {
-        return new DispatchEvent.ServerLeaving(server.id(), server.bornMillis());
+        return new DispatchEvent.ServerLeaving(server.id(), server.startMillis());
     }
 
     private void tellAll(DispatchEvent event) {
-        tellHome(event);
+        reportToPrimary(event);
         fromOwn(own.on(clock.getAsLong(), event));
     }
 
-    private void tellHome(DispatchEvent event) {
-        if (home.isSelf()) {
-            fromHome(asHome.on(clock.getAsLong(), event));
-        } else if (home.id().isPresent()) {
-            toHome(event);
+    private void reportToPrimary(DispatchEvent event) {
+        if (primary.isSelf()) {
+            fromPrimary(asPrimary.on(clock.getAsLong(), event));
+        } else if (primary.id().isPresent()) {
+            toPrimary(event);
         }
     }
 
-    private boolean toHome(DispatchEvent event) {
-        byte[] bytes = codec.encode(new DispatchMessage.ToHome(event));
-        return peers.send(home.id().orElseThrow(), MessageKind.DISPATCH, bytes);
+    private boolean toPrimary(DispatchEvent event) {
+        byte[] bytes = codec.encode(new DispatchMessage.ToPrimary(event));
+        return peers.send(primary.id().orElseThrow(), MessageKind.DISPATCH, bytes);
     }
 
     /** Takes a message of a peer. */
     void received(HostId from, byte[] body) throws BadMessageException {
         switch (codec.decode(body)) {
-            case DispatchMessage.ToHome to -> receivedAsHome(from, to.event());
-            case DispatchMessage.Follows follows -> followedBy(from);
-            case DispatchMessage.Begins begins -> {
-                if (home.id().equals(Optional.of(from))) {
+            case DispatchMessage.ToPrimary to -> receivedAsPrimary(from, to.event());
+            case DispatchMessage.Follow follows -> followedBy(from);
+            case DispatchMessage.PrimaryStarted begins -> {
+                if (primary.id().equals(Optional.of(from))) {
                     tellWhatIsKnown();
                 }
             }
-            case DispatchMessage.FromHome answer -> {
-                home.answered(from, clock.getAsLong());
+            case DispatchMessage.FromPrimary answer -> {
+                primary.answered(from, clock.getAsLong());
                 deliver(answer.action(), true);
             }
         }
     }
 
-    private void receivedAsHome(HostId from, DispatchEvent event) {
+    private void receivedAsPrimary(HostId from, DispatchEvent event) {
         if (event instanceof DispatchEvent.QuotasHanded handed) {
             handOver.received(handed, clock.getAsLong());
             takeOverQuotas();
             return;
         }
-        if (event instanceof DispatchEvent.Asked) {
+        if (event instanceof DispatchEvent.PlacementRequested) {
             followedBy(from);
         }
-        fromHome(asHome.on(clock.getAsLong(), event));
+        fromPrimary(asPrimary.on(clock.getAsLong(), event));
     }
 
     private void takeOverQuotas() {
         long nowNanos = clock.getAsLong();
-        if (home.isSelf()) {
+        if (primary.isSelf()) {
             handOver.take(nowNanos).ifPresent(handed -> takeOver(handed, nowNanos));
         }
     }
 
     private void takeOver(DispatchEvent.QuotasHanded handed, long nowNanos) {
         log.accept("event=quotas_taken_over workspaces=" + handed.parts().size());
-        fromHome(asHome.on(nowNanos, handed));
+        fromPrimary(asPrimary.on(nowNanos, handed));
     }
 
-    /** Hands the next home what this one, which leaves, has left of quotas. */
+    /** Hands the next primary what this one, which leaves, has left of quotas. */
     private void handOverQuotas() {
-        DispatchEvent.QuotasHanded handed = asHome.handOverQuotas(clock.getAsLong());
-        boolean sent = toHome(handed);
+        DispatchEvent.QuotasHanded handed = asPrimary.handOverQuotas(clock.getAsLong());
+        boolean sent = toPrimary(handed);
         log.accept(
                 "event=quotas_handed_over home=%s workspaces=%d sent=%s"
-                        .formatted(home.name(), handed.parts().size(), sent));
+                        .formatted(primary.name(), handed.parts().size(), sent));
     }
 
     private void followedBy(HostId host) {
         followers.heard(host, clock.getAsLong());
-        shareAsHome();
+        shareAsPrimary();
     }
 
-    private void fromHome(List<DispatchAction> actions) {
+    private void fromPrimary(List<DispatchAction> actions) {
         for (DispatchAction action : actions) {
             if (action.run().origin().equals(self)) {
                 deliver(action, true);
             } else {
-                byte[] bytes = codec.encode(new DispatchMessage.FromHome(action));
+                byte[] bytes = codec.encode(new DispatchMessage.FromPrimary(action));
                 peers.send(action.run().origin(), MessageKind.DISPATCH, bytes);
             }
         }
@@ -298,124 +304,131 @@
         actions.forEach(action -> deliver(action, false));
     }
 
-    private void deliver(DispatchAction action, boolean byHome) {
+    private void deliver(DispatchAction action, boolean byPrimary) {
         Pending wanted = pending.get(action.run());
         switch (action) {
             case DispatchAction.Queued queued -> {
-                if (wanted != null && wanted.atHome == byHome) {
+                if (wanted != null && wanted.atPrimary == byPrimary) {
                     wanted.queued = true;
                 }
             }
             case DispatchAction.Refuse refuse -> {
-                if (wanted != null && wanted.atHome == byHome) {
+                if (wanted != null && wanted.atPrimary == byPrimary) {
                     pending.remove(refuse.run());
-                    wanted.placee.refused(refuse.run(), refuse.reason(), refuse.retryAfterMillis());
+                    wanted.listener.refused(
+                            refuse.run(), refuse.reason(), refuse.retryAfterMillis());
                 }
             }
-            case DispatchAction.Grant grant -> grant(grant, wanted, byHome);
+            case DispatchAction.Grant grant -> grant(grant, wanted, byPrimary);
         }
     }
 
-    private void grant(DispatchAction.Grant grant, Pending wanted, boolean byHome) {
-        if (wanted == null || wanted.atHome != byHome) {
-            if (byHome && !active.containsKey(grant.run())) {
-                tellHome(new DispatchEvent.Withdrawn(grant.run()));
+    private void grant(DispatchAction.Grant grant, Pending wanted, boolean byPrimary) {
+        if (wanted == null || wanted.atPrimary != byPrimary) {
+            if (byPrimary && !active.containsKey(grant.run())) {
+                reportToPrimary(new DispatchEvent.Withdrawn(grant.run()));
             }
             return;
         }
         pending.remove(grant.run());
         long nowNanos = clock.getAsLong();
-        Ask ask = wanted.askNow(nowNanos);
-        active.put(grant.run(), new Active(ask.withoutQuota(), grant.server(), nowNanos));
-        if (byHome) {
-            Ask paid = ask.withoutQuota();
+        PlacementRequest request = wanted.agedRequest(nowNanos);
+        active.put(grant.run(), new Active(request.withoutQuota(), grant.server(), nowNanos));
+        if (byPrimary) {
+            PlacementRequest paid = request.withoutQuota();
             fromOwn(own.on(nowNanos, new DispatchEvent.Placed(grant.run(), paid, grant.server())));
         } else {
-            tellHome(new DispatchEvent.Placed(grant.run(), ask, grant.server()));
+            reportToPrimary(new DispatchEvent.Placed(grant.run(), request, grant.server()));
         }
-        String by = byHome ? (home.isSelf() ? "self" : "home") : "own";
-        wanted.placee.granted(grant.run(), grant.server(), "by=" + by + " " + grant.why());
+        String by = byPrimary ? (primary.isSelf() ? "self" : "home") : "own";
+        wanted.listener.granted(grant.run(), grant.server(), "by=" + by + " " + grant.why());
     }
 
-    /** Returns whether requests wait for a place, this host's or, at the home, others'. */
+    /** Returns whether requests wait for a place, this host's or, at the primary, others'. */
     boolean isPlacing() {
-        return !pending.isEmpty() || asHome.waiting() > 0 || own.waiting() > 0;
+        return !pending.isEmpty() || asPrimary.waiting() > 0 || own.waiting() > 0;
     }
 
     /** Does what is due; to be called every 20 ms while requests wait, and every 100 ms else. */
     void tick() {
         long nowNanos = clock.getAsLong();
-        shareAsHome();
-        if (home.isSelf()) {
-            fromHome(asHome.on(nowNanos, new DispatchEvent.Tick()));
-            asHome.moves().forEach(this::record);
+        shareAsPrimary();
+        if (primary.isSelf()) {
+            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.Tick()));
+            asPrimary.rollouts().forEach(this::record);
         }
         fromOwn(own.on(nowNanos, new DispatchEvent.Tick()));
-        if (!home.isSelf()) {
-            checkHome(nowNanos);
+        if (!primary.isSelf()) {
+            checkPrimary(nowNanos);
             follow(nowNanos);
-            askAgain(nowNanos);
+            resendRequests(nowNanos);
         }
     }
 
-    private void askAgain(long nowNanos) {
+    private void resendRequests(long nowNanos) {
         pending.forEach(
                 (run, wanted) -> {
-                    long sinceNanos = nowNanos - wanted.askedNanos;
-                    boolean due = sinceNanos > ASK_AGAIN_MILLIS * NANOS_PER_MILLI;
-                    if (home.mayBeAsked(nowNanos) && wanted.atHome && wanted.queued && due) {
-                        wanted.askedNanos = nowNanos;
-                        var unused = toHome(new DispatchEvent.Asked(run, wanted.askNow(nowNanos)));
+                    long sinceNanos = nowNanos - wanted.requestedNanos;
+                    boolean due = sinceNanos > RESEND_MILLIS * NANOS_PER_MILLI;
+                    if (primary.acceptsRequests(nowNanos)
+                            && wanted.atPrimary
+                            && wanted.queued
+                            && due) {
+                        wanted.requestedNanos = nowNanos;
+                        var unused =
+                                toPrimary(
+                                        new DispatchEvent.PlacementRequested(
+                                                run, wanted.agedRequest(nowNanos)));
                     }
                 });
     }
 
-    /** Tells the home that this host looks to it, unless it just did so by asking. */
+    /** Tells the primary that this host looks to it, unless it just did so by a request. */
     private void follow(long nowNanos) {
-        if (home.isTellDue(nowNanos)) {
-            home.asked(nowNanos);
-            byte[] bytes = codec.encode(new DispatchMessage.Follows());
-            peers.send(home.id().orElseThrow(), MessageKind.DISPATCH, bytes);
+        if (primary.isTellDue(nowNanos)) {
+            primary.requested(nowNanos);
+            byte[] bytes = codec.encode(new DispatchMessage.Follow());
+            peers.send(primary.id().orElseThrow(), MessageKind.DISPATCH, bytes);
         }
     }
 
-    /** Has the state of a move recorded where it is new. */
-    private void record(Scheduler.MoveView move) {
-        Told now = new Told(move.outcome(), move.step());
-        Told before = told.put(move.order(), now);
+    /** Has the state of a rollout recorded where it is new. */
+    private void record(Scheduler.RolloutView rollout) {
+        Told now = new Told(rollout.outcome(), rollout.step());
+        Told before = told.put(rollout.order(), now);
         if (now.equals(before)) {
             return;
         }
         log.accept(
                 "event=move order=%s outcome=%s %s"
-                        .formatted(move.order(), move.outcome(), move.evidence().get()));
-        if (before == null || before.outcome != move.outcome()) {
-            recorder.accept(move.order(), move.outcome());
+                        .formatted(rollout.order(), rollout.outcome(), rollout.evidence().get()));
+        if (before == null || before.outcome != rollout.outcome()) {
+            recorder.accept(rollout.order(), rollout.outcome());
         }
     }
 
     /**
-     * Takes what is called when the home was asked for a place, which it may not answer in time.
+     * Takes what is called when the primary was sent a request, which it may not answer in time.
      */
-    void whenAsked(Runnable newWhenAsked) {
-        whenAsked = newWhenAsked;
+    void whenRequested(Runnable newWhenRequested) {
+        whenRequested = newWhenRequested;
     }
 
-    /** Takes what records outcomes of moves. */
-    void recorder(BiConsumer<MoveOrder, MoveOutcome> newRecorder) {
+    /** Takes what records outcomes of rollouts. */
+    void recorder(BiConsumer<RolloutOrder, RolloutOutcome> newRecorder) {
         recorder = newRecorder;
     }
 
-    /** The store holds an outcome of a move. */
-    void recorded(MoveOrder order, MoveOutcome outcome) {
+    /** The store holds an outcome of a rollout. */
+    void recorded(RolloutOrder order, RolloutOutcome outcome) {
         feed.recorded(order, outcome);
         long nowNanos = clock.getAsLong();
-        DispatchEvent settled = new DispatchEvent.MoveSettled(order, outcome);
+        DispatchEvent settled = new DispatchEvent.RolloutSettled(order, outcome);
         fromOwn(own.on(nowNanos, settled));
-        fromHome(asHome.on(nowNanos, settled));
+        fromPrimary(asPrimary.on(nowNanos, settled));
     }
 
-    private void checkHome(long nowNanos) {
+    private void checkPrimary(long nowNanos) {
         boolean delayed = nowNanos - tickedNanos > LATE_TICK_MILLIS * NANOS_PER_MILLI;
         tickedNanos = nowNanos;
         if (delayed) {
@@ -427,44 +440,47 @@
                 overdue.add(entry.getKey());
             }
         }
-        if (!overdue.isEmpty() && home.noteSilence(nowNanos)) {
+        if (!overdue.isEmpty() && primary.noteSilence(nowNanos)) {
             fleetChanged();
         }
         for (RunKey run : overdue) {
             Pending wanted = pending.get(run);
             if (wanted != null && isOverdue(wanted, nowNanos)) {
-                placeWithoutHome(run, wanted, nowNanos);
+                placeWithoutPrimary(run, wanted, nowNanos);
             }
         }
     }
 
-    private void placeWithoutHome(RunKey run, Pending wanted, long nowNanos) {
-        tellHome(new DispatchEvent.Withdrawn(run));
-        wanted.atHome = false;
+    private void placeWithoutPrimary(RunKey run, Pending wanted, long nowNanos) {
+        reportToPrimary(new DispatchEvent.Withdrawn(run));
+        wanted.atPrimary = false;
         wanted.queued = false;
-        fromOwn(own.on(nowNanos, new DispatchEvent.Asked(run, wanted.askNow(nowNanos))));
+        fromOwn(
+                own.on(
+                        nowNanos,
+                        new DispatchEvent.PlacementRequested(run, wanted.agedRequest(nowNanos))));
     }
 
     private boolean isOverdue(Pending wanted, long nowNanos) {
-        if (!wanted.atHome) {
+        if (!wanted.atPrimary) {
             return false;
         }
         if (wanted.queued) {
-            return home.isLost(nowNanos);
+            return primary.isLost(nowNanos);
         }
-        return nowNanos - wanted.askedNanos > HOME_ANSWER_MILLIS * NANOS_PER_MILLI;
+        return nowNanos - wanted.requestedNanos > PRIMARY_ANSWER_MILLIS * NANOS_PER_MILLI;
     }
 
     /** The membership view changed. */
     void fleetChanged() {
-        boolean wasHome = home.isSelf();
-        boolean moved = home.choose(clock.getAsLong());
+        boolean wasPrimary = primary.isSelf();
+        boolean moved = primary.choose(clock.getAsLong());
         share();
-        if (wasHome && !home.isSelf() && fleet.isLeaving() && home.id().isPresent()) {
+        if (wasPrimary && !primary.isSelf() && fleet.isLeaving() && primary.id().isPresent()) {
             handOverQuotas();
         }
         if (moved) {
-            homeMoved();
+            primaryMoved();
         }
     }
 
@@ -474,71 +490,72 @@
         double ownPlaces = Math.min(1, 2 / known);
         var unused = own.on(nowNanos, new DispatchEvent.ShareChanged(ownPlaces, 1 / known));
         quotaShare = 0;
-        shareAsHome();
+        shareAsPrimary();
     }
 
-    /** Gives out, as the home, the parts of quotas of this host and of those that follow it. */
-    private void shareAsHome() {
+    /** Gives out, as the primary, the parts of quotas of this host and of those that follow it. */
+    private void shareAsPrimary() {
         long nowNanos = clock.getAsLong();
         double quota = Math.min(1, (1.0 + followers.count(nowNanos)) / fleet.known());
         if (quota != quotaShare) {
             quotaShare = quota;
-            fromHome(asHome.on(nowNanos, new DispatchEvent.ShareChanged(1, quota)));
+            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.ShareChanged(1, quota)));
         }
     }
 
-    private void homeMoved() {
+    private void primaryMoved() {
         long nowNanos = clock.getAsLong();
         log.accept(
                 "event=home_moved home=%s live=%d known=%d waiting=%d running=%d"
                         .formatted(
-                                home.name(),
+                                primary.name(),
                                 fleet.live().size(),
                                 fleet.known(),
                                 pending.size(),
                                 active.size()));
-        if (home.isSelf()) {
+        if (primary.isSelf()) {
             told.clear();
             double fill = !followed && fleet.startedTogether() ? RESTART_FILL : FIRST_FILL;
-            asHome = newHome(fill);
-            var unused = feed.to(asHome, true, nowNanos);
+            asPrimary = newPrimary(fill);
+            var unused = feed.to(asPrimary, true, nowNanos);
             share();
             handOver.begin(nowNanos);
             takeOverQuotas();
         }
-        followed |= home.id().isPresent() && !home.isSelf();
+        followed |= primary.id().isPresent() && !primary.isSelf();
         tellWhatIsKnown();
-        if (home.isSelf()) {
+        if (primary.isSelf()) {
             // Those who chose this host before it did so itself told what they know too early.
-            byte[] begins = codec.encode(new DispatchMessage.Begins());
-            fleet.others().forEach(host -> peers.send(host, MessageKind.DISPATCH, begins));
+            byte[] started = codec.encode(new DispatchMessage.PrimaryStarted());
+            fleet.others().forEach(host -> peers.send(host, MessageKind.DISPATCH, started));
         }
         for (Map.Entry<RunKey, Pending> entry : List.copyOf(pending.entrySet())) {
             Pending wanted = entry.getValue();
-            if (wanted.atHome && pending.containsKey(entry.getKey())) {
-                place(entry.getKey(), wanted, wanted.askNow(nowNanos), nowNanos);
+            if (wanted.atPrimary && pending.containsKey(entry.getKey())) {
+                place(entry.getKey(), wanted, wanted.agedRequest(nowNanos), nowNanos);
             }
         }
     }
 
-    /** Tells the home what only this host knows: servers' words, its runs, what it saw. */
+    /** Tells the primary what only this host knows: servers' words, its runs, what it saw. */
     private void tellWhatIsKnown() {
         long nowNanos = clock.getAsLong();
-        notices.leaving().forEach(server -> tellHome(leaving(server)));
-        notices.limits(nowNanos).forEach(this::tellHome);
-        own.recall(self, nowNanos).forEach(this::tellHome);
+        notices.leaving().forEach(server -> reportToPrimary(leaving(server)));
+        notices.limits(nowNanos).forEach(this::reportToPrimary);
+        own.reports(self, nowNanos).forEach(this::reportToPrimary);
         active.forEach(
                 (run, at) ->
-                        tellHome(
+                        reportToPrimary(
                                 new DispatchEvent.Placed(
                                         run,
-                                        at.ask.again((nowNanos - at.sinceNanos) / NANOS_PER_MILLI),
+                                        at.request.aged(
+                                                (nowNanos - at.sinceNanos) / NANOS_PER_MILLI),
                                         at.server)));
     }
 
     void hostDied(HostId host) {
         followers.gone(host);
-        fromHome(asHome.on(clock.getAsLong(), new DispatchEvent.HostGone(host)));
+        fromPrimary(asPrimary.on(clock.getAsLong(), new DispatchEvent.HostGone(host)));
     }
 
     /** The configuration or the servers changed. */
@@ -547,7 +564,7 @@
         feed.changed(newer, nowNanos);
         notices.changed(newer.servers());
         fromOwn(feed.to(own, false, nowNanos));
-        fromHome(feed.to(asHome, true, nowNanos));
+        fromPrimary(feed.to(asPrimary, true, nowNanos));
     }
 
     /** Returns the server with an id, where it is known. */
@@ -555,8 +572,8 @@
         return feed.server(id);
     }
 
-    /** Returns one word on who is the home, for the log. */
-    String homeName() {
-        return home.name();
+    /** Returns one word on who is the primary, for the log. */
+    String primaryName() {
+        return primary.name();
     }
 }
--- a/src/main/java/org/orioleshed/gateway/Exchange.java
+++ b/src/main/java/org/orioleshed/gateway/Exchange.java
@@ -19,22 +19,22 @@
 import org.orioleshed.catalog.Catalog;
 import org.orioleshed.catalog.PoolServer;
 import org.orioleshed.catalog.Quota;
-import org.orioleshed.catalog.Repeat;
+import org.orioleshed.catalog.Repeatability;
 import org.orioleshed.catalog.WorkspaceConfig;
-import org.orioleshed.dispatch.Ask;
 import org.orioleshed.dispatch.DispatchAction;
-import org.orioleshed.dispatch.RunEnd;
+import org.orioleshed.dispatch.PlacementRequest;
 import org.orioleshed.dispatch.RunKey;
+import org.orioleshed.dispatch.RunReport;
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * One caller's request, from its arrival to the end of its answer. Knows of each try how far it
+ * One caller's request, from its arrival to the end of its answer. Knows of each attempt how far it
  * came, and sends the request again only where that can't run it twice.
  */
-final class Exchange implements Dispatcher.PlacementListener, ServerTry.Listener {
+final class Exchange implements Dispatcher.PlacementListener, ServerAttempt.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** A host that starts reads its configuration within this time, unless the store is away. */
@@ -59,18 +59,18 @@
     private final GatewayContext context;
     private final CallerConnection caller;
     private final CallerRequest request;
-    private final CallFacts facts;
+    private final CallHeaders callHeaders;
     private final Set<ServerId> excluded = new HashSet<>();
     private final EventFramer framer = new EventFramer();
     private State state = State.WAITING_FOR_CONFIG;
-    private Optional<WorkspaceConfig> tenancy = Optional.empty();
+    private Optional<WorkspaceConfig> workspaceConfig = Optional.empty();
     private CallRoute route;
-    private RepeatRule rule;
+    private RetryRule rule;
     private ServiceId service;
     private long endNanos;
     private long content;
     private RunKey run;
-    private ServerTry current;
+    private ServerAttempt current;
     private boolean streaming;
     private boolean reported;
 
@@ -78,7 +78,7 @@
         this.context = context;
         this.caller = caller;
         this.request = request;
-        this.facts = context.dialect().read(request.headers());
+        this.callHeaders = context.translator().read(request.headers());
     }
 
     void start() {
@@ -109,7 +109,7 @@
             case WAITING_FOR_CONFIG -> giveUp(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
             case PLACING -> handBack();
             case SENT -> {
-                letGo(RunEnd.Outcome.CANCELLED);
+                letGo(RunReport.Outcome.CANCELLED);
                 giveUp(HttpResponseStatus.BAD_GATEWAY, LEAVING, -1);
             }
             case DONE -> {}
@@ -118,7 +118,7 @@
 
     /** Gives up a request that no server has, so that its caller comes back to another host. */
     private void handBack() {
-        letGo(RunEnd.Outcome.CANCELLED);
+        letGo(RunReport.Outcome.CANCELLED);
         giveUpUnplaced(LEAVING, 0);
     }
 
@@ -126,12 +126,12 @@
         context.log(
                 "event=unfinished request=%s run=%s state=%s server=%s events=%d output_tokens=%d"
                                 .formatted(
-                                        facts.id(),
+                                        callHeaders.id(),
                                         run,
                                         state,
                                         current == null ? "none" : current.server().id(),
                                         framer.events(),
-                                        facts.outputTokens())
+                                        callHeaders.outputTokens())
                         + " total_ms=%d".formatted(request.ageMillis(System.nanoTime())));
     }
 
@@ -149,18 +149,18 @@
             return;
         }
         route = found.get();
-        if (!route.open() && catalog.wantsKeys()) {
-            tenancy = facts.key().flatMap(catalog::holder);
-            if (tenancy.isEmpty()) {
+        if (!route.open() && catalog.requiresKeys()) {
+            workspaceConfig = callHeaders.key().flatMap(catalog::holder);
+            if (workspaceConfig.isEmpty()) {
                 giveUp(HttpResponseStatus.UNAUTHORIZED, "unknown_key", -1);
                 return;
             }
         }
-        rule = new RepeatRule(route);
+        rule = new RetryRule(route);
         service = route.pick(context.random().nextDouble());
         long waitMillis = route.timeoutMillis();
-        if (facts.deadlineMillis() >= 0) {
-            waitMillis = Math.min(waitMillis, facts.deadlineMillis());
+        if (callHeaders.deadlineMillis() >= 0) {
+            waitMillis = Math.min(waitMillis, callHeaders.deadlineMillis());
         }
         endNanos = request.arrivedNanos() + waitMillis * NANOS_PER_MILLI;
         content = fingerprint();
@@ -168,7 +168,7 @@
             giveUp(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
             return;
         }
-        place(tenancy.map(WorkspaceConfig::workspace));
+        place(workspaceConfig.map(WorkspaceConfig::workspace));
     }
 
     private boolean isTakenWhileLeaving() {
@@ -179,7 +179,7 @@
                 "event=%s request=%s number_on_connection=%d age_ms=%d"
                                 .formatted(
                                         taken ? "taken_while_leaving" : "not_taken_while_leaving",
-                                        facts.id(),
+                                        callHeaders.id(),
                                         request.number(),
                                         request.ageMillis(nowNanos))
                         + " host_ends_in_ms=%d limit_ms=%d"
@@ -196,13 +196,13 @@
     private void place(Optional<WorkspaceId> payer) {
         state = State.PLACING;
         run = context.nextRun();
-        context.dispatcher().place(run, ask(payer), this);
+        context.dispatcher().place(run, placementRequest(payer), this);
     }
 
-    private Ask ask(Optional<WorkspaceId> payer) {
-        boolean model = route.repeat() == Repeat.STREAM;
+    private PlacementRequest placementRequest(Optional<WorkspaceId> payer) {
+        boolean model = route.repeatability() == Repeatability.STREAM;
         long nowNanos = System.nanoTime();
-        return new Ask(
+        return new PlacementRequest(
                 service,
                 route.id(),
                 payer,
@@ -210,9 +210,12 @@
                 rank(),
                 route.targetMillis() - request.ageMillis(nowNanos),
                 leftMillis(nowNanos),
-                model ? Math.max(1, facts.promptTokens()) : 0,
-                model ? facts.likelyTokens() : 0,
-                tenancy.map(WorkspaceConfig::quota).orElse(Quota.NONE).units(facts.statedTokens()),
+                model ? Math.max(1, callHeaders.promptTokens()) : 0,
+                model ? callHeaders.likelyTokens() : 0,
+                workspaceConfig
+                        .map(WorkspaceConfig::quota)
+                        .orElse(Quota.NONE)
+                        .units(callHeaders.statedTokens()),
                 content,
                 excluded());
     }
@@ -242,25 +245,27 @@
         return Hashing.murmur3_128()
                 .newHasher()
                 .putUnencodedChars(request.uri())
-                .putUnencodedChars(facts.key().orElse(""))
+                .putUnencodedChars(callHeaders.key().orElse(""))
                 .putBytes(request.body().toBytes())
                 .hash()
                 .asLong();
     }
 
     private int rank() {
-        return Ask.rank(tenancy.flatMap(WorkspaceConfig::priority).orElse(0), route.priority());
+        return PlacementRequest.rank(
+                workspaceConfig.flatMap(WorkspaceConfig::priority).orElse(0), route.priority());
     }
 
     @Override
     public void granted(RunKey granted, ServerId id, String why) {
         if (state != State.PLACING || !granted.equals(run)) {
-            context.dispatcher().ended(granted, new RunEnd(RunEnd.Outcome.CANCELLED, 0, 0, 0));
+            context.dispatcher()
+                    .ended(granted, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
             return;
         }
         Optional<PoolServer> known = context.dispatcher().server(id);
         if (known.isEmpty() || context.dispatcher().avoids(known.get())) {
-            context.dispatcher().ended(run, new RunEnd(RunEnd.Outcome.MISDIRECTED, 0, 0, 0));
+            context.dispatcher().ended(run, new RunReport(RunReport.Outcome.MISDIRECTED, 0, 0, 0));
             excluded.add(id);
             rule.notSent();
             again(true, "server_left");
@@ -272,40 +277,46 @@
     private void send(PoolServer server, String why) {
         long nowNanos = System.nanoTime();
         state = State.SENT;
-        if (rule.tries() == 0) {
+        if (rule.attempts() == 0) {
             context.retries(service).first(nowNanos);
         }
         rule.sent();
         current =
-                new ServerTry(run, server, route.repeat() == Repeat.STREAM, framer, this, nowNanos);
+                new ServerAttempt(
+                        run,
+                        server,
+                        route.repeatability() == Repeatability.STREAM,
+                        framer,
+                        this,
+                        nowNanos);
         context.log(
                 "event=placed request=%s run=%s config=%d route=%s rank=%d server=%s try=%d"
                                 .formatted(
-                                        facts.id(),
+                                        callHeaders.id(),
                                         run,
                                         context.snapshot().configRevision(),
                                         route.id(),
                                         rank(),
                                         server.id(),
-                                        rule.tries())
+                                        rule.attempts())
                         + " waited_ms=%d %s".formatted(request.ageMillis(nowNanos), why));
         context.pool(server.address())
                 .send(
                         toServer(server, nowNanos),
-                        facts.id(),
+                        callHeaders.id(),
                         route.mayRunAgain() ? ANY_AGE_MILLIS : FRESH_MILLIS,
                         current,
                         current.sending());
     }
 
     private FullHttpRequest toServer(PoolServer server, long nowNanos) {
-        CallDialect.ServerOrder order =
-                new CallDialect.ServerOrder(
+        HeaderTranslator.ServerOrder order =
+                new HeaderTranslator.ServerOrder(
                         server.id(),
-                        tenancy.map(WorkspaceConfig::workspace),
+                        workspaceConfig.map(WorkspaceConfig::workspace),
                         Math.max(1, callerLeftMillis(nowNanos)),
                         streaming ? framer.lastId() : Optional.empty());
-        HttpHeaders headers = context.dialect().toServer(request.headers(), order);
+        HttpHeaders headers = context.translator().toServer(request.headers(), order);
         byte[] body = request.body().toBytes();
         if (body.length > 0 || request.method().equals(HttpMethod.POST)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -342,7 +353,7 @@
     }
 
     @Override
-    public void notRun(ServerTry which, RunEnd.Outcome outcome, String detail) {
+    public void notRun(ServerAttempt which, RunReport.Outcome outcome, String detail) {
         context.dispatcher().ended(which.run(), which.end(outcome));
         excluded.add(which.server().id());
         rule.provedNotRun();
@@ -350,27 +361,27 @@
     }
 
     @Override
-    public void noticed(ServerTry which, AnswerFacts answer) {
+    public void noticed(ServerAttempt which, ResponseHeaders answer) {
         if (answer.restMillis() > 0) {
             context.log(
                     "event=server_rests request=%s server=%s rest_ms=%d"
-                            .formatted(facts.id(), which.server().id(), answer.restMillis()));
+                            .formatted(callHeaders.id(), which.server().id(), answer.restMillis()));
         }
         ServerNotices.News news = context.dispatcher().noticed(which.server(), answer);
         if (news.leaves()) {
             context.log(
                     "event=server_leaving request=%s server=%s"
-                            .formatted(facts.id(), which.server().id()));
+                            .formatted(callHeaders.id(), which.server().id()));
         }
         if (news.limit()) {
             context.log(
                     "event=server_limit request=%s server=%s per_second=%s"
-                            .formatted(facts.id(), which.server().id(), answer.limit()));
+                            .formatted(callHeaders.id(), which.server().id(), answer.limit()));
         }
     }
 
     @Override
-    public void events(ServerTry which, HttpResponse head, byte[] events) {
+    public void events(ServerAttempt which, HttpResponse head, byte[] events) {
         if (!which.hasEvents() || state != State.SENT) {
             return;
         }
@@ -378,7 +389,7 @@
         caller.streamPart(events);
     }
 
-    private void beginStream(ServerTry which, HttpResponse head) {
+    private void beginStream(ServerAttempt which, HttpResponse head) {
         if (which.run().equals(run) && !reported) {
             reported = true;
             context.dispatcher().first(run, Math.max(1, which.firstMillis()), which.limit());
@@ -386,14 +397,14 @@
         if (!streaming) {
             streaming = true;
             context.firstEvent(request.ageMillis(System.nanoTime()));
-            caller.beginStream(head.status(), context.dialect().toCaller(head.headers()));
+            caller.beginStream(head.status(), context.translator().toCaller(head.headers()));
         }
     }
 
     @Override
-    public void streamEnded(ServerTry which, HttpResponse head, byte[] rest) {
+    public void streamEnded(ServerAttempt which, HttpResponse head, byte[] rest) {
         beginStream(which, head);
-        context.dispatcher().ended(which.run(), which.end(RunEnd.Outcome.ANSWERED));
+        context.dispatcher().ended(which.run(), which.end(RunReport.Outcome.ANSWERED));
         if (rest.length > 0) {
             caller.streamPart(rest);
         }
@@ -402,14 +413,15 @@
     }
 
     @Override
-    public void answered(ServerTry which, HttpResponse head, AnswerFacts answer, Payload body) {
+    public void answered(
+            ServerAttempt which, HttpResponse head, ResponseHeaders answer, Payload body) {
         int status = head.status().code();
         boolean fault = status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
-        RunEnd.Outcome outcome = fault ? RunEnd.Outcome.FAILED : RunEnd.Outcome.ANSWERED;
+        RunReport.Outcome outcome = fault ? RunReport.Outcome.FAILED : RunReport.Outcome.ANSWERED;
         context.dispatcher().ended(which.run(), which.end(outcome));
         rule.ran();
         excluded.add(which.server().id());
-        if (fault && mayTryAgain(false)) {
+        if (fault && mayRetry(false)) {
             again(false, "status=" + status);
             return;
         }
@@ -422,7 +434,7 @@
             return;
         }
         finish(status, "answered");
-        caller.answer(head.status(), context.dialect().toCaller(head.headers()), body.toBytes());
+        caller.answer(head.status(), context.translator().toCaller(head.headers()), body.toBytes());
     }
 
     /** Returns whether a status tells the caller that its request has not run. */
@@ -431,7 +443,7 @@
     }
 
     @Override
-    public void broken(ServerTry which, RunEnd.Outcome outcome, String detail) {
+    public void broken(ServerAttempt which, RunReport.Outcome outcome, String detail) {
         context.dispatcher().ended(which.run(), which.end(outcome));
         rule.ran();
         excluded.add(which.server().id());
@@ -439,10 +451,10 @@
         again(false, outcome + ":" + detail);
     }
 
-    private boolean mayTryAgain(boolean proved) {
+    private boolean mayRetry(boolean proved) {
         long leftMillis = leftMillis(System.nanoTime());
         boolean resumes = !streaming || framer.lastId().isPresent();
-        return resumes && rule.mayTryAgain(proved, leftMillis);
+        return resumes && rule.mayRetry(proved, leftMillis);
     }
 
     /** Sends the request to another server, if that is allowed, or gives it up. */
@@ -450,11 +462,11 @@
         context.log(
                 "event=failed_try request=%s run=%s server=%s proved=%s try=%d reason=\"%s\""
                         .formatted(
-                                facts.id(),
+                                callHeaders.id(),
                                 run,
                                 current == null ? "none" : current.server().id(),
                                 proved,
-                                rule.tries(),
+                                rule.attempts(),
                                 reason));
         long nowNanos = System.nanoTime();
         if (isForAnotherHost(nowNanos)) {
@@ -462,8 +474,7 @@
             return;
         }
         boolean allowed =
-                mayTryAgain(proved)
-                        && context.retries(service).repeat(context.fixedRetries(), nowNanos);
+                mayRetry(proved) && context.retries(service).take(context.fixedRetries(), nowNanos);
         if (allowed) {
             reported = false;
             place(Optional.empty());
@@ -490,7 +501,7 @@
         }
         finish(status.code(), reason);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        context.dialect().markOwn(headers, facts.id(), retryAfterMillis);
+        context.translator().markOwn(headers, callHeaders.id(), retryAfterMillis);
         caller.answer(status, headers, new byte[0]);
     }
 
@@ -501,14 +512,16 @@
         context.log(
                 "event=done request=%s route=%s workspace=%s status=%d outcome=\"%s\" total_ms=%d"
                                 .formatted(
-                                        facts.id(),
+                                        callHeaders.id(),
                                         route == null ? "none" : route.id(),
-                                        tenancy.map(it -> it.workspace().value()).orElse("none"),
+                                        workspaceConfig
+                                                .map(it -> it.workspace().value())
+                                                .orElse("none"),
                                         status,
                                         outcome,
                                         totalMillis)
                         + " events=%d tries=%d"
-                                .formatted(framer.events(), rule == null ? 0 : rule.tries()));
+                                .formatted(framer.events(), rule == null ? 0 : rule.attempts()));
     }
 
     /** The caller's connection is gone. */
@@ -516,12 +529,12 @@
         if (state == State.DONE) {
             return;
         }
-        letGo(RunEnd.Outcome.CANCELLED);
+        letGo(RunReport.Outcome.CANCELLED);
         finish(0, "caller_left");
     }
 
     /** Ends what is under way, wherever it is. */
-    private void letGo(RunEnd.Outcome outcome) {
+    private void letGo(RunReport.Outcome outcome) {
         if (state == State.PLACING) {
             context.dispatcher().withdraw(run);
         } else if (state == State.SENT) {
@@ -549,7 +562,7 @@
             }
             case PLACING -> {
                 if (nowNanos >= endNanos) {
-                    letGo(RunEnd.Outcome.CANCELLED);
+                    letGo(RunReport.Outcome.CANCELLED);
                     giveUpUnplaced("time_over", 0);
                 } else if (isForAnotherHost(nowNanos)) {
                     handBack();
@@ -558,7 +571,7 @@
             case SENT -> {
                 if (nowNanos >= endNanos) {
                     timeOver();
-                } else if (rule.isSilent(current, nowNanos) && mayTryAgain(false)) {
+                } else if (rule.isSilent(current, nowNanos) && mayRetry(false)) {
                     leaveSilent();
                 }
             }
@@ -574,7 +587,7 @@
     }
 
     private void timeOver() {
-        letGo(current.hasEvents() ? RunEnd.Outcome.CANCELLED : RunEnd.Outcome.TIMED_OUT);
+        letGo(current.hasEvents() ? RunReport.Outcome.CANCELLED : RunReport.Outcome.TIMED_OUT);
         rule.ran();
         giveUp(HttpResponseStatus.GATEWAY_TIMEOUT, "time_over", -1);
     }
@@ -582,6 +595,6 @@
     /** Goes on at another server. */
     private void leaveSilent() {
         current.cancel();
-        broken(current, RunEnd.Outcome.TIMED_OUT, "silent");
+        broken(current, RunReport.Outcome.TIMED_OUT, "silent");
     }
 }
--- a/src/main/java/org/orioleshed/gateway/FleetView.java
+++ b/src/main/java/org/orioleshed/gateway/FleetView.java
@@ -20,7 +20,7 @@
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
 
-/** This host's view of the other hosts, and who of them is the home of the pools. */
+/** This host's view of the other hosts, and who of them is the primary of the pools. */
 final class FleetView {
     /** A host that vanished may be cut off and go on using quotas; it counts this long. */
     private static final long QUOTA_MEMORY_NANOS = 15_000_000_000L;
@@ -159,8 +159,8 @@
         return Rendezvous.ranked(near, "store-watcher").indexOf(self.id()) < WATCHERS_PER_DOMAIN;
     }
 
-    /** Returns the home: the host that has been up longest. */
-    Optional<Member> home() {
+    /** Returns the primary: the host that has been up longest. */
+    Optional<Member> primary() {
         return members.stream()
                 .filter(FleetView::isLive)
                 .min(Comparator.comparingLong(Member::incarnation).thenComparing(Member::id));
--- a/src/main/java/org/orioleshed/gateway/Followers.java
+++ b/src/main/java/org/orioleshed/gateway/Followers.java
@@ -5,8 +5,8 @@
 import org.orioleshed.model.HostId;
 
 /**
- * The hosts that look to this one as the home. Each lends it its part of all quotas, and lends it
- * to one host only, so the parts that two homes give out add up to no more than the whole.
+ * The hosts that look to this one as the primary. Each lends it its part of all quotas, and lends
+ * it to one host only, so the parts that two primaries give out add up to no more than the whole.
  */
 final class Followers {
     /** A host says at this interval whom it follows. */
--- a/src/main/java/org/orioleshed/gateway/Gateway.java
+++ b/src/main/java/org/orioleshed/gateway/Gateway.java
@@ -31,10 +31,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.orioleshed.catalog.CallerLimits;
-import org.orioleshed.catalog.CatalogFollower;
 import org.orioleshed.catalog.CatalogSnapshot;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
+import org.orioleshed.catalog.CatalogWatcher;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.dispatch.RunKey;
 import org.orioleshed.membership.Member;
 import org.orioleshed.model.FailureDomain;
@@ -47,7 +47,7 @@
 
 /** One entry host's data path. Owns the data thread, on which all of its state lives. */
 public final class Gateway implements RequestAcceptor, GatewayContext, FleetView.Listener {
-    /** While a request waits for its place, which the home may not give in time. */
+    /** While a request waits for its place, which the primary may not give in time. */
     private static final long PLACING_TICK_MILLIS = 20;
 
     /** While requests are at servers. */
@@ -75,7 +75,7 @@
     private static final long METRICS_WINDOW_SECONDS = 60;
 
     private final GatewayOptions options;
-    private final CallDialect dialect;
+    private final HeaderTranslator translator;
     private final LogRing log;
     private final RandomGenerator random;
     private final MetricRegistry metrics = new MetricRegistry();
@@ -87,7 +87,7 @@
     private final PeerNetwork peers;
     private final FleetView fleet;
     private final Dispatcher dispatcher;
-    private final CatalogSpread spread;
+    private final CatalogPropagation propagation;
     private final Bootstrap serverBootstrap;
     private final Map<InetSocketAddress, ServerPool> pools = new HashMap<>();
     private final Map<ServiceId, RetryWindow> retryWindows = new HashMap<>();
@@ -97,7 +97,7 @@
     private final Histogram answerMillis;
     private final Counter acceptedRequests;
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final CatalogFollower follower;
+    private final CatalogWatcher watcher;
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
     private volatile boolean alone = true;
     private final LeavingRule leaving;
@@ -112,19 +112,19 @@
     /**
      * Opens the address for peers.
      *
-     * @param follower keeps the configuration and the servers; is started with the gateway
+     * @param watcher keeps the configuration and the servers; is started with the gateway
      * @param incarnation grows with each start of the host
      */
     public Gateway(
             GatewayOptions options,
-            CallDialect dialect,
-            CatalogFollower follower,
+            HeaderTranslator translator,
+            CatalogWatcher watcher,
             LogRing log,
             RandomGenerator random,
             long incarnation) {
         this.options = options;
-        this.dialect = dialect;
-        this.follower = follower;
+        this.translator = translator;
+        this.watcher = watcher;
         this.log = log;
         this.random = random;
         this.self = FleetView.hostId(options.peer());
@@ -158,16 +158,16 @@
                         peers,
                         fleet,
                         options.quotaSlack(),
-                        options.movePolicy(),
+                        options.rolloutPolicy(),
                         System::nanoTime,
                         log::add);
-        dispatcher.whenAsked(ticker::wake);
-        this.spread =
-                new CatalogSpread(
+        dispatcher.whenRequested(ticker::wake);
+        this.propagation =
+                new CatalogPropagation(
                         member,
                         peers,
                         fleet,
-                        content -> follower.adopt(content.operators(), content.servers()),
+                        content -> watcher.adopt(content.operators(), content.servers()),
                         System::nanoTime,
                         random,
                         log::add);
@@ -203,16 +203,16 @@
                     fleetChanged();
                     ticker.wake();
                 });
-        follower.start(newer -> loop.execute(() -> take(newer)));
+        watcher.start(newer -> loop.execute(() -> take(newer)));
     }
 
-    /** Takes what records outcomes of moves; to be called before the start. */
-    public void recorder(MoveRecorder recorder) {
+    /** Takes what records outcomes of rollouts; to be called before the start. */
+    public void recorder(RolloutRecorder recorder) {
         dispatcher.recorder(recorder::record);
     }
 
-    /** The store holds an outcome of a move; may be called from any thread. */
-    public void recorded(MoveOrder order, MoveOutcome outcome) {
+    /** The store holds an outcome of a rollout; may be called from any thread. */
+    public void recorded(RolloutOrder order, RolloutOutcome outcome) {
         loop.execute(() -> dispatcher.recorded(order, outcome));
     }
 
@@ -280,7 +280,7 @@
                     dispatcher.received(from, body);
                     ticker.wake();
                 }
-                case CATALOG -> spread.received(from, body);
+                case CATALOG -> propagation.received(from, body);
                 case ROUTING, REQUEST, SETTINGS, MOVE -> {}
             }
         } catch (RuntimeException e) {
@@ -300,7 +300,7 @@
                         catalog ->
                                 List.copyOf(exchanges)
                                         .forEach(exchange -> exchange.configured(catalog)));
-        spread.changed(newer);
+        propagation.changed(newer);
     }
 
     private void tick() {
@@ -320,7 +320,7 @@
         tickedNanos = nowNanos;
         List.copyOf(exchanges).forEach(exchange -> exchange.tick(nowNanos));
         dispatcher.tick();
-        spread.tick();
+        propagation.tick();
         if (nowNanos - slowTickNanos >= SLOW_TICK_NANOS) {
             slowTickNanos = nowNanos;
             fleet.tick();
@@ -413,11 +413,11 @@
     @Override
     public void fleetChanged() {
         alone = fleet.live().size() <= 1;
-        follower.follow(fleet.watchesStore());
+        watcher.follow(fleet.watchesStore());
         dispatcher.fleetChanged();
         log.add(
                 "event=fleet live=%d known=%d home=%s"
-                        .formatted(fleet.live().size(), fleet.known(), dispatcher.homeName()));
+                        .formatted(fleet.live().size(), fleet.known(), dispatcher.primaryName()));
     }
 
     @Override
@@ -481,8 +481,8 @@
     }
 
     @Override
-    public CallDialect dialect() {
-        return dialect;
+    public HeaderTranslator translator() {
+        return translator;
     }
 
     @Override
@@ -508,7 +508,7 @@
     @Override
     public ServerPool pool(InetSocketAddress address) {
         return pools.computeIfAbsent(
-                address, key -> new ServerPool(serverBootstrap, dialect, address));
+                address, key -> new ServerPool(serverBootstrap, translator, address));
     }
 
     @Override
--- a/src/main/java/org/orioleshed/gateway/GatewayContext.java
+++ b/src/main/java/org/orioleshed/gateway/GatewayContext.java
@@ -11,7 +11,7 @@
 interface GatewayContext {
     CatalogSnapshot snapshot();
 
-    CallDialect dialect();
+    HeaderTranslator translator();
 
     Dispatcher dispatcher();
 
--- a/src/main/java/org/orioleshed/gateway/GatewayOptions.java
+++ b/src/main/java/org/orioleshed/gateway/GatewayOptions.java
@@ -2,8 +2,8 @@
 
 import java.net.InetSocketAddress;
 import java.util.List;
-import org.orioleshed.dispatch.MovePolicy;
 import org.orioleshed.dispatch.Quotas;
+import org.orioleshed.dispatch.RolloutPolicy;
 import org.orioleshed.model.FailureDomain;
 
 /**
@@ -20,7 +20,7 @@
  * @param retryWindowMillis the window in which they count, in milliseconds
  * @param retrySlack second sends allowed beside that, over all hosts
  * @param quotaSlack what workspaces may use beyond their quotas
- * @param movePolicy what a bad version may cost
+ * @param rolloutPolicy what a bad version may cost
  * @param graceMillis the time from the word to stop to the end of the process, in milliseconds
  */
 public record GatewayOptions(
@@ -35,7 +35,7 @@
         long retryWindowMillis,
         double retrySlack,
         Quotas.Slack quotaSlack,
-        MovePolicy movePolicy,
+        RolloutPolicy rolloutPolicy,
         long graceMillis) {
     /** Copies the list. */
     public GatewayOptions {
--- a/src/main/java/org/orioleshed/gateway/CallDialect.java
+++ b/src/main/java/org/orioleshed/gateway/HeaderTranslator.java
@@ -6,16 +6,16 @@
 import org.orioleshed.model.WorkspaceId;
 
 /** Translates header fields between callers, this system and backend servers. */
-public interface CallDialect {
+public interface HeaderTranslator {
     /** Returns what a caller's header fields say. */
-    CallFacts read(HttpHeaders headers);
+    CallHeaders read(HttpHeaders headers);
 
     /**
      * Returns what a server's header fields say.
      *
      * @param status the answer's status
      */
-    AnswerFacts readAnswer(int status, HttpHeaders headers);
+    ResponseHeaders readAnswer(int status, HttpHeaders headers);
 
     /**
      * Returns the header fields for a server: the caller's, less those of its connection and those
--- a/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
+++ b/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
@@ -4,12 +4,12 @@
 import org.orioleshed.dispatch.DispatchEvent;
 
 /**
- * Decides whether what a home that leaves has left of quotas counts for this host: once, and only
- * while it has just become the home. The word may come before this host knows that it is the home,
- * late, or twice.
+ * Decides whether what a primary that leaves has left of quotas counts for this host: once, and
+ * only while it has just become the primary. The word may come before this host knows that it is
+ * the primary, late, or twice.
  */
 final class QuotaHandOver {
-    /** All hosts hear of a home that leaves within this time. */
+    /** All hosts hear of a primary that leaves within this time. */
     private static final long FRESH_NANOS = 1_000_000_000L;
 
     private Optional<DispatchEvent.QuotasHanded> handed = Optional.empty();
@@ -17,19 +17,19 @@
     private long begunNanos;
     private boolean taken = true;
 
-    /** This host has become the home. */
+    /** This host has become the primary. */
     void begin(long nowNanos) {
         begunNanos = nowNanos;
         taken = false;
     }
 
-    /** A home before this one has handed over. */
+    /** A primary before this one has handed over. */
     void received(DispatchEvent.QuotasHanded newHanded, long nowNanos) {
         handed = Optional.of(newHanded);
         handedNanos = nowNanos;
     }
 
-    /** Returns what this host, which is the home, goes on with; empty where nothing counts. */
+    /** Returns what this host, which is the primary, goes on with; empty where nothing counts. */
     Optional<DispatchEvent.QuotasHanded> take(long nowNanos) {
         boolean fresh =
                 nowNanos - handedNanos <= FRESH_NANOS && nowNanos - begunNanos <= FRESH_NANOS;
--- a/src/main/java/org/orioleshed/gateway/AnswerFacts.java
+++ b/src/main/java/org/orioleshed/gateway/ResponseHeaders.java
@@ -15,7 +15,7 @@
  *     states nothing of the kind
  * @param limit how many requests the server takes from all hosts together
  */
-public record AnswerFacts(
+public record ResponseHeaders(
         String id,
         boolean signed,
         boolean notRun,
--- a/src/main/java/org/orioleshed/gateway/RepeatRule.java
+++ b/src/main/java/org/orioleshed/gateway/RetryRule.java
@@ -7,12 +7,12 @@
  * where its route allows that, and to no more servers than it allows; what provably has not run may
  * always be sent again, a few times.
  */
-final class RepeatRule {
-    /** Tries that provably did not run the request, beside those that may have. */
-    private static final int MAX_PROVED_TRIES = 3;
+final class RetryRule {
+    /** Attempts that provably did not run the request, beside those that may have. */
+    private static final int MAX_PROVED_ATTEMPTS = 3;
 
     /** With less time left than this, no server could answer. */
-    private static final long LEAST_TRY_MILLIS = 30;
+    private static final long MIN_ATTEMPT_MILLIS = 30;
 
     /** A server that is silent for this many targets, or usual pauses, is given up for another. */
     private static final double SILENT_TARGETS = 1.5;
@@ -24,10 +24,10 @@
 
     private final CallRoute route;
     private int runs;
-    private int provedTries;
+    private int provedAttempts;
     private boolean mayHaveRun;
 
-    RepeatRule(CallRoute route) {
+    RetryRule(CallRoute route) {
         this.route = route;
     }
 
@@ -38,13 +38,13 @@
 
     /** The server that was chosen is not there any more; nothing was sent. */
     void notSent() {
-        provedTries++;
+        provedAttempts++;
     }
 
     /** The request that was sent has provably not run. */
     void provedNotRun() {
         runs--;
-        provedTries++;
+        provedAttempts++;
     }
 
     /** The request that was sent has run, or may have. */
@@ -56,28 +56,28 @@
         return mayHaveRun;
     }
 
-    int tries() {
-        return runs + provedTries;
+    int attempts() {
+        return runs + provedAttempts;
     }
 
     /**
      * Returns whether the request may be sent to another server.
      *
-     * @param proved whether the last try provably did not run it
+     * @param proved whether the last attempt provably did not run it
      * @param leftMillis the time that its caller still waits, in milliseconds
      */
-    boolean mayTryAgain(boolean proved, long leftMillis) {
-        if (leftMillis < LEAST_TRY_MILLIS) {
+    boolean mayRetry(boolean proved, long leftMillis) {
+        if (leftMillis < MIN_ATTEMPT_MILLIS) {
             return false;
         }
         if (proved) {
-            return provedTries <= MAX_PROVED_TRIES;
+            return provedAttempts <= MAX_PROVED_ATTEMPTS;
         }
         return route.mayRunAgain() && runs < route.attempts();
     }
 
     /** Returns whether a server has said nothing for longer than one under load does. */
-    boolean isSilent(ServerTry which, long nowNanos) {
+    boolean isSilent(ServerAttempt which, long nowNanos) {
         double usualMillis =
                 which.hasEvents()
                         ? SILENT_GAPS * route.gapMillis()
--- a/src/main/java/org/orioleshed/gateway/RetryWindow.java
+++ b/src/main/java/org/orioleshed/gateway/RetryWindow.java
@@ -14,13 +14,13 @@
     private final double ratio;
     private final long bucketNanos;
     private final int[] firsts = new int[BUCKETS];
-    private final int[] repeats = new int[BUCKETS];
+    private final int[] retries = new int[BUCKETS];
     private long bucket;
 
     /**
      * Makes a budget.
      *
-     * @param ratio repeats for each first send
+     * @param ratio retries for each first send
      * @param windowMillis the window, in milliseconds; positive
      */
     RetryWindow(double ratio, long windowMillis) {
@@ -33,17 +33,17 @@
     }
 
     /**
-     * Takes a repeat; false when none is left.
+     * Takes a retry; false when none is left.
      *
      * @param fixed this host's part of the fixed number
      */
-    boolean repeat(double fixed, long nowNanos) {
+    boolean take(double fixed, long nowNanos) {
         int index = turn(nowNanos);
         double allowed = (sum(firsts) * ratio + fixed) * SAFETY;
-        if (sum(repeats) + 1 > allowed) {
+        if (sum(retries) + 1 > allowed) {
             return false;
         }
-        repeats[index]++;
+        retries[index]++;
         return true;
     }
 
@@ -56,7 +56,7 @@
             bucket++;
             int index = (int) Math.floorMod(bucket, (long) BUCKETS);
             firsts[index] = 0;
-            repeats[index] = 0;
+            retries[index] = 0;
         }
         return (int) Math.floorMod(present, (long) BUCKETS);
     }
--- a/src/main/java/org/orioleshed/gateway/MoveRecorder.java
+++ b/src/main/java/org/orioleshed/gateway/RolloutRecorder.java
@@ -9,36 +9,36 @@
 import java.util.function.Consumer;
 import org.orioleshed.catalog.BadCatalogException;
 import org.orioleshed.catalog.CatalogDecoder;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.model.Payload;
 import org.orioleshed.store.Store;
 
 /**
- * Records the outcomes of moves in the store, by compare-and-swap after a read, so that there is
+ * Records the outcomes of rollouts in the store, by compare-and-swap after a read, so that there is
  * one outcome whatever happens to hosts. An outcome that another host recorded is taken over.
  */
-public final class MoveRecorder {
+public final class RolloutRecorder {
     private static final long CALL_MILLIS = 800;
     private static final long RETRY_MILLIS = 200;
 
     private final Store store;
     private final CatalogDecoder decoder;
     private final ScheduledExecutorService executor;
-    private final BiConsumer<MoveOrder, MoveOutcome> recorded;
+    private final BiConsumer<RolloutOrder, RolloutOutcome> recorded;
     private final Consumer<String> log;
-    private final Map<MoveOrder, MoveOutcome> wanted = new HashMap<>();
+    private final Map<RolloutOrder, RolloutOutcome> wanted = new HashMap<>();
 
     /**
      * Makes one.
      *
      * @param recorded takes what the store holds, on the executor's thread
      */
-    public MoveRecorder(
+    public RolloutRecorder(
             Store store,
             CatalogDecoder decoder,
             ScheduledExecutorService executor,
-            BiConsumer<MoveOrder, MoveOutcome> recorded,
+            BiConsumer<RolloutOrder, RolloutOutcome> recorded,
             Consumer<String> log) {
         this.store = store;
         this.decoder = decoder;
@@ -48,22 +48,22 @@
     }
 
     /** Records an outcome unless a final one stands; may be called from any thread. */
-    public void record(MoveOrder order, MoveOutcome outcome) {
+    public void record(RolloutOrder order, RolloutOutcome outcome) {
         executor.execute(
                 () -> {
-                    MoveOutcome before = wanted.put(order, outcome);
+                    RolloutOutcome before = wanted.put(order, outcome);
                     if (before == null) {
                         read(order);
                     }
                 });
     }
 
-    private void read(MoveOrder order) {
+    private void read(RolloutOrder order) {
         store.get(decoder.outcomeKey(order.service()), CALL_MILLIS)
                 .thenAcceptAsync(result -> wasRead(order, result), executor);
     }
 
-    private void wasRead(MoveOrder order, Store.Result result) {
+    private void wasRead(RolloutOrder order, Store.Result result) {
         if (!(result instanceof Store.Result.Entries entries)) {
             again(order, result);
             return;
@@ -73,11 +73,11 @@
             return;
         }
         Store.Entry entry = entries.entries().getFirst();
-        Optional<MoveOutcome> present = decode(order, entry);
+        Optional<RolloutOutcome> present = decode(order, entry);
         boolean stands =
                 present.isPresent()
                         && entry.revision() > order.revision()
-                        && (present.get() != MoveOutcome.RUNNING
+                        && (present.get() != RolloutOutcome.RUNNING
                                 || present.get() == wanted.get(order));
         if (stands) {
             done(order, present.get());
@@ -86,7 +86,7 @@
         }
     }
 
-    private Optional<MoveOutcome> decode(MoveOrder order, Store.Entry entry) {
+    private Optional<RolloutOutcome> decode(RolloutOrder order, Store.Entry entry) {
         try {
             return decoder.outcome(order, entry.value().toBytes());
         } catch (BadCatalogException e) {
@@ -97,14 +97,14 @@
         }
     }
 
-    private void write(MoveOrder order, long revision) {
-        MoveOutcome outcome = wanted.get(order);
+    private void write(RolloutOrder order, long revision) {
+        RolloutOutcome outcome = wanted.get(order);
         Payload value = Payload.of(decoder.encodeOutcome(order, outcome));
         store.swap(decoder.outcomeKey(order.service()), revision, value, 0, CALL_MILLIS)
                 .thenAcceptAsync(result -> wasWritten(order, outcome, result), executor);
     }
 
-    private void wasWritten(MoveOrder order, MoveOutcome outcome, Store.Result result) {
+    private void wasWritten(RolloutOrder order, RolloutOutcome outcome, Store.Result result) {
         if (result instanceof Store.Result.Swapped) {
             done(order, outcome);
         } else {
@@ -112,17 +112,17 @@
         }
     }
 
-    private void done(MoveOrder order, MoveOutcome outcome) {
+    private void done(RolloutOrder order, RolloutOutcome outcome) {
         log.accept("event=move_recorded order=%s outcome=%s".formatted(order, outcome));
-        MoveOutcome now = wanted.remove(order);
+        RolloutOutcome now = wanted.remove(order);
         recorded.accept(order, outcome);
-        if (now != outcome && outcome == MoveOutcome.RUNNING) {
+        if (now != outcome && outcome == RolloutOutcome.RUNNING) {
             record(order, now);
         }
     }
 
     /** Reads again: a lost answer is settled so, and a conflict, too. */
-    private void again(MoveOrder order, Store.Result result) {
+    private void again(RolloutOrder order, Store.Result result) {
         log.accept("event=move_not_recorded order=%s reason=\"%s\"".formatted(order, result));
         var unused = executor.schedule(() -> read(order), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/org/orioleshed/gateway/ServerTry.java
+++ b/src/main/java/org/orioleshed/gateway/ServerAttempt.java
@@ -6,16 +6,16 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import java.io.ByteArrayOutputStream;
 import org.orioleshed.catalog.PoolServer;
-import org.orioleshed.dispatch.RunEnd;
 import org.orioleshed.dispatch.RunKey;
+import org.orioleshed.dispatch.RunReport;
 import org.orioleshed.dispatch.StatedLimit;
 import org.orioleshed.model.Payload;
 
 /**
- * One try of a request at one server. Reads the server's answer and tells its {@link Listener} what
- * came of it, once.
+ * One attempt of a request at one server. Reads the server's answer and tells its {@link Listener}
+ * what came of it, once.
  */
-final class ServerTry implements ServerCall {
+final class ServerAttempt implements ServerCall {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     /** An answer of a plain call is held whole up to this size. */
@@ -48,39 +48,43 @@
     private long firstMillis;
     private Reading reading = Reading.WHOLE;
     private HttpResponse head;
-    private AnswerFacts facts;
+    private ResponseHeaders responseHeaders;
     private long answerBytes;
     private long skippedBytes;
     private boolean over;
 
-    /** Hears what comes of a try, on the data thread. */
+    /** Receives the outcome of an attempt, on the data thread. */
     interface Listener {
         /** Whole events of a stream; {@code head} is the answer's. */
-        void events(ServerTry which, HttpResponse head, byte[] events);
+        void events(ServerAttempt which, HttpResponse head, byte[] events);
 
         /** What an answer says of its server. */
-        void noticed(ServerTry which, AnswerFacts facts);
+        void noticed(ServerAttempt which, ResponseHeaders responseHeaders);
 
         /** The stream is complete. */
-        void streamEnded(ServerTry which, HttpResponse head, byte[] rest);
+        void streamEnded(ServerAttempt which, HttpResponse head, byte[] rest);
 
         /** A whole answer. */
-        void answered(ServerTry which, HttpResponse head, AnswerFacts facts, Payload body);
+        void answered(
+                ServerAttempt which,
+                HttpResponse head,
+                ResponseHeaders responseHeaders,
+                Payload body);
 
         /** The server provably did not run the request. */
-        void notRun(ServerTry which, RunEnd.Outcome outcome, String detail);
+        void notRun(ServerAttempt which, RunReport.Outcome outcome, String detail);
 
         /** The request may have run, and there is no whole answer. */
-        void broken(ServerTry which, RunEnd.Outcome outcome, String detail);
+        void broken(ServerAttempt which, RunReport.Outcome outcome, String detail);
     }
 
     /**
-     * Makes a try.
+     * Makes an attempt.
      *
      * @param wantsEvents whether a success is passed on event by event
-     * @param framer cuts the events; outlives the try, as another one may go on
+     * @param framer cuts the events; outlives the attempt, as another one may go on
      */
-    ServerTry(
+    ServerAttempt(
             RunKey run,
             PoolServer server,
             boolean wantsEvents,
@@ -120,7 +124,7 @@
 
     /** Returns what the answer says of how many requests its server takes. */
     StatedLimit limit() {
-        return facts == null ? StatedLimit.UNKNOWN : facts.limit();
+        return responseHeaders == null ? StatedLimit.UNKNOWN : responseHeaders.limit();
     }
 
     /** Returns how long no whole event, or no part of a plain answer, has come, in milliseconds. */
@@ -128,36 +132,37 @@
         return (nowNanos - lastProgressNanos) / NANOS_PER_MILLI;
     }
 
-    /** Ends the try at once, also at the server; the listener hears nothing more. */
+    /** Ends the attempt at once, also at the server; the listener hears nothing more. */
     void cancel() {
         over = true;
         sending.cancel();
     }
 
     /** Returns how the run ended, for those who learn from it. */
-    RunEnd end(RunEnd.Outcome outcome) {
+    RunReport end(RunReport.Outcome outcome) {
         long totalMillis = (System.nanoTime() - sentNanos) / NANOS_PER_MILLI;
         StatedLimit limit = hasEvents() ? StatedLimit.UNKNOWN : limit();
-        return new RunEnd(outcome, framer.events() - eventsBefore, firstMillis, totalMillis, limit);
+        return new RunReport(
+                outcome, framer.events() - eventsBefore, firstMillis, totalMillis, limit);
     }
 
     @Override
     public void unreachable(String detail) {
         if (!over) {
             over = true;
-            listener.notRun(this, RunEnd.Outcome.UNREACHABLE, detail);
+            listener.notRun(this, RunReport.Outcome.UNREACHABLE, detail);
         }
     }
 
     @Override
-    public void noticed(AnswerFacts answered) {
+    public void noticed(ResponseHeaders answered) {
         listener.noticed(this, answered);
     }
 
     @Override
-    public void head(HttpResponse response, AnswerFacts answered) {
+    public void head(HttpResponse response, ResponseHeaders answered) {
         head = response;
-        facts = answered;
+        responseHeaders = answered;
         boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
         if (answered.notRun() || isMisdirected()) {
             reading = Reading.NOT_RUN;
@@ -208,7 +213,7 @@
     /** Gives up an answer that never ends, by closing its connection. */
     private void breakOff(String detail) {
         cancel();
-        listener.broken(this, RunEnd.Outcome.BROKEN, detail);
+        listener.broken(this, RunReport.Outcome.BROKEN, detail);
     }
 
     private void pass(byte[] events) {
@@ -234,8 +239,10 @@
         over = true;
         switch (reading) {
             case NOT_RUN -> {
-                RunEnd.Outcome outcome =
-                        isMisdirected() ? RunEnd.Outcome.MISDIRECTED : RunEnd.Outcome.REJECTED;
+                RunReport.Outcome outcome =
+                        isMisdirected()
+                                ? RunReport.Outcome.MISDIRECTED
+                                : RunReport.Outcome.REJECTED;
                 listener.notRun(this, outcome, "status=" + head.status().code());
             }
             case EVENTS -> listener.streamEnded(this, head, framer.rest());
@@ -245,18 +252,18 @@
 
     private void endWhole() {
         boolean success = head.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (success && !facts.signed()) {
-            listener.broken(this, RunEnd.Outcome.BROKEN, "unsigned");
+        if (success && !responseHeaders.signed()) {
+            listener.broken(this, RunReport.Outcome.BROKEN, "unsigned");
             return;
         }
-        listener.answered(this, head, facts, Payload.of(whole.toByteArray()));
+        listener.answered(this, head, responseHeaders, Payload.of(whole.toByteArray()));
     }
 
     @Override
     public void broken(String detail) {
         if (!over) {
             over = true;
-            listener.broken(this, RunEnd.Outcome.BROKEN, detail);
+            listener.broken(this, RunReport.Outcome.BROKEN, detail);
         }
     }
 }
--- a/src/main/java/org/orioleshed/gateway/ServerCall.java
+++ b/src/main/java/org/orioleshed/gateway/ServerCall.java
@@ -9,10 +9,10 @@
     void unreachable(String detail);
 
     /** What any answer on the connection says of its server, whichever request it answers. */
-    void noticed(AnswerFacts facts);
+    void noticed(ResponseHeaders responseHeaders);
 
     /** The head of the answer. */
-    void head(HttpResponse response, AnswerFacts facts);
+    void head(HttpResponse response, ResponseHeaders responseHeaders);
 
     /** A part of the answer's body; the buffer is the caller's of this method. */
     void content(ByteBuf bytes);
--- a/src/main/java/org/orioleshed/gateway/ServerConnection.java
+++ b/src/main/java/org/orioleshed/gateway/ServerConnection.java
@@ -24,7 +24,7 @@
     }
 
     private final ServerPool pool;
-    private final CallDialect dialect;
+    private final HeaderTranslator translator;
     private final AnswerLimit limit;
     private Channel channel;
     private ServerCall call;
@@ -41,9 +41,9 @@
      *
      * @param limit counts the channel's bytes before they are decoded
      */
-    ServerConnection(ServerPool pool, CallDialect dialect, AnswerLimit limit) {
+    ServerConnection(ServerPool pool, HeaderTranslator translator, AnswerLimit limit) {
         this.pool = pool;
-        this.dialect = dialect;
+        this.translator = translator;
         this.limit = limit;
     }
 
@@ -120,27 +120,28 @@
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             return;
         }
-        AnswerFacts facts = dialect.readAnswer(response.status().code(), response.headers());
+        ResponseHeaders responseHeaders =
+                translator.readAnswer(response.status().code(), response.headers());
         if (!response.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
-            call.noticed(facts);
+            call.noticed(responseHeaders);
         }
-        if (!facts.id().isEmpty() && !facts.id().equals(id)) {
+        if (!responseHeaders.id().isEmpty() && !responseHeaders.id().equals(id)) {
             reading = Reading.STRAY_BODY;
             reusable = false;
             return;
         }
-        if (facts.id().isEmpty() && calls > 1) {
+        if (responseHeaders.id().isEmpty() && calls > 1) {
             lose("an answer without an id on a connection that was in use before");
             return;
         }
         limit.answered();
         reading = Reading.BODY;
-        keepMillis = facts.keepMillis();
+        keepMillis = responseHeaders.keepMillis();
         reusable &= HttpUtil.isKeepAlive(response) && written;
         reusable &=
                 HttpUtil.isContentLengthSet(response)
                         || HttpUtil.isTransferEncodingChunked(response);
-        call.head(response, facts);
+        call.head(response, responseHeaders);
     }
 
     private void takeContent(HttpContent content) {
