--- a/src/main/java/org/orioleshed/gateway/ServerNotices.java
+++ b/src/main/java/org/orioleshed/gateway/ServerNotices.java
@@ -51,7 +51,8 @@
             boolean recent = nowNanos - limitNanos < LIMIT_MEMORY_NANOS;
             return recent && limit instanceof StatedLimit.Rate rate
                     ? Optional.of(
-                            new DispatchEvent.ServerLimited(server.id(), server.bornMillis(), rate))
+                            new DispatchEvent.ServerLimited(
+                                    server.id(), server.startMillis(), rate))
                     : Optional.empty();
         }
 
@@ -77,10 +78,10 @@
     }
 
     /** Takes what an answer said, and returns what is new in it. */
-    News note(PoolServer server, AnswerFacts facts, long nowNanos) {
+    News note(PoolServer server, ResponseHeaders responseHeaders, long nowNanos) {
         Notice notice = notices.get(server.id());
         if (notice == null || !notice.server.sameStart(server)) {
-            if (saysNothing(facts)) {
+            if (saysNothing(responseHeaders)) {
                 return News.NOTHING;
             }
             notice = new Notice(server, nowNanos);
@@ -89,19 +90,19 @@
                 notices.remove(notices.keySet().iterator().next());
             }
         }
-        long restMillis = Math.clamp(facts.restMillis(), 0, MAX_REST_MILLIS);
+        long restMillis = Math.clamp(responseHeaders.restMillis(), 0, MAX_REST_MILLIS);
         long untilNanos = nowNanos + restMillis * NANOS_PER_MILLI;
         if (untilNanos - notice.restUntilNanos > 0) {
             notice.restUntilNanos = untilNanos;
         }
-        boolean leaves = facts.leaving() && !notice.leaving;
-        notice.leaving |= facts.leaving();
-        return new News(leaves, notice.takeLimit(facts.limit(), nowNanos));
+        boolean leaves = responseHeaders.leaving() && !notice.leaving;
+        notice.leaving |= responseHeaders.leaving();
+        return new News(leaves, notice.takeLimit(responseHeaders.limit(), nowNanos));
     }
 
-    private static boolean saysNothing(AnswerFacts facts) {
-        boolean limited = facts.limit() instanceof StatedLimit.Rate;
-        return !facts.leaving() && facts.restMillis() <= 0 && !limited;
+    private static boolean saysNothing(ResponseHeaders responseHeaders) {
+        boolean limited = responseHeaders.limit() instanceof StatedLimit.Rate;
+        return !responseHeaders.leaving() && responseHeaders.restMillis() <= 0 && !limited;
     }
 
     /** Returns whether a start of a server is to get nothing from this host now. */
--- a/src/main/java/org/orioleshed/gateway/ServerPool.java
+++ b/src/main/java/org/orioleshed/gateway/ServerPool.java
@@ -26,15 +26,15 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Bootstrap bootstrap;
-    private final CallDialect dialect;
+    private final HeaderTranslator translator;
     private final InetSocketAddress address;
     private final Deque<Idle> idle = new ArrayDeque<>();
 
     private record Idle(ServerConnection connection, long sinceNanos, long untilNanos) {}
 
-    ServerPool(Bootstrap bootstrap, CallDialect dialect, InetSocketAddress address) {
+    ServerPool(Bootstrap bootstrap, HeaderTranslator translator, InetSocketAddress address) {
         this.bootstrap = bootstrap;
-        this.dialect = dialect;
+        this.translator = translator;
         this.address = address;
     }
 
@@ -76,7 +76,7 @@
 
     private void connect(FullHttpRequest request, String id, ServerCall call, Sending sending) {
         AnswerLimit limit = new AnswerLimit();
-        ServerConnection connection = new ServerConnection(this, dialect, limit);
+        ServerConnection connection = new ServerConnection(this, translator, limit);
         ChannelFuture future =
                 bootstrap
                         .clone()
--- a/src/main/java/org/orioleshed/trial/PolicyTrials.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrials.java
@@ -33,7 +33,7 @@
         all.put("two-choices", (floor, random) -> new EngineQueues(floor, random, REPORT_MILLIS));
         all.put("one-queue", (floor, random) -> new OneQueue(floor, OneQueue.ARRIVAL));
         all.put("strict-rank", (floor, random) -> new OneQueue(floor, OneQueue.RANK));
-        all.put("orioleshed", (floor, random) -> new HomePolicy(floor, ENGINE));
+        all.put("orioleshed", (floor, random) -> new PrimaryPolicy(floor, ENGINE));
         return all;
     }
 
--- a/src/main/java/org/orioleshed/trial/HomePolicy.java
+++ b/src/main/java/org/orioleshed/trial/PrimaryPolicy.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import org.orioleshed.catalog.Pool;
 import org.orioleshed.catalog.PoolServer;
-import org.orioleshed.dispatch.Ask;
 import org.orioleshed.dispatch.DispatchAction;
 import org.orioleshed.dispatch.DispatchEvent;
-import org.orioleshed.dispatch.MovePolicy;
+import org.orioleshed.dispatch.PlacementRequest;
 import org.orioleshed.dispatch.Quotas;
-import org.orioleshed.dispatch.RunEnd;
+import org.orioleshed.dispatch.RolloutPolicy;
 import org.orioleshed.dispatch.RunKey;
+import org.orioleshed.dispatch.RunReport;
 import org.orioleshed.dispatch.Scheduler;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
@@ -24,18 +24,18 @@
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.VersionId;
 
-/** The product's own decisions: {@link Scheduler} as the home of the pool. */
-final class HomePolicy implements Policy {
+/** The product's own decisions: {@link Scheduler} as the primary of the pool. */
+final class PrimaryPolicy implements Policy {
     private static final ServiceId SERVICE = new ServiceId("engines");
     private static final FailureDomain DOMAIN = new FailureDomain("d");
     private static final HostId HOST = new HostId("h");
 
     private final Floor floor;
     private final Scheduler scheduler =
-            new Scheduler(1, Quotas.Slack.NONE, Quotas.Giver.HOME, MovePolicy.DEFAULT);
-    private final Map<RunKey, TrialRequest> asked = new HashMap<>();
+            new Scheduler(1, Quotas.Slack.NONE, Quotas.Role.PRIMARY, RolloutPolicy.DEFAULT);
+    private final Map<RunKey, TrialRequest> requested = new HashMap<>();
 
-    HomePolicy(Floor floor, ModelEngine.Spec spec) {
+    PrimaryPolicy(Floor floor, ModelEngine.Spec spec) {
         this.floor = floor;
         Pool pool = new Pool(SERVICE, true, spec.memoryTokens(), spec.eventTokens());
         apply(0, new DispatchEvent.LimitsChanged(Map.of(SERVICE, pool), Map.of()));
@@ -61,16 +61,18 @@
     @Override
     public void came(TrialRequest request, long nowNanos) {
         RunKey run = key(request);
-        asked.put(run, request);
-        apply(nowNanos, new DispatchEvent.Asked(run, ask(request, nowNanos)));
+        requested.put(run, request);
+        apply(
+                nowNanos,
+                new DispatchEvent.PlacementRequested(run, placementRequest(request, nowNanos)));
     }
 
     private static RunKey key(TrialRequest request) {
         return new RunKey(HOST, request.number * 8 + request.attempts);
     }
 
-    private static Ask ask(TrialRequest request, long nowNanos) {
-        return new Ask(
+    private static PlacementRequest placementRequest(TrialRequest request, long nowNanos) {
+        return new PlacementRequest(
                 SERVICE,
                 new RouteId(request.kind.name()),
                 Optional.empty(),
@@ -87,7 +89,7 @@
 
     private void apply(long nowNanos, DispatchEvent event) {
         for (DispatchAction action : scheduler.on(nowNanos, event)) {
-            TrialRequest request = asked.get(action.run());
+            TrialRequest request = requested.get(action.run());
             switch (action) {
                 case DispatchAction.Grant grant ->
                         floor.send(request, Integer.parseInt(grant.server().value()));
@@ -108,8 +110,9 @@
     public void ended(TrialRequest request, int events, long nowNanos) {
         long firstMillis = (request.firstNanos - request.sentNanos) / ModelEngine.NANOS_PER_MILLI;
         long totalMillis = (nowNanos - request.sentNanos) / ModelEngine.NANOS_PER_MILLI;
-        RunEnd end = new RunEnd(RunEnd.Outcome.ANSWERED, events, firstMillis, totalMillis);
-        apply(nowNanos, new DispatchEvent.Ended(key(request), end));
+        RunReport report =
+                new RunReport(RunReport.Outcome.ANSWERED, events, firstMillis, totalMillis);
+        apply(nowNanos, new DispatchEvent.Ended(key(request), report));
     }
 
     @Override
--- a/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
@@ -133,7 +133,7 @@
     }
 
     @Test
-    public void ordersToMoveSpreadByPeers() {
+    public void rolloutOrdersPropagateByPeers() {
         CatalogState ahead = state();
         CatalogState behind = state();
         assertTrue(ahead.operator(new Store.Entry("op/config", Payload.of("1"), 1), "store"));
--- a/src/test/java/org/orioleshed/catalog/CatalogFollowerTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogWatcherTest.java
@@ -16,24 +16,24 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CatalogFollower}. */
-public class CatalogFollowerTest {
+/** Tests of {@link CatalogWatcher}. */
+public class CatalogWatcherTest {
     private ScheduledExecutorService executor;
     private MemoryStore store;
     private volatile CatalogSnapshot latest;
-    private CatalogFollower follower;
+    private CatalogWatcher watcher;
 
     @BeforeMethod
     public void open() {
         executor = Executors.newSingleThreadScheduledExecutor();
         store = new MemoryStore();
         latest = CatalogSnapshot.NOTHING;
-        follower =
-                new CatalogFollower(
+        watcher =
+                new CatalogWatcher(
                         store, new PlainDecoder(1), executor, new SplittableRandom(1), line -> {});
         store.put("op/config", "1");
         store.put("servers/a", "x");
-        follower.start(snapshot -> latest = snapshot);
+        watcher.start(snapshot -> latest = snapshot);
         await(it -> version(it) == 1 && it.servers().size() == 1);
     }
 
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void takesOrdersToMove() {
+    public void takesRolloutOrders() {
         store.put("op/rollout/s", "x");
         await(it -> it.orders().size() == 1);
     }
@@ -124,12 +124,12 @@
 
     @Test
     public void leavesTheStoreToPeersAndComesBackToIt() {
-        follower.follow(false);
+        watcher.follow(false);
         awaitWatches(0);
         store.put("op/config", "5");
         adopt(1, "9");
         assertEquals(version(latest), 1);
-        follower.follow(true);
+        watcher.follow(true);
         await(it -> version(it) == 5);
         awaitWatches(2);
     }
@@ -148,6 +148,6 @@
         Store.Entry entry = new Store.Entry("op/config", Payload.of(config), revision);
         EntryChange change =
                 new EntryChange(0, revision, revision, true, List.of(entry), List.of());
-        follower.adopt(Optional.of(change), Optional.empty());
+        watcher.adopt(Optional.of(change), Optional.empty());
     }
 }
--- a/src/test/java/org/orioleshed/catalog/PlainDecoder.java
+++ b/src/test/java/org/orioleshed/catalog/PlainDecoder.java
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public Optional<MoveOrder> order(String key, byte[] value, long revision) {
-        return Optional.of(new MoveOrder(SERVICE, new VersionId("v2"), 1_000, revision));
+    public Optional<RolloutOrder> order(String key, byte[] value, long revision) {
+        return Optional.of(new RolloutOrder(SERVICE, new VersionId("v2"), 1_000, revision));
     }
 
     @Override
@@ -95,12 +95,12 @@
     }
 
     @Override
-    public byte[] encodeOutcome(MoveOrder order, MoveOutcome outcome) {
+    public byte[] encodeOutcome(RolloutOrder order, RolloutOutcome outcome) {
         return outcome.name().getBytes(StandardCharsets.UTF_8);
     }
 
     @Override
-    public Optional<MoveOutcome> outcome(MoveOrder order, byte[] value) {
-        return Optional.of(MoveOutcome.valueOf(new String(value, StandardCharsets.UTF_8)));
+    public Optional<RolloutOutcome> outcome(RolloutOrder order, byte[] value) {
+        return Optional.of(RolloutOutcome.valueOf(new String(value, StandardCharsets.UTF_8)));
     }
 }
--- /dev/null
+++ b/src/test/java/org/orioleshed/catalog/RolloutOrderTest.java
@@ -0,0 +1,18 @@
+package org.orioleshed.catalog;
+
+import static org.testng.Assert.assertEquals;
+
+import org.orioleshed.model.ServiceId;
+import org.orioleshed.model.VersionId;
+import org.testng.annotations.Test;
+
+/** Tests that the text of a {@link RolloutOrder} in operators' log lines stays as it is. */
+public class RolloutOrderTest {
+    @Test
+    public void keepsItsTextInLogLines() {
+        RolloutOrder order = new RolloutOrder(new ServiceId("s"), new VersionId("v2"), 12_000, 7);
+        assertEquals(
+                order.toString(),
+                "MoveOrder[service=s, target=v2, durationMillis=12000, revision=7]");
+    }
+}
--- a/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
+++ b/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
-import org.orioleshed.catalog.MoveOrder;
+import org.orioleshed.catalog.RolloutOrder;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
@@ -30,15 +30,15 @@
     private final DispatchCodec codec = new DispatchCodec();
 
     @Property(tries = 200, seed = "1")
-    void asksArriveAsSent(
+    void placementRequestsArriveAsSent(
             @ForAll long number,
             @ForAll @IntRange(max = 1_000) int rank,
             @ForAll @IntRange(min = -50_000, max = 50_000) int target,
             @ForAll @IntRange(max = 100_000) int tokens,
             @ForAll boolean paid)
             throws BadMessageException {
-        Ask ask =
-                new Ask(
+        PlacementRequest request =
+                new PlacementRequest(
                         new ServiceId("s"),
                         new RouteId("r"),
                         paid ? Optional.of(new WorkspaceId("w")) : Optional.empty(),
@@ -51,14 +51,15 @@
                         tokens,
                         number,
                         paid ? Set.of(new ServerId("x"), new ServerId("y")) : Set.of());
-        assertSame(new DispatchEvent.Asked(new RunKey(new HostId("h"), number), ask));
+        assertSame(
+                new DispatchEvent.PlacementRequested(new RunKey(new HostId("h"), number), request));
     }
 
     @Property(tries = 50, seed = "2")
-    void endsArriveAsSent(@ForAll RunEnd.Outcome outcome, @ForAll @IntRange int events)
+    void endsArriveAsSent(@ForAll RunReport.Outcome outcome, @ForAll @IntRange int events)
             throws BadMessageException {
-        RunEnd end = new RunEnd(outcome, events, 12, 345);
-        assertSame(new DispatchEvent.Ended(new RunKey(new HostId("h"), 7), end));
+        RunReport report = new RunReport(outcome, events, 12, 345);
+        assertSame(new DispatchEvent.Ended(new RunKey(new HostId("h"), 7), report));
     }
 
     @Provide
@@ -73,26 +74,27 @@
         RunKey run = new RunKey(new HostId("h"), 7);
         assertSame(new DispatchEvent.First(run, 20, limit));
         assertSame(
-                new DispatchEvent.Ended(run, new RunEnd(RunEnd.Outcome.FAILED, 0, 12, 345, limit)));
+                new DispatchEvent.Ended(
+                        run, new RunReport(RunReport.Outcome.FAILED, 0, 12, 345, limit)));
     }
 
     @Property(tries = 50, seed = "7")
-    void limitsArriveAsRecalled(
-            @ForAll @LongRange long born, @ForAll @DoubleRange(max = 1e9) double perSecond)
+    void limitsArriveAsReported(
+            @ForAll @LongRange long startMillis, @ForAll @DoubleRange(max = 1e9) double perSecond)
             throws BadMessageException {
         assertSame(
                 new DispatchEvent.ServerLimited(
-                        new ServerId("i-1"), born, new StatedLimit.Rate(perSecond)));
+                        new ServerId("i-1"), startMillis, new StatedLimit.Rate(perSecond)));
     }
 
     @Property(tries = 50, seed = "8")
-    void whatHostsRecallArrivesAsTold(
+    void whatHostsReportArrivesAsSent(
             @ForAll long content, @ForAll @IntRange(max = 100) int count, @ForAll boolean isNew)
             throws BadMessageException {
         HostId host = new HostId("h");
-        assertSame(new DispatchEvent.CrashesRecalled(host, Map.of(content, count)));
-        MoveTally tally =
-                new MoveTally(
+        assertSame(new DispatchEvent.CrashesReported(host, Map.of(content, count)));
+        RolloutTally tally =
+                new RolloutTally(
                         new ServerId("i-1"),
                         new RouteId("r"),
                         isNew,
@@ -102,20 +104,20 @@
                         count,
                         -1.5 * count,
                         3.5 * count);
-        MoveOrder order = new MoveOrder(new ServiceId("s"), new VersionId("v2"), 12_000, 77);
-        assertSame(new DispatchEvent.MoveRecalled(host, order, List.of(tally)));
+        RolloutOrder order = new RolloutOrder(new ServiceId("s"), new VersionId("v2"), 12_000, 77);
+        assertSame(new DispatchEvent.RolloutReported(host, order, List.of(tally)));
     }
 
     @Example
-    void aHomeSaysThatItBegins() throws BadMessageException {
-        DispatchMessage begins = new DispatchMessage.Begins();
-        assertEquals(codec.decode(codec.encode(begins)), begins);
+    void thatAPrimaryStartedArrivesAsSent() throws BadMessageException {
+        DispatchMessage started = new DispatchMessage.PrimaryStarted();
+        assertEquals(codec.decode(codec.encode(started)), started);
     }
 
     @Property(tries = 50, seed = "5")
-    void noticesOfLeavingServersArriveAsSent(@ForAll @LongRange long born)
+    void noticesOfLeavingServersArriveAsSent(@ForAll @LongRange long startMillis)
             throws BadMessageException {
-        assertSame(new DispatchEvent.ServerLeaving(new ServerId("i-1"), born));
+        assertSame(new DispatchEvent.ServerLeaving(new ServerId("i-1"), startMillis));
     }
 
     @Property(tries = 50, seed = "4")
@@ -127,7 +129,7 @@
     }
 
     private void assertSame(DispatchEvent event) throws BadMessageException {
-        DispatchMessage message = new DispatchMessage.ToHome(event);
+        DispatchMessage message = new DispatchMessage.ToPrimary(event);
         assertEquals(codec.decode(codec.encode(message)), message);
     }
 
--- a/src/test/java/org/orioleshed/dispatch/Pools.java
+++ b/src/test/java/org/orioleshed/dispatch/Pools.java
@@ -32,11 +32,11 @@
     private long nowNanos = 1_000_000_000L;
 
     Pools() {
-        this(Quotas.Giver.HOME);
+        this(Quotas.Role.PRIMARY);
     }
 
-    Pools(Quotas.Giver giver) {
-        scheduler = new Scheduler(1, Quotas.Slack.NONE, giver, MovePolicy.DEFAULT);
+    Pools(Quotas.Role role) {
+        scheduler = new Scheduler(1, Quotas.Slack.NONE, role, RolloutPolicy.DEFAULT);
         pool(1_000_000);
     }
 
@@ -63,14 +63,14 @@
     }
 
     /** Puts a server that started at another time. */
-    Pools serverBorn(String id, int slots, long bornMillis) {
+    Pools serverStarted(String id, int slots, long startMillis) {
         servers.removeIf(server -> server.id().value().equals(id));
-        servers.add(server(id, slots, NEAR, false, bornMillis));
+        servers.add(server(id, slots, NEAR, false, startMillis));
         return tell(new DispatchEvent.ServersChanged(servers));
     }
 
     private static PoolServer server(
-            String id, int slots, FailureDomain domain, boolean draining, long bornMillis) {
+            String id, int slots, FailureDomain domain, boolean draining, long startMillis) {
         return new PoolServer(
                 new ServerId(id),
                 SERVICE,
@@ -79,7 +79,7 @@
                 new VersionId("v1"),
                 slots,
                 draining,
-                bornMillis);
+                startMillis);
     }
 
     Pools gone(String id) {
@@ -87,12 +87,12 @@
         return tell(new DispatchEvent.ServersChanged(servers));
     }
 
-    Pools ask(int run, int rank) {
-        return ask(run, ask(rank, 600, 10_000, 1_000, 100));
+    Pools request(int run, int rank) {
+        return request(run, request(rank, 600, 10_000, 1_000, 100));
     }
 
-    Pools ask(int run, Ask ask) {
-        return tell(new DispatchEvent.Asked(key(run), ask));
+    Pools request(int run, PlacementRequest request) {
+        return tell(new DispatchEvent.PlacementRequested(key(run), request));
     }
 
     Pools first(int run, long millis) {
@@ -103,12 +103,12 @@
         return tell(new DispatchEvent.First(key(run), 80, limit));
     }
 
-    Pools end(int run, RunEnd.Outcome outcome, StatedLimit limit) {
-        return tell(new DispatchEvent.Ended(key(run), new RunEnd(outcome, 10, 80, 400, limit)));
+    Pools end(int run, RunReport.Outcome outcome, StatedLimit limit) {
+        return tell(new DispatchEvent.Ended(key(run), new RunReport(outcome, 10, 80, 400, limit)));
     }
 
-    Pools end(int run, RunEnd.Outcome outcome) {
-        return tell(new DispatchEvent.Ended(key(run), new RunEnd(outcome, 10, 80, 400)));
+    Pools end(int run, RunReport.Outcome outcome) {
+        return tell(new DispatchEvent.Ended(key(run), new RunReport(outcome, 10, 80, 400)));
     }
 
     Pools after(long millis) {
@@ -125,13 +125,14 @@
         return new RunKey(HOST, run);
     }
 
-    static Ask ask(int rank, long target, long deadline, long prompt, long output) {
-        return ask(rank, target, deadline, prompt, output, Set.of());
+    static PlacementRequest request(
+            int rank, long target, long deadline, long prompt, long output) {
+        return request(rank, target, deadline, prompt, output, Set.of());
     }
 
-    static Ask ask(
+    static PlacementRequest request(
             int rank, long target, long deadline, long prompt, long output, Set<ServerId> not) {
-        return new Ask(
+        return new PlacementRequest(
                 SERVICE,
                 new RouteId("r"),
                 Optional.of(WORKSPACE),
--- a/src/test/java/org/orioleshed/dispatch/MoveTrial.java
+++ b/src/test/java/org/orioleshed/dispatch/RolloutTrial.java
@@ -5,17 +5,17 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PoolServer;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.VersionId;
 
-/** A move under seeded traffic; answers come as late as their servers are slow. */
-final class MoveTrial {
+/** A rollout under seeded traffic; answers come as late as their servers are slow. */
+final class RolloutTrial {
     static final long DURATION_MILLIS = 12_000;
     static final List<RouteId> ROUTES =
             List.of(new RouteId("drafts"), new RouteId("replies"), new RouteId("digests"));
@@ -29,10 +29,10 @@
     private static final double COLD_SLOWNESS = 3;
     private static final double SERVERS_DIFFER = 0.45;
 
-    final VersionMove move =
-            new VersionMove(
-                    new MoveOrder(new ServiceId("s"), NEW, DURATION_MILLIS, 1),
-                    MovePolicy.DEFAULT,
+    final VersionRollout rollout =
+            new VersionRollout(
+                    new RolloutOrder(new ServiceId("s"), NEW, DURATION_MILLIS, 1),
+                    RolloutPolicy.DEFAULT,
                     0);
     int sentNew;
     int sentOld;
@@ -165,7 +165,7 @@
         }
     }
 
-    MoveTrial(Load load, long seed) {
+    RolloutTrial(Load load, long seed) {
         this.load = load;
         this.random = new SplittableRandom(seed);
         for (int i = 0; i < SERVERS; i++) {
@@ -190,15 +190,15 @@
                 1);
     }
 
-    MoveTrial play() {
+    RolloutTrial play() {
         return playUntil(DURATION_MILLIS);
     }
 
-    MoveTrial playUntil(long millis) {
+    RolloutTrial playUntil(long millis) {
         return playFrom(0, millis);
     }
 
-    MoveTrial playFrom(long fromMillis, long untilMillis) {
+    RolloutTrial playFrom(long fromMillis, long untilMillis) {
         long first = fromMillis * REQUESTS_A_SECOND / 1_000;
         long last = untilMillis * REQUESTS_A_SECOND / 1_000;
         for (long i = first; i < last; i++) {
@@ -211,7 +211,7 @@
     }
 
     private void send(long nowMillis) {
-        boolean isNew = move.nextIsNew();
+        boolean isNew = rollout.nextIsNew();
         int number = random.nextInt(SERVERS);
         RouteId route = ROUTES.get(random.nextInt(ROUTES.size()));
         double speed = isNew ? newSpeeds[number] : oldSpeeds[number];
@@ -223,13 +223,13 @@
         PoolServer server = server(isNew, number);
         sentNew += isNew ? 1 : 0;
         sentOld += isNew ? 0 : 1;
-        move.sent(server, route);
+        rollout.sent(server, route);
         runs.add(new Run(server, route, slowness, random.nextDouble() < faults, nowMillis));
     }
 
     private boolean isWorse(RouteId route) {
         boolean concerned = !load.oneRoute || route.equals(ROUTES.getFirst());
-        return concerned && (!load.onlyUnderLoad || move.step() >= 0);
+        return concerned && (!load.onlyUnderLoad || rollout.step() >= 0);
     }
 
     private void endRuns(long nowMillis) {
@@ -244,25 +244,25 @@
 
     private void end(Run run) {
         if (run.fault) {
-            move.ended(run.server, run.route, RunEnd.Outcome.FAILED);
+            rollout.ended(run.server, run.route, RunReport.Outcome.FAILED);
             return;
         }
-        move.took(run.server, run.route, run.slowness);
-        move.ended(run.server, run.route, RunEnd.Outcome.ANSWERED);
+        rollout.took(run.server, run.route, run.slowness);
+        rollout.ended(run.server, run.route, RunReport.Outcome.ANSWERED);
     }
 
     private void decide(long nowMillis) {
-        move.nobodyWaits();
+        rollout.nobodyWaits();
         int oldRuns = oldRunsThatStay;
         for (Run run : runs) {
-            oldRuns += move.isTarget(run.server.version()) ? 0 : 1;
+            oldRuns += rollout.isTarget(run.server.version()) ? 0 : 1;
             double waited = (nowMillis - run.sentMillis) / USUAL_MILLIS;
             if (waited > 2) {
-                move.waits(run.server, run.route, waited);
+                rollout.waits(run.server, run.route, waited);
             }
         }
-        move.decide(nowMillis * 1_000_000, oldRuns, true);
-        if (decidedMillis == Long.MAX_VALUE && move.outcome() != MoveOutcome.RUNNING) {
+        rollout.decide(nowMillis * 1_000_000, oldRuns, true);
+        if (decidedMillis == Long.MAX_VALUE && rollout.outcome() != RolloutOutcome.RUNNING) {
             decidedMillis = nowMillis;
         }
     }
--- a/src/test/java/org/orioleshed/dispatch/SchedulerCost.java
+++ b/src/test/java/org/orioleshed/dispatch/SchedulerCost.java
@@ -1,6 +1,6 @@
 package org.orioleshed.dispatch;
 
-/** Measures what a placed run costs the home, by the servers of its pool; run by hand. */
+/** Measures what a placed run costs the primary, by the servers of its pool; run by hand. */
 public final class SchedulerCost {
     private static final int SLOTS = 8;
     private static final int ROUNDS = 20_000;
@@ -18,7 +18,7 @@
             int run = 1;
             int running = servers * SLOTS / 2;
             while (run <= running) {
-                pools.ask(run++, 0);
+                pools.request(run++, 0);
             }
             var unused = measure(pools, run, ROUNDS / 10);
             long nanos = measure(pools, run + ROUNDS, ROUNDS);
@@ -30,9 +30,9 @@
         long start = System.nanoTime();
         for (int run = first; run < first + rounds; run++) {
             pools.actions.clear();
-            pools.ask(run, run % 3);
+            pools.request(run, run % 3);
             pools.first(run, 60);
-            pools.end(run, RunEnd.Outcome.ANSWERED);
+            pools.end(run, RunReport.Outcome.ANSWERED);
         }
         return System.nanoTime() - start;
     }
--- a/src/test/java/org/orioleshed/dispatch/ServerRateTest.java
+++ b/src/test/java/org/orioleshed/dispatch/ServerRateTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import org.orioleshed.dispatch.RunEnd.Outcome;
+import org.orioleshed.dispatch.RunReport.Outcome;
 import org.orioleshed.model.ServerId;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -37,7 +37,7 @@
 
     /** Has the server name its limit with the answer to a request. */
     private ServerRateTest named(StatedLimit limit) {
-        pools.ask(++run, 0).end(run, Outcome.ANSWERED, limit);
+        pools.request(++run, 0).end(run, Outcome.ANSWERED, limit);
         return this;
     }
 
@@ -45,7 +45,7 @@
     private long sentIn(long millis, StatedLimit each) {
         long before = pools.grantsOf("a");
         for (long at = 0; at < millis; at += STEP_MILLIS) {
-            pools.after(STEP_MILLIS).ask(++run, 0);
+            pools.after(STEP_MILLIS).request(++run, 0);
             long granted = pools.granted().size();
             for (long number : pools.granted().subList((int) before, (int) granted)) {
                 pools.end((int) number, Outcome.ANSWERED, each);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void aServerThatTakesNoneIsAskedNowAndThen() {
+    public void aServerThatTakesNoneIsProbedNowAndThen() {
         StatedLimit none = new StatedLimit.Rate(0);
         long sent = begin().named(none).sentIn(60_000, none);
         assertTrue(sent >= 4 && sent <= 6, sent + " sent");
@@ -107,7 +107,7 @@
         ServerRateTest test = begin().named(ONE);
         test.pools
                 .after(1_100)
-                .ask(++test.run, 0)
+                .request(++test.run, 0)
                 .end(test.run, Outcome.ANSWERED, StatedLimit.NONE);
         assertEquals(test.sentIn(1_000, StatedLimit.NONE), 50);
     }
@@ -115,9 +115,10 @@
     /** The answer to an earlier request may have been made before the server was in need. */
     @Test
     public void theLimitOutlastsAnswersToEarlierRequests() {
-        Pools pools = new Pools().server("a", SLOTS).ask(1, 0).ask(2, 0).ask(3, 0).after(20);
+        Pools pools =
+                new Pools().server("a", SLOTS).request(1, 0).request(2, 0).request(3, 0).after(20);
         pools.first(1, ONE).first(2, StatedLimit.NONE).end(3, Outcome.ANSWERED, StatedLimit.NONE);
-        pools.ask(4, 0);
+        pools.request(4, 0);
         assertNull(pools.serverOf(4));
     }
 
@@ -131,8 +132,8 @@
     @Test(dataProvider = "silences")
     public void theLimitOutlastsRequestsWithoutAnAnswer(Outcome outcome) {
         ServerRateTest test = begin().named(ONE);
-        test.pools.after(1_100).ask(++test.run, 0).end(test.run, outcome, StatedLimit.UNKNOWN);
-        test.pools.after(800).ask(++test.run, 0);
+        test.pools.after(1_100).request(++test.run, 0).end(test.run, outcome, StatedLimit.UNKNOWN);
+        test.pools.after(800).request(++test.run, 0);
         assertNull(test.pools.serverOf(test.run));
     }
 
@@ -141,8 +142,9 @@
     public void whatOthersSentIsTakenOff() {
         ServerRateTest test = begin().named(ONE);
         for (int i = 0; i < 3; i++) {
-            Ask ask = Pools.ask(0, 600, 10_000, 1_000, 100);
-            test.pools.tell(new DispatchEvent.Placed(Pools.key(1_000 + i), ask, new ServerId("a")));
+            PlacementRequest request = Pools.request(0, 600, 10_000, 1_000, 100);
+            test.pools.tell(
+                    new DispatchEvent.Placed(Pools.key(1_000 + i), request, new ServerId("a")));
         }
         assertEquals(test.sentIn(3_500, ONE), 0);
     }
@@ -158,21 +160,21 @@
     @Test
     public void anotherStartOfTheServerHasNoLimit() {
         ServerRateTest test = begin().named(ONE);
-        test.pools.serverBorn("a", SLOTS, 2);
+        test.pools.serverStarted("a", SLOTS, 2);
         assertEquals(test.sentIn(500, StatedLimit.NONE), 25);
     }
 
-    /** A new home hears of the limit from hosts, and knows nothing of what was sent before. */
+    /** A new primary hears of the limit from hosts, and knows nothing of what was sent before. */
     @Test
-    public void aNewHomeBeginsWithNothing() {
+    public void aNewPrimaryStartsWithNothing() {
         Pools pools = new Pools().server("a", SLOTS);
         pools.tell(new DispatchEvent.ServerLimited(new ServerId("a"), 1, ONE));
         assertEquals(new ServerRateTest(pools).sentIn(900, ONE), 0);
     }
 
-    /** Half of a home's hosts look to another home beyond a cut; each gives out its part. */
+    /** Half of a primary's hosts look to another primary beyond a cut; each gives out its part. */
     @Test
-    public void aHomeGivesOutThePartOfItsFollowers() {
+    public void aPrimaryGivesOutThePartOfItsFollowers() {
         ServerRateTest test = begin();
         test.pools.tell(new DispatchEvent.ShareChanged(1, 0.5));
         StatedLimit four = new StatedLimit.Rate(4);
@@ -180,10 +182,10 @@
         assertTrue(sent >= 37 && sent <= 42, sent + " sent");
     }
 
-    /** Many hosts without a home can't know what the others send. */
+    /** Many hosts without a primary can't know what the others send. */
     @Test
-    public void aHostWithoutAHomeLeavesTheServerAlone() {
-        Pools pools = new Pools(Quotas.Giver.STAND_IN).server("a", SLOTS);
+    public void aHostWithoutAPrimaryLeavesTheServerAlone() {
+        Pools pools = new Pools(Quotas.Role.FALLBACK).server("a", SLOTS);
         assertEquals(new ServerRateTest(pools).named(ONE).sentIn(5_000, ONE), 0);
     }
 
@@ -192,7 +194,7 @@
         ServerRateTest test = begin().named(ONE);
         int first = test.run + 1;
         for (int i = 0; i < 20; i++) {
-            test.pools.ask(++test.run, 0);
+            test.pools.request(++test.run, 0);
         }
         assertNull(test.pools.refusalOf(first));
         DispatchAction.Refuse refusal = test.pools.refusalOf(test.run);
@@ -205,7 +207,7 @@
         ServerRateTest test = begin().named(ONE);
         test.pools.server("b", SLOTS);
         for (int i = 0; i < 20; i++) {
-            test.pools.ask(++test.run, 0);
+            test.pools.request(++test.run, 0);
             assertEquals(test.pools.serverOf(test.run), "b");
         }
     }
--- a/src/test/java/org/orioleshed/gateway/DispatcherTest.java
+++ b/src/test/java/org/orioleshed/gateway/DispatcherTest.java
@@ -6,28 +6,28 @@
 import java.util.List;
 import java.util.Optional;
 import org.orioleshed.catalog.PlainDecoder;
-import org.orioleshed.dispatch.RunEnd;
+import org.orioleshed.dispatch.RunReport;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Dispatcher}: who places a host's requests, whatever happens to the home. */
+/** Tests of {@link Dispatcher}: who places a host's requests, whatever happens to the primary. */
 public class DispatcherTest {
-    private static final RunEnd DONE = new RunEnd(RunEnd.Outcome.ANSWERED, 5, 50, 200);
+    private static final RunReport DONE = new RunReport(RunReport.Outcome.ANSWERED, 5, 50, 200);
 
     private final SteppedHosts hosts = SteppedHosts.two(2);
 
     @Test
-    public void theHostUpLongestIsTheHomeOfBoth() {
-        assertEquals(hosts.get(0).dispatcher.homeName(), "10.0.0.1");
-        assertEquals(hosts.get(1).dispatcher.homeName(), "10.0.0.1");
+    public void theHostUpLongestIsThePrimaryOfBoth() {
+        assertEquals(hosts.get(0).dispatcher.primaryName(), "10.0.0.1");
+        assertEquals(hosts.get(1).dispatcher.primaryName(), "10.0.0.1");
     }
 
     @Test
-    public void theHomeKeepsTheServersPlacesOverBothHosts() {
+    public void thePrimaryKeepsTheServersPlacesOverBothHosts() {
         SteppedHosts two = SteppedHosts.two(2);
-        two.get(0).ask(1);
-        two.get(1).ask(2);
+        two.get(0).request(1);
+        two.get(1).request(2);
         two.deliver();
-        two.get(1).ask(3);
+        two.get(1).request(3);
         two.deliver();
         assertEquals(two.get(0).told, List.of("1 x by=self"));
         assertEquals(two.get(1).told, List.of("2 x by=home"));
@@ -37,80 +37,80 @@
     }
 
     @Test
-    public void theNextHomeGoesOnWithWhatOneThatLeavesHadLeftOfQuotas() {
+    public void theNextPrimaryGoesOnWithWhatOneThatLeavesHadLeftOfQuotas() {
         SteppedHosts two = SteppedHosts.two(8);
         two.put("op/config", "2/1000");
         two.run(8_000);
         two.get(0).fleet.leave();
         two.run(600);
-        assertEquals(two.get(1).dispatcher.homeName(), "10.0.0.2");
+        assertEquals(two.get(1).dispatcher.primaryName(), "10.0.0.2");
         for (int i = 1; i <= 7; i++) {
-            two.get(1).ask(i, Optional.of(PlainDecoder.WORKSPACE), 100);
+            two.get(1).request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
         two.deliver();
         two.get(1).told.forEach(told -> assertTrue(told.endsWith("by=self"), told));
     }
 
     @Test
-    public void quotasUsedUpBeforeAHomeLeavesAreNotThereAgain() {
+    public void quotasUsedUpBeforeAPrimaryLeavesAreNotThereAgain() {
         SteppedHosts two = SteppedHosts.two(8);
         two.put("op/config", "2/1000");
         two.run(8_000);
-        two.get(0).ask(1, Optional.of(PlainDecoder.WORKSPACE), 1_000);
-        two.get(0).ask(2, Optional.of(PlainDecoder.WORKSPACE), 400);
+        two.get(0).request(1, Optional.of(PlainDecoder.WORKSPACE), 1_000);
+        two.get(0).request(2, Optional.of(PlainDecoder.WORKSPACE), 400);
         two.get(0).fleet.leave();
         two.run(100);
-        two.get(1).ask(3, Optional.of(PlainDecoder.WORKSPACE), 700);
+        two.get(1).request(3, Optional.of(PlainDecoder.WORKSPACE), 700);
         two.deliver();
         assertEquals(two.get(1).told, List.of("3 QUOTA"));
     }
 
     @Test
-    public void aSilentHomeIsDoneWithoutAfterAMoment() {
+    public void aSilentPrimaryIsDoneWithoutAfterAMoment() {
         SteppedHosts two = SteppedHosts.two(2);
         two.cutOff(1);
-        two.get(1).ask(1);
+        two.get(1).request(1);
         two.run(40);
         assertEquals(two.get(1).told, List.of());
         two.run(60);
         assertEquals(two.get(1).told, List.of("1 x by=own"));
-        two.get(1).ask(2);
+        two.get(1).request(2);
         assertEquals(two.get(1).told.getLast(), "2 x by=own");
     }
 
     @Test
-    public void afterACutTheHomeIsAskedAgain() {
+    public void afterACutThePrimaryGetsRequestsAgain() {
         SteppedHosts two = SteppedHosts.two(2);
         two.cutOff(1);
-        two.get(1).ask(1);
+        two.get(1).request(1);
         two.run(6_000);
         two.cutOff(0);
         two.run(6_000);
         two.get(1).dispatcher.ended(two.get(1).key(1), DONE);
         two.deliver();
-        two.get(1).ask(2);
+        two.get(1).request(2);
         two.deliver();
         assertEquals(two.get(1).told.getLast(), "2 x by=home");
     }
 
     @Test
-    public void whatWaitsAtAHomeThatDiesIsPlacedByTheNext() {
+    public void whatWaitsAtAPrimaryThatDiesIsPlacedByTheNext() {
         SteppedHosts two = SteppedHosts.two(1);
-        two.get(0).ask(1);
-        two.get(1).ask(2);
+        two.get(0).request(1);
+        two.get(1).request(2);
         two.deliver();
         assertEquals(two.get(1).told, List.of());
         two.kill(0);
         two.run(5_000);
-        assertEquals(two.get(1).dispatcher.homeName(), "10.0.0.2");
+        assertEquals(two.get(1).dispatcher.primaryName(), "10.0.0.2");
         assertTrue(two.get(1).told.getFirst().startsWith("2 x"), two.get(1).told.toString());
     }
 
     @Test
     public void aGrantThatIsLostIsGivenAgain() {
         SteppedHosts two = SteppedHosts.two(1);
-        two.get(0).ask(1);
-        two.get(1).ask(2);
+        two.get(0).request(1);
+        two.get(1).request(2);
         two.deliver();
         two.weather(1, 0, 0);
         two.get(0).dispatcher.ended(two.get(0).key(1), DONE);
@@ -121,10 +121,10 @@
     }
 
     @Test
-    public void whoWaitsAtAHomeThatHeldItsHostForDeadIsServedAfterAll() {
+    public void whoWaitsAtAPrimaryThatHeldItsHostForDeadIsServedAfterAll() {
         SteppedHosts two = SteppedHosts.two(1);
-        two.get(0).ask(1);
-        two.get(1).ask(2);
+        two.get(0).request(1);
+        two.get(1).request(2);
         two.deliver();
         two.get(0).dispatcher.hostDied(two.get(1).id);
         two.get(0).dispatcher.ended(two.get(0).key(1), DONE);
@@ -135,52 +135,52 @@
     @Test
     public void aRequestThatWasWithdrawnHoldsNoPlace() {
         SteppedHosts two = SteppedHosts.two(1);
-        two.get(1).ask(1);
+        two.get(1).request(1);
         two.get(1).withdraw(1);
         two.deliver();
-        two.get(1).ask(2);
+        two.get(1).request(2);
         two.deliver();
         assertEquals(two.get(1).told, List.of("2 x by=home"));
     }
 
     @Test
-    public void aNewHomeLearnsWhatRunsAlready() {
+    public void aNewPrimaryRecordsWhatRunsAlready() {
         SteppedHosts two = SteppedHosts.two(1);
-        two.get(1).ask(1);
+        two.get(1).request(1);
         two.deliver();
         two.kill(0);
         two.run(5_000);
-        two.get(1).ask(2);
+        two.get(1).request(2);
         two.run(200);
         assertEquals(two.get(1).told, List.of("1 x by=home"));
         two.get(1).dispatcher.ended(two.get(1).key(1), DONE);
         assertEquals(two.get(1).told, List.of("1 x by=home", "2 x by=self"));
     }
 
-    /** Quotas are full after a common start; the first home has given them out when it dies. */
+    /** Quotas are full after a common start; the first primary has given them out when it dies. */
     @Test
-    public void quotasAreNotFullAgainWhenAHomeDiesSoonAfterACommonStart() {
+    public void quotasAreNotFullAgainWhenAPrimaryDiesSoonAfterACommonStart() {
         SteppedHosts five = new SteppedHosts(5, 1_000, 1);
         five.put("op/config", "2/1000");
         five.put("servers/x", "open");
         five.run(1_000);
-        askMuch(five.get(1), 0);
+        requestMuch(five.get(1), 0);
         five.deliver();
         five.kill(0);
-        while (!five.get(1).dispatcher.homeName().equals("10.0.0.2")) {
+        while (!five.get(1).dispatcher.primaryName().equals("10.0.0.2")) {
             five.run(20);
         }
         five.run(300);
         long before = units(five);
-        askMuch(five.get(1), 100);
+        requestMuch(five.get(1), 100);
         five.deliver();
         double burst = 1_000 * 1.04 + 400;
         assertTrue(units(five) - before < 0.5 * burst, "units " + (units(five) - before));
     }
 
-    private static void askMuch(SteppedHost host, int from) {
+    private static void requestMuch(SteppedHost host, int from) {
         for (int i = from; i < from + 40; i++) {
-            host.ask(i, Optional.of(PlainDecoder.WORKSPACE), 100);
+            host.request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
     }
 
@@ -189,17 +189,17 @@
     }
 
     @Test
-    public void theBurstThatAHomeGaveOutIsNotGivenOutAgainWhenItDies() {
+    public void theBurstThatAPrimaryGaveOutIsNotGivenOutAgainWhenItDies() {
         SteppedHosts two = SteppedHosts.two(1_000);
         two.put("op/config", "2/1000");
         two.run(6_000);
         for (int i = 0; i < 40; i++) {
-            two.get(1).ask(i, Optional.of(PlainDecoder.WORKSPACE), 100);
+            two.get(1).request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
         two.deliver();
         two.kill(0);
         for (int i = 100; i < 140; i++) {
-            two.get(1).ask(i, Optional.of(PlainDecoder.WORKSPACE), 100);
+            two.get(1).request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
         two.run(200);
         long units = two.sent().stream().mapToLong(SteppedHost.Sent::units).sum();
@@ -210,24 +210,24 @@
         assertTrue(units <= burst + tolerated + filledMeanwhile, "units " + units);
     }
 
-    /** A host told the next home of its run before that could be reached, and was home. */
+    /** A host told the next primary of its run before that could be reached, and was primary. */
     @Test
-    public void aHomeThatBeginsHearsOfTheRunsUnderWay() {
+    public void aPrimaryThatStartsReceivesTheRunsUnderWay() {
         SteppedHosts three = new SteppedHosts(3, 1, 1);
         three.put("op/config", "1");
         three.put("servers/x", "open");
         three.restart(1);
         three.run(3_000);
-        three.get(1).ask(1);
+        three.get(1).request(1);
         three.deliver();
         three.cutOff(2);
         three.get(0).leave();
         three.run(100);
-        assertEquals(three.get(1).dispatcher.homeName(), "10.0.0.3");
+        assertEquals(three.get(1).dispatcher.primaryName(), "10.0.0.3");
         three.cutOff(0);
         three.run(2_000);
-        assertEquals(three.get(2).dispatcher.homeName(), "10.0.0.3");
-        three.get(2).ask(2);
+        assertEquals(three.get(2).dispatcher.primaryName(), "10.0.0.3");
+        three.get(2).request(2);
         three.run(100);
         assertEquals(three.get(2).told, List.of());
         three.get(1).dispatcher.ended(three.get(1).key(1), DONE);
--- a/src/test/java/org/orioleshed/gateway/HostsTest.java
+++ b/src/test/java/org/orioleshed/gateway/HostsTest.java
@@ -179,7 +179,7 @@
         int chosen = dice % HOSTS;
         int rest = dice / HOSTS;
         if (kind < 60) {
-            ask(all, chosen, 1 + rest % MOST_AT_ONCE);
+            request(all, chosen, 1 + rest % MOST_AT_ONCE);
         } else if (kind < 78) {
             all.run(new int[] {20, 20, 60, 200, 600, 1_500}[rest % 6]);
         } else if (kind < 84) {
@@ -197,14 +197,14 @@
         }
     }
 
-    private void ask(SteppedHosts all, int host, int count) {
-        SteppedHost asked = all.get(host);
-        if (asked.dead) {
+    private void request(SteppedHosts all, int host, int count) {
+        SteppedHost target = all.get(host);
+        if (target.dead) {
             return;
         }
-        asked.runFor(RUN_MILLIS);
+        target.runFor(RUN_MILLIS);
         for (int i = 0; i < count; i++) {
-            asked.ask(++number, Optional.of(PlainDecoder.WORKSPACE), UNITS);
+            target.request(++number, Optional.of(PlainDecoder.WORKSPACE), UNITS);
         }
     }
 
--- a/src/test/java/org/orioleshed/gateway/LimitMemoryTest.java
+++ b/src/test/java/org/orioleshed/gateway/LimitMemoryTest.java
@@ -14,16 +14,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what a host remembers of servers' limits, for homes that begin. */
+/** Tests of what a host remembers of servers' limits, for primaries that begin. */
 public class LimitMemoryTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final StatedLimit.Rate ONE = new StatedLimit.Rate(1);
-    private static final DispatchEvent.ServerLimited RECALLED =
+    private static final DispatchEvent.ServerLimited REPORTED =
             new DispatchEvent.ServerLimited(new ServerId("a"), 1, ONE);
 
     private final ServerNotices notices = new ServerNotices();
 
-    private static PoolServer server(long bornMillis) {
+    private static PoolServer server(long startMillis) {
         return new PoolServer(
                 new ServerId("a"),
                 new ServiceId("s"),
@@ -32,15 +32,15 @@
                 new VersionId("v1"),
                 8,
                 false,
-                bornMillis);
+                startMillis);
     }
 
     private void answer(StatedLimit limit, long second) {
-        AnswerFacts facts = new AnswerFacts("", true, false, -1, false, 0, limit);
-        var unused = notices.note(server(1), facts, second * NANOS_PER_SECOND);
+        ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, limit);
+        var unused = notices.note(server(1), responseHeaders, second * NANOS_PER_SECOND);
     }
 
-    private List<DispatchEvent.ServerLimited> recalled(long second) {
+    private List<DispatchEvent.ServerLimited> reported(long second) {
         return notices.limits(second * NANOS_PER_SECOND);
     }
 
@@ -51,30 +51,30 @@
 
     /** Others may have heard since that the server names none any more. */
     @Test(dataProvider = "ages")
-    public void aLimitIsRecalledForAWhile(long ageSeconds, boolean isRecalled) {
+    public void aLimitIsReportedForAWhile(long ageSeconds, boolean isReported) {
         ServerNotices fresh = new ServerNotices();
-        AnswerFacts facts = new AnswerFacts("", true, false, -1, false, 0, ONE);
-        var unused = fresh.note(server(1), facts, 5 * NANOS_PER_SECOND);
+        ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, ONE);
+        var unused = fresh.note(server(1), responseHeaders, 5 * NANOS_PER_SECOND);
         assertEquals(
                 fresh.limits((5 + ageSeconds) * NANOS_PER_SECOND),
-                isRecalled ? List.of(RECALLED) : List.of());
+                isReported ? List.of(REPORTED) : List.of());
     }
 
     @Test
     public void theLastAnswerCounts() {
         answer(ONE, 5);
         answer(ONE, 30);
-        assertEquals(recalled(50), List.of(RECALLED));
+        assertEquals(reported(50), List.of(REPORTED));
         answer(StatedLimit.UNKNOWN, 51);
-        assertEquals(recalled(52), List.of(RECALLED));
+        assertEquals(reported(52), List.of(REPORTED));
         answer(StatedLimit.NONE, 53);
-        assertEquals(recalled(54), List.of());
+        assertEquals(reported(54), List.of());
     }
 
     @Test
     public void anotherStartHasNamedNone() {
         answer(ONE, 5);
         notices.changed(List.of(server(2)));
-        assertEquals(recalled(6), List.of());
+        assertEquals(reported(6), List.of());
     }
 }
--- a/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
+++ b/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
@@ -17,7 +17,7 @@
     @DataProvider
     Object[][] moments() {
         return new Object[][] {
-            // the word comes, this host becomes the home, it looks; whether the word counts
+            // the word comes, this host becomes the primary, it looks; whether the word counts
             {0.0, 0.1, 0.1, true},
             {0.2, 0.1, 0.2, true},
             {0.0, 1.1, 1.1, false},
--- a/src/test/java/org/orioleshed/gateway/RepeatRuleTest.java
+++ b/src/test/java/org/orioleshed/gateway/RetryRuleTest.java
@@ -6,21 +6,21 @@
 
 import java.util.List;
 import org.orioleshed.catalog.CallRoute;
-import org.orioleshed.catalog.Repeat;
+import org.orioleshed.catalog.Repeatability;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServiceId;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RepeatRule}. */
-public class RepeatRuleTest {
-    private static RepeatRule rule(Repeat repeat, boolean resumable, int attempts) {
-        return new RepeatRule(
+/** Tests of {@link RetryRule}. */
+public class RetryRuleTest {
+    private static RetryRule rule(Repeatability repeatability, boolean resumable, int attempts) {
+        return new RetryRule(
                 new CallRoute(
                         new RouteId("r"),
                         "h",
                         "/",
-                        repeat,
+                        repeatability,
                         resumable,
                         1_000,
                         100,
@@ -34,52 +34,52 @@
     @DataProvider
     Object[][] routes() {
         return new Object[][] {
-            {Repeat.IDEMPOTENT, false, 2, true},
-            {Repeat.IDEMPOTENT, false, 1, false},
-            {Repeat.ONCE, false, 2, false},
-            {Repeat.STREAM, false, 2, false},
-            {Repeat.STREAM, true, 2, true},
+            {Repeatability.IDEMPOTENT, false, 2, true},
+            {Repeatability.IDEMPOTENT, false, 1, false},
+            {Repeatability.ONCE, false, 2, false},
+            {Repeatability.STREAM, false, 2, false},
+            {Repeatability.STREAM, true, 2, true},
         };
     }
 
     @Test(dataProvider = "routes")
     public void whatMayHaveRunIsSentAgainOnlyWhereTheRouteAllowsIt(
-            Repeat repeat, boolean resumable, int attempts, boolean expected) {
-        RepeatRule rule = rule(repeat, resumable, attempts);
+            Repeatability repeatability, boolean resumable, int attempts, boolean expected) {
+        RetryRule rule = rule(repeatability, resumable, attempts);
         rule.sent();
         rule.ran();
-        assertEquals(rule.mayTryAgain(false, 500), expected);
+        assertEquals(rule.mayRetry(false, 500), expected);
         assertTrue(rule.mayHaveRun());
     }
 
     @Test
     public void neverOnMoreServersThanAttempts() {
-        RepeatRule rule = rule(Repeat.IDEMPOTENT, false, 2);
+        RetryRule rule = rule(Repeatability.IDEMPOTENT, false, 2);
         rule.sent();
         rule.ran();
         rule.sent();
         rule.ran();
-        assertFalse(rule.mayTryAgain(false, 500));
+        assertFalse(rule.mayRetry(false, 500));
     }
 
     @Test
     public void whatProvablyHasNotRunMayBeSentAgainAFewTimes() {
-        RepeatRule rule = rule(Repeat.ONCE, false, 1);
+        RetryRule rule = rule(Repeatability.ONCE, false, 1);
         int sends = 0;
         do {
             rule.sent();
             rule.provedNotRun();
             sends++;
-        } while (rule.mayTryAgain(true, 500));
+        } while (rule.mayRetry(true, 500));
         assertEquals(sends, 4);
         assertFalse(rule.mayHaveRun());
     }
 
     @Test
     public void withoutTimeNothingIsSentAgain() {
-        RepeatRule rule = rule(Repeat.IDEMPOTENT, false, 2);
+        RetryRule rule = rule(Repeatability.IDEMPOTENT, false, 2);
         rule.sent();
-        assertFalse(rule.mayTryAgain(false, 20));
-        assertFalse(rule.mayTryAgain(true, 20));
+        assertFalse(rule.mayRetry(false, 20));
+        assertFalse(rule.mayRetry(true, 20));
     }
 }
--- a/src/test/java/org/orioleshed/gateway/RetryWindowTest.java
+++ b/src/test/java/org/orioleshed/gateway/RetryWindowTest.java
@@ -13,28 +13,28 @@
     @Test
     public void keepsWithinTheShareInEveryWindow() {
         RetryWindow window = new RetryWindow(0.2, 10_000);
-        int repeats = 0;
+        int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             long now = i * SECOND / 100;
             window.first(now);
-            if (window.repeat(0, now)) {
-                repeats++;
+            if (window.take(0, now)) {
+                retries++;
             }
         }
-        assertTrue(repeats <= 200, "repeats " + repeats);
-        assertTrue(repeats >= 100, "repeats " + repeats);
+        assertTrue(retries <= 200, "repeats " + retries);
+        assertTrue(retries >= 100, "repeats " + retries);
     }
 
     @Test
     public void theFixedPartServesAQuietHost() {
         RetryWindow window = new RetryWindow(0.2, 10_000);
-        assertTrue(window.repeat(7, 0));
+        assertTrue(window.take(7, 0));
         int more = 0;
-        while (window.repeat(7, 0)) {
+        while (window.take(7, 0)) {
             more++;
         }
         assertEquals(more, 4);
-        assertFalse(window.repeat(7, 9 * SECOND));
-        assertTrue(window.repeat(7, 11 * SECOND));
+        assertFalse(window.take(7, 9 * SECOND));
+        assertTrue(window.take(7, 11 * SECOND));
     }
 }
--- a/src/test/java/org/orioleshed/gateway/MoveRecorderTest.java
+++ b/src/test/java/org/orioleshed/gateway/RolloutRecorderTest.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
-import org.orioleshed.catalog.MoveOrder;
-import org.orioleshed.catalog.MoveOutcome;
 import org.orioleshed.catalog.PlainDecoder;
+import org.orioleshed.catalog.RolloutOrder;
+import org.orioleshed.catalog.RolloutOutcome;
 import org.orioleshed.model.VersionId;
 import org.orioleshed.store.MemoryStore;
 import org.orioleshed.store.Store;
@@ -16,16 +16,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link MoveRecorder}. */
-public class MoveRecorderTest {
-    private static final MoveOrder ORDER =
-            new MoveOrder(PlainDecoder.SERVICE, new VersionId("v2"), 12_000, 0);
+/** Tests of {@link RolloutRecorder}. */
+public class RolloutRecorderTest {
+    private static final RolloutOrder ORDER =
+            new RolloutOrder(PlainDecoder.SERVICE, new VersionId("v2"), 12_000, 0);
     private static final String KEY = "outcome/s";
 
-    private final List<MoveOutcome> recorded = new CopyOnWriteArrayList<>();
+    private final List<RolloutOutcome> recorded = new CopyOnWriteArrayList<>();
     private MemoryStore store;
     private ScheduledExecutorService executor;
-    private MoveRecorder recorder;
+    private RolloutRecorder recorder;
 
     @BeforeMethod
     public void open() {
@@ -33,7 +33,7 @@
         recorded.clear();
         executor = Executors.newSingleThreadScheduledExecutor();
         recorder =
-                new MoveRecorder(
+                new RolloutRecorder(
                         store,
                         new PlainDecoder(1),
                         executor,
@@ -63,9 +63,9 @@
 
     @Test
     public void recordsEachStateInTurn() {
-        recorder.record(ORDER, MoveOutcome.RUNNING);
+        recorder.record(ORDER, RolloutOutcome.RUNNING);
         awaitRecorded(1);
-        recorder.record(ORDER, MoveOutcome.COMPLETED);
+        recorder.record(ORDER, RolloutOutcome.COMPLETED);
         awaitRecorded(2);
         assertEquals(stored(), "COMPLETED");
     }
@@ -73,25 +73,25 @@
     @Test
     public void aFinalOutcomeOfAnotherHostStands() {
         store.put(KEY, "TAKEN_BACK");
-        recorder.record(ORDER, MoveOutcome.COMPLETED);
+        recorder.record(ORDER, RolloutOutcome.COMPLETED);
         awaitRecorded(1);
-        assertEquals(recorded, List.of(MoveOutcome.TAKEN_BACK));
+        assertEquals(recorded, List.of(RolloutOutcome.TAKEN_BACK));
         assertEquals(stored(), "TAKEN_BACK");
     }
 
     @Test
     public void aLostAnswerIsSettledByReading() {
         store.loseAnswers(1);
-        recorder.record(ORDER, MoveOutcome.COMPLETED);
+        recorder.record(ORDER, RolloutOutcome.COMPLETED);
         awaitRecorded(1);
-        assertEquals(recorded, List.of(MoveOutcome.COMPLETED));
+        assertEquals(recorded, List.of(RolloutOutcome.COMPLETED));
         assertEquals(stored(), "COMPLETED");
     }
 
     @Test
     public void aStoreThatIsAwayIsTriedAgain() {
         store.setAway(true);
-        recorder.record(ORDER, MoveOutcome.TAKEN_BACK);
+        recorder.record(ORDER, RolloutOutcome.TAKEN_BACK);
         store.setAway(false);
         awaitRecorded(1);
         assertEquals(stored(), "TAKEN_BACK");
--- a/src/test/java/org/orioleshed/gateway/SilentHostTest.java
+++ b/src/test/java/org/orioleshed/gateway/SilentHostTest.java
@@ -8,7 +8,7 @@
 
 /** Tests of what becomes of a host's work while others hear nothing of it. */
 public class SilentHostTest {
-    private static final int HOME = 0;
+    private static final int PRIMARY = 0;
     private static final int SILENT = 1;
     private static final long SETTLE_MILLIS = 5_000;
 
@@ -24,7 +24,7 @@
         SteppedHosts all = SteppedHosts.two(4);
         SteppedHost silent = all.get(SILENT);
         silent.runFor(silenceMillis + SETTLE_MILLIS / 2);
-        silent.ask(1);
+        silent.request(1);
         all.run(100);
         assertEquals(silent.told, List.of("1 x by=home"));
         all.cutOff(SILENT);
@@ -35,13 +35,13 @@
         assertEquals(silent.told, List.of("1 x by=home"));
     }
 
-    /** What waited at the home while its host could not hear it is placed once. */
+    /** What waited at the primary while its host could not hear it is placed once. */
     @Test(dataProvider = "silences")
     public void whatWaitedIsPlacedOnceOrRefused(long silenceMillis) {
         SteppedHosts all = SteppedHosts.two(1);
-        all.get(HOME).runFor(300);
-        all.get(HOME).ask(1);
-        all.get(SILENT).ask(2);
+        all.get(PRIMARY).runFor(300);
+        all.get(PRIMARY).request(1);
+        all.get(SILENT).request(2);
         all.cutOff(SILENT);
         all.run(silenceMillis);
         all.cutOff(0);
--- a/src/test/java/org/orioleshed/gateway/SteppedHost.java
+++ b/src/test/java/org/orioleshed/gateway/SteppedHost.java
@@ -13,12 +13,12 @@
 import org.orioleshed.catalog.CatalogState;
 import org.orioleshed.catalog.PlainDecoder;
 import org.orioleshed.catalog.PoolServer;
-import org.orioleshed.dispatch.Ask;
 import org.orioleshed.dispatch.DispatchAction;
-import org.orioleshed.dispatch.MovePolicy;
+import org.orioleshed.dispatch.PlacementRequest;
 import org.orioleshed.dispatch.Quotas;
-import org.orioleshed.dispatch.RunEnd;
+import org.orioleshed.dispatch.RolloutPolicy;
 import org.orioleshed.dispatch.RunKey;
+import org.orioleshed.dispatch.RunReport;
 import org.orioleshed.dispatch.StatedLimit;
 import org.orioleshed.membership.Member;
 import org.orioleshed.model.FailureDomain;
@@ -42,7 +42,7 @@
     /** Operators count what a host sends a server from this long after it saw the limit. */
     private static final long LIMIT_SPREAD_NANOS = 500_000_000;
 
-    private static final RunEnd DONE = new RunEnd(RunEnd.Outcome.ANSWERED, 5, 50, 200);
+    private static final RunReport DONE = new RunReport(RunReport.Outcome.ANSWERED, 5, 50, 200);
 
     final HostId id;
     final InetSocketAddress address;
@@ -50,7 +50,7 @@
     final FleetView fleet;
     final Dispatcher dispatcher;
     final CatalogState catalog;
-    final CatalogSpread spread;
+    final CatalogPropagation propagation;
     final List<String> told = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final Set<Long> open = new HashSet<>();
@@ -86,9 +86,9 @@
         catalog = new CatalogState(all.decoder(), line -> {});
         dispatcher =
                 new Dispatcher(
-                        id, this, fleet, SLACK, MovePolicy.DEFAULT, all::nowNanos, line -> {});
-        spread =
-                new CatalogSpread(
+                        id, this, fleet, SLACK, RolloutPolicy.DEFAULT, all::nowNanos, line -> {});
+        propagation =
+                new CatalogPropagation(
                         member,
                         this,
                         fleet,
@@ -119,7 +119,7 @@
     void step(boolean fleetToo) {
         readStore();
         dispatcher.tick();
-        spread.tick();
+        propagation.tick();
         if (fleetToo) {
             fleet.tick();
         }
@@ -131,7 +131,7 @@
         over.forEach(run -> end(run, DONE));
     }
 
-    private void end(RunKey run, RunEnd end) {
+    private void end(RunKey run, RunReport end) {
         endNanos.remove(run);
         dispatcher.ended(run, end);
     }
@@ -198,7 +198,7 @@
         }
         snapshot = newer;
         dispatcher.changed(newer);
-        spread.changed(newer);
+        propagation.changed(newer);
     }
 
     CatalogSnapshot snapshot() {
@@ -209,7 +209,7 @@
         switch (kind) {
             case MEMBERSHIP -> fleet.received(from, body);
             case DISPATCH -> dispatcher.received(from, body);
-            case CATALOG -> spread.received(from, body);
+            case CATALOG -> propagation.received(from, body);
             case ROUTING, REQUEST, SETTINGS, MOVE -> throw new BadMessageException("not of ours");
         }
     }
@@ -246,7 +246,7 @@
             if (!by.equals("by=home")) {
                 throw new AssertionError("a leaving server was chosen here: " + server);
             }
-            dispatcher.ended(run, new RunEnd(RunEnd.Outcome.MISDIRECTED, 0, 0, 0));
+            dispatcher.ended(run, new RunReport(RunReport.Outcome.MISDIRECTED, 0, 0, 0));
             return;
         }
         sent.add(new Sent(run, server, by, units.get(run), all.nowNanos(), knowsLimit(server)));
@@ -266,8 +266,8 @@
         if (limit instanceof StatedLimit.Rate) {
             limitsSeenNanos.putIfAbsent(server.id(), all.nowNanos());
         }
-        AnswerFacts facts = new AnswerFacts("", true, false, -1, false, 0, limit);
-        dispatcher.noticed(server, facts);
+        ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, limit);
+        dispatcher.noticed(server, responseHeaders);
         dispatcher.first(run, 20, limit);
     }
 
@@ -279,14 +279,14 @@
         }
     }
 
-    void ask(long number) {
-        ask(number, Optional.empty(), 0);
+    void request(long number) {
+        request(number, Optional.empty(), 0);
     }
 
     /** Asks for a place for a request that uses a workspace's quota. */
-    void ask(long number, Optional<WorkspaceId> workspace, long ofQuota) {
-        Ask ask =
-                new Ask(
+    void request(long number, Optional<WorkspaceId> workspace, long ofQuota) {
+        PlacementRequest request =
+                new PlacementRequest(
                         PlainDecoder.SERVICE,
                         new RouteId("r"),
                         workspace,
@@ -301,7 +301,7 @@
                         Set.of());
         open.add(number);
         units.put(key(number), ofQuota);
-        dispatcher.place(key(number), ask, this);
+        dispatcher.place(key(number), request, this);
     }
 
     void withdraw(long number) {
--- a/src/test/java/org/orioleshed/platform/Fleet.java
+++ b/src/test/java/org/orioleshed/platform/Fleet.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import org.orioleshed.dispatch.MovePolicy;
 import org.orioleshed.dispatch.Quotas;
+import org.orioleshed.dispatch.RolloutPolicy;
 import org.orioleshed.gateway.GatewayOptions;
 import org.orioleshed.gateway.LogRing;
 import org.orioleshed.model.FailureDomain;
@@ -100,7 +100,7 @@
                         10_000,
                         50,
                         Quotas.Slack.NONE,
-                        MovePolicy.DEFAULT,
+                        RolloutPolicy.DEFAULT,
                         graceMillis);
         node = new PlatformNode(options, store.address(), log, 1);
         node.start();
--- a/src/test/java/org/orioleshed/platform/ManifestDecoderTest.java
+++ b/src/test/java/org/orioleshed/platform/ManifestDecoderTest.java
@@ -10,7 +10,7 @@
 import org.orioleshed.catalog.CallRoute;
 import org.orioleshed.catalog.Catalog;
 import org.orioleshed.catalog.PoolServer;
-import org.orioleshed.catalog.Repeat;
+import org.orioleshed.catalog.Repeatability;
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.WorkspaceId;
@@ -47,7 +47,7 @@
     public void readsRoutesPoolsAndWorkspaces() throws BadCatalogException {
         Catalog catalog = decoder.config(bytes(CONFIG));
         CallRoute stream = catalog.route("h.example", "/a/x").orElseThrow();
-        assertEquals(stream.repeat(), Repeat.STREAM);
+        assertEquals(stream.repeatability(), Repeatability.STREAM);
         assertTrue(stream.mayRunAgain());
         assertEquals(stream.pick(0.5), new ServiceId("s1"));
         assertEquals(stream.pick(0.95), new ServiceId("s2"));
@@ -111,7 +111,7 @@
         assertEquals(server.id().value(), "i-1");
         assertEquals(server.slots(), 11);
         assertTrue(server.draining());
-        assertEquals(server.bornMillis(), 5);
+        assertEquals(server.startMillis(), 5);
     }
 
     @DataProvider
--- a/src/test/java/org/orioleshed/platform/PlatformDialectTest.java
+++ b/src/test/java/org/orioleshed/platform/PlatformHeaderTranslatorTest.java
@@ -8,17 +8,17 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Optional;
 import org.orioleshed.dispatch.StatedLimit;
-import org.orioleshed.gateway.AnswerFacts;
-import org.orioleshed.gateway.CallDialect.ServerOrder;
-import org.orioleshed.gateway.CallFacts;
+import org.orioleshed.gateway.CallHeaders;
+import org.orioleshed.gateway.HeaderTranslator.ServerOrder;
+import org.orioleshed.gateway.ResponseHeaders;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.WorkspaceId;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PlatformDialect}. */
-public class PlatformDialectTest {
-    private final PlatformDialect dialect = new PlatformDialect();
+/** Tests of {@link PlatformHeaderTranslator}. */
+public class PlatformHeaderTranslatorTest {
+    private final PlatformHeaderTranslator translator = new PlatformHeaderTranslator();
 
     @Test
     public void readsACallersFacts() {
@@ -30,8 +30,8 @@
                         .set("X-Token-Counts", "1460,80")
                         .set("X-Length-Hint", "30");
         assertEquals(
-                dialect.read(headers),
-                new CallFacts("9c", Optional.of("k"), 1_500, 1_460, 80, 30, 1_540));
+                translator.read(headers),
+                new CallHeaders("9c", Optional.of("k"), 1_500, 1_460, 80, 30, 1_540));
     }
 
     @DataProvider
@@ -45,15 +45,15 @@
                 new DefaultHttpHeaders()
                         .set("X-Deadline-Ms", deadline)
                         .set("X-Token-Counts", tokens);
-        CallFacts facts = dialect.read(headers);
-        assertEquals(facts.deadlineMillis(), -1);
-        assertTrue(facts.promptTokens() >= 0);
+        CallHeaders callHeaders = translator.read(headers);
+        assertEquals(callHeaders.deadlineMillis(), -1);
+        assertTrue(callHeaders.promptTokens() >= 0);
     }
 
     @Test
     public void twoKeysAreNone() {
         HttpHeaders headers = new DefaultHttpHeaders().add("Api-Key", "a").add("Api-Key", "b");
-        assertEquals(dialect.read(headers).key(), Optional.empty());
+        assertEquals(translator.read(headers).key(), Optional.empty());
     }
 
     @Test
@@ -72,7 +72,7 @@
                         .set("X-Other", "kept")
                         .set("X-Deadline-Ms", "9000");
         HttpHeaders sent =
-                dialect.toServer(
+                translator.toServer(
                         headers,
                         new ServerOrder(
                                 new ServerId("i-1"),
@@ -95,9 +95,9 @@
                         .set("X-Response-Signature", "s")
                         .set("Keep-Alive", "timeout=5, max=9");
         assertEquals(
-                dialect.readAnswer(200, headers),
-                new AnswerFacts("9c", true, false, 5_000, false, 0, StatedLimit.NONE));
-        assertTrue(dialect.readAnswer(200, headers.set("X-Not-Executed", "1")).notRun());
+                translator.readAnswer(200, headers),
+                new ResponseHeaders("9c", true, false, 5_000, false, 0, StatedLimit.NONE));
+        assertTrue(translator.readAnswer(200, headers.set("X-Not-Executed", "1")).notRun());
     }
 
     @DataProvider
@@ -120,13 +120,13 @@
     @Test(dataProvider = "limits")
     public void readsTheLimitOfAServerAndNothingThatIsNone(String stated, StatedLimit limit) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Server-Limit", stated);
-        assertEquals(dialect.readAnswer(503, headers).limit(), limit);
+        assertEquals(translator.readAnswer(503, headers).limit(), limit);
     }
 
     @Test
     public void ownAnswersBearNoSignatureAndSayWhenToComeBack() {
         HttpHeaders headers = new DefaultHttpHeaders();
-        dialect.markOwn(headers, "9c", 350);
+        translator.markOwn(headers, "9c", 350);
         assertEquals(headers.get("Retry-After"), "0.350");
         assertEquals(headers.get("X-Request-Id"), "9c");
         assertFalse(headers.contains("X-Response-Signature"));
