--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -36,7 +36,7 @@
 import org.orioleshed.settings.SettingsCodec;
 import org.orioleshed.settings.SettingsEvent;
 import org.orioleshed.settings.SettingsMessage;
-import org.orioleshed.settings.SettingsSpread;
+import org.orioleshed.settings.SettingsPropagation;
 import org.orioleshed.settings.SettingsTree;
 import org.orioleshed.store.Store;
 
@@ -52,7 +52,7 @@
     private final Consumer<World> worlds;
     private final InstantSource wallClock;
     private final Membership membership;
-    private final SettingsSpread spread;
+    private final SettingsPropagation spread;
     private final PlatformLists lists = new PlatformLists();
     private final Map<FollowedKey, FollowedStore> followed = new LinkedHashMap<>();
     private final Proposals proposals;
@@ -94,7 +94,7 @@
                         false,
                         Member.Health.ALIVE);
         this.membership = new Membership(self, MembershipOptions.DEFAULT, random);
-        this.spread = new SettingsSpread(random);
+        this.spread = new SettingsPropagation(random);
         this.proposals = new Proposals(store, ring, this::accepted);
         this.incarnation = incarnation;
         this.moves = new MoveDriver(store, peers, orders, ring);
@@ -262,7 +262,7 @@
                 case SettingsAction.Adopt adopt -> adopt(adopt);
                 case SettingsAction.Alarm alarm ->
                         logger.atSevere().log("event=settings_refused reason=%s", alarm.detail());
-                case SettingsAction.Told told -> {
+                case SettingsAction.StatusReceived told -> {
                     StatusRound round = rounds.get(told.ticket());
                     if (round != null) {
                         round.tell(told.from(), told.status());
@@ -289,7 +289,7 @@
 
     private void accepted(ProposalResult.Accepted accepted) {
         if (accepted.value().size() > 0) {
-            onSettings(new SettingsEvent.StoreSaid(Optional.of(accepted.value())));
+            onSettings(new SettingsEvent.StoreValueReceived(Optional.of(accepted.value())));
             return;
         }
         followed.get(FollowedKey.SETTINGS).on(nowNanos, new StoreFollower.Event.ReadWanted());
@@ -305,7 +305,7 @@
                 }
             }
         } else if (key == FollowedKey.SETTINGS) {
-            onSettings(new SettingsEvent.StoreAway());
+            onSettings(new SettingsEvent.StoreUnavailable());
         }
         followed.get(key).on(nowNanos, new StoreFollower.Event.ReadAnswered(result));
     }
@@ -317,11 +317,11 @@
                         && entries.storeRevision() >= settingsStoreRevision
                         && (entry.isEmpty() || entry.get().revision() == settingsStoreRevision);
         if (same) {
-            onSettings(new SettingsEvent.StoreSaidSame());
+            onSettings(new SettingsEvent.StoreValueUnchanged());
             return;
         }
         settingsStoreRevision = entry.map(Store.Entry::revision).orElse(0L);
-        onSettings(new SettingsEvent.StoreSaid(entry.map(Store.Entry::value)));
+        onSettings(new SettingsEvent.StoreValueReceived(entry.map(Store.Entry::value)));
     }
 
     private void takeWatch(ControlEvent.WatchTold told) {
@@ -331,7 +331,7 @@
         switch (told.key()) {
             case SETTINGS -> {
                 settingsStoreRevision = told.value().isPresent() ? told.revision() : 0;
-                onSettings(new SettingsEvent.StoreSaid(told.value()));
+                onSettings(new SettingsEvent.StoreValueReceived(told.value()));
             }
             case PLATFORM -> {
                 lists.take(told.storeKey(), told.value(), told.revision())
@@ -357,7 +357,7 @@
         long ticket = ++lastTicket;
         List<EntryHost> asked = List.copyOf(hosts.values());
         rounds.put(ticket, new StatusRound(own.host(), asked, nowNanos + STATUS_NANOS, answer));
-        byte[] question = settingsCodec.encode(new SettingsMessage.StatusAsked(ticket));
+        byte[] question = settingsCodec.encode(new SettingsMessage.StatusRequest(ticket));
         for (EntryHost host : asked) {
             if (!host.id().equals(own.host())) {
                 peers.send(host.id(), MessageKind.SETTINGS, question);
--- a/src/main/java/org/orioleshed/entry/AdminReplies.java
+++ b/src/main/java/org/orioleshed/entry/AdminReplies.java
@@ -30,7 +30,7 @@
                             List.of(
                                     new AdminReply.Problem(
                                             "", refused.detail(), Optional.empty())));
-            case ProposalResult.StoreAway away -> new AdminReply.StoreAway(away.detail());
+            case ProposalResult.StoreUnavailable away -> new AdminReply.StoreAway(away.detail());
             case ProposalResult.InDoubt doubt -> new AdminReply.Unknown(changeId, doubt.detail());
         };
     }
--- a/src/main/java/org/orioleshed/entry/EntryAdmin.java
+++ b/src/main/java/org/orioleshed/entry/EntryAdmin.java
@@ -154,7 +154,7 @@
                 missing ? "no" : "yes",
                 host.settings().map(told -> told.unconfirmed() ? "yes" : "no").orElse("unknown"),
                 host.settings()
-                        .map(told -> Long.toString(told.storeAwayMillis()))
+                        .map(told -> Long.toString(told.storeUnavailableMillis()))
                         .orElse("unknown"));
     }
 
--- a/src/main/java/org/orioleshed/settings/BearerKey.java
+++ b/src/main/java/org/orioleshed/settings/BearerKey.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * The hash of a key that came as a bearer token; the key itself is not kept.
+ * The SHA-256 hash of a bearer key. The key itself is not retained.
  *
  * @param hash the SHA-256 of the key, in lower-case hexadecimal
  */
 public record BearerKey(String hash) {
     private static final String SCHEME = "Bearer ";
 
-    /** Returns the key in an {@code Authorization} header; empty where there is none. */
+    /** Parses an {@code Authorization} header; empty if it is absent or not a bearer token. */
     public static Optional<BearerKey> of(String authorization) {
         if (authorization == null || !authorization.startsWith(SCHEME)) {
             return Optional.empty();
@@ -23,9 +23,10 @@
                 new BearerKey(Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString()));
     }
 
-    /** Returns whether the key has the hash {@code known}, in time that tells nothing of it. */
-    public boolean hasHash(String known) {
+    /** Returns whether the key hashes to {@code expectedHash}. Compares in constant time. */
+    public boolean hasHash(String expectedHash) {
         return MessageDigest.isEqual(
-                known.getBytes(StandardCharsets.UTF_8), hash.getBytes(StandardCharsets.UTF_8));
+                expectedHash.getBytes(StandardCharsets.UTF_8),
+                hash.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/orioleshed/settings/PackedText.java
+++ b/src/main/java/org/orioleshed/settings/CompressedText.java
@@ -8,21 +8,24 @@
 import java.util.zip.Inflater;
 import org.orioleshed.model.Payload;
 
-/** Text compressed for the store and for peers. */
-final class PackedText {
-    private static final byte PACKED = 1;
+/**
+ * Compresses text for the store and for peers. A compressed value is a marker byte followed by a
+ * zlib stream; a value without the marker is plain text.
+ */
+final class CompressedText {
+    private static final byte ZLIB_MARKER = 1;
     private static final int MAX_TEXT_BYTES = 16_000_000;
     private static final int BUFFER_BYTES = 8_192;
 
-    private PackedText() {}
+    private CompressedText() {}
 
-    static Payload pack(String text) {
+    static Payload compress(String text) {
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try {
             deflater.setInput(text.getBytes(StandardCharsets.UTF_8));
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream();
-            out.write(PACKED);
+            out.write(ZLIB_MARKER);
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!deflater.finished()) {
                 out.write(buffer, 0, deflater.deflate(buffer));
@@ -33,10 +36,10 @@
         }
     }
 
-    /** Returns the text in {@code value}; empty when it is damaged or far too long. */
-    static Optional<String> unpack(Payload value) {
+    /** Returns the text in {@code value}; empty if it is corrupt or exceeds the size limit. */
+    static Optional<String> decompress(Payload value) {
         byte[] bytes = value.toBytes();
-        if (bytes.length == 0 || bytes[0] != PACKED) {
+        if (bytes.length == 0 || bytes[0] != ZLIB_MARKER) {
             return Optional.of(value.text());
         }
         Inflater inflater = new Inflater();
@@ -46,8 +49,8 @@
             byte[] buffer = new byte[BUFFER_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
-                boolean stuck = count == 0 && !inflater.finished();
-                if (stuck || out.size() > MAX_TEXT_BYTES) {
+                boolean noProgress = count == 0 && !inflater.finished();
+                if (noProgress || out.size() > MAX_TEXT_BYTES) {
                     return Optional.empty();
                 }
                 out.write(buffer, 0, count);
--- a/src/main/java/org/orioleshed/settings/EntrySettings.java
+++ b/src/main/java/org/orioleshed/settings/EntrySettings.java
@@ -17,18 +17,19 @@
 import org.orioleshed.model.HostId;
 
 /**
- * The entry host's own file.
+ * The configuration file of an entry host.
  *
  * @param host the host's id
  * @param domain its failure domain
- * @param callerAddress where it listens for callers
- * @param peerAddress where it listens for other entry hosts
- * @param adminAddress where it listens for operators; empty when the admin API is off
- * @param peers entry hosts to ask for the fleet when the store is away
+ * @param callerAddress the listen address for callers
+ * @param peerAddress the listen address for other entry hosts
+ * @param adminAddress the listen address of the admin API; empty when it is disabled
+ * @param peers entry hosts to contact for the fleet's state when the store is unavailable
  * @param storeAddresses base addresses of the platform's key-value service, at least one
- * @param operators who may use the admin API
- * @param drainMillis the longest that a graceful stop waits for running requests, in milliseconds
- * @param policy which decisions to use
+ * @param operators operators with access to the admin API
+ * @param drainMillis the maximum time that a graceful stop waits for running requests, in
+ *     milliseconds
+ * @param policy the scheduling policy
  */
 public record EntrySettings(
         HostId host,
@@ -48,20 +49,20 @@
         operators = List.copyOf(operators);
     }
 
-    /** Which decisions an entry host uses. */
+    /** The scheduling policy of an entry host. */
     public enum Policy {
-        /** The product's own. */
+        /** The scheduler of this project. */
         ORIOLESHED,
-        /** Round robin, first come first served: there to compare with. */
+        /** Round robin and first come, first served; a baseline for comparison. */
         NAIVE
     }
 
-    /** What came of reading a file. */
+    /** The result of reading a file. */
     public sealed interface Result {
-        /** The file is good. */
+        /** The file is valid. */
         record Loaded(EntrySettings settings) implements Result {}
 
-        /** The file is not good: all that is wrong with it. */
+        /** The file is invalid; lists every problem found. */
         record Problems(List<Problem> problems) implements Result {
             /** Copies the list. */
             public Problems {
@@ -70,32 +71,35 @@
         }
     }
 
-    /** Reads a file and checks it whole. */
+    /** Reads and validates a file. */
     public static Result load(Path file) {
         try {
             return parse(Files.readString(file));
         } catch (IOException e) {
             return new Result.Problems(
-                    List.of(Problem.of("", file, "a file that can be read as UTF-8: " + e)));
+                    List.of(Problem.of("", file, "a readable file in UTF-8: " + e)));
         }
     }
 
-    /** Reads a file's text and checks it whole. */
+    /** Parses and validates the text of a file. */
     public static Result parse(String text) {
         List<Problem> problems = new ArrayList<>();
         ObjectNode file = JsonText.parseObject(text, problems);
         if (file == null) {
             return new Result.Problems(problems);
         }
-        new SchemaCheck(problems).check(Schema.ENTRY, file, "", SchemaCheck.Extent.WHOLE);
-        ObjectNode whole = Inheritance.withDefaults(Schema.ENTRY, file);
+        new SchemaValidator(problems)
+                .check(Schema.ENTRY, file, "", SchemaValidator.Completeness.COMPLETE);
+        ObjectNode complete = Inheritance.withDefaults(Schema.ENTRY, file);
         if (problems.isEmpty()) {
-            checkPeers(whole, problems);
+            checkPeers(complete, problems);
         }
-        if (problems.isEmpty() && whole.path("store").path("addresses").isEmpty()) {
+        if (problems.isEmpty() && complete.path("store").path("addresses").isEmpty()) {
             problems.add(Problem.missing("/store/addresses/0", "at least one address"));
         }
-        return problems.isEmpty() ? new Result.Loaded(build(whole)) : new Result.Problems(problems);
+        return problems.isEmpty()
+                ? new Result.Loaded(build(complete))
+                : new Result.Problems(problems);
     }
 
     private static void checkPeers(JsonNode file, List<Problem> problems) {
@@ -104,7 +108,8 @@
         for (int i = 0; i < peers.size(); i++) {
             String id = peers.get(i).get("id").textValue();
             if (!seen.add(id)) {
-                problems.add(Problem.of("/peers/" + i + "/id", id, "each peer once"));
+                problems.add(
+                        Problem.of("/peers/" + i + "/id", id, "a peer id that occurs only once"));
             }
         }
     }
--- a/src/main/java/org/orioleshed/settings/Field.java
+++ b/src/main/java/org/orioleshed/settings/Field.java
@@ -4,31 +4,37 @@
 import java.util.Optional;
 
 /**
- * One setting.
+ * A setting of the schema.
  *
- * @param name its name
- * @param type what it may hold
- * @param need whether it must be stated
- * @param fallback the value when it is not stated; empty for none
- * @param doc a sentence for operators
+ * @param name the setting's name
+ * @param type the type of its value
+ * @param presence whether it must be set
+ * @param defaultValue the value if it is not set; empty for none
+ * @param description a sentence for the documentation
  */
-record Field(String name, FieldType type, Need need, Optional<JsonNode> fallback, String doc) {
-    /** Whether a setting must be stated. */
-    enum Need {
+record Field(
+        String name,
+        FieldType type,
+        Presence presence,
+        Optional<JsonNode> defaultValue,
+        String description) {
+    /** Whether a setting must be set. */
+    enum Presence {
         REQUIRED,
         OPTIONAL
     }
 
-    static Field required(String name, FieldType type, String doc) {
-        return new Field(name, type, Need.REQUIRED, Optional.empty(), doc);
+    static Field required(String name, FieldType type, String description) {
+        return new Field(name, type, Presence.REQUIRED, Optional.empty(), description);
     }
 
-    static Field optional(String name, FieldType type, String doc) {
-        return new Field(name, type, Need.OPTIONAL, Optional.empty(), doc);
+    static Field optional(String name, FieldType type, String description) {
+        return new Field(name, type, Presence.OPTIONAL, Optional.empty(), description);
     }
 
-    /** Makes a setting with a default, given as JSON. */
-    static Field withDefault(String name, FieldType type, String json, String doc) {
-        return new Field(name, type, Need.OPTIONAL, Optional.of(JsonText.constant(json)), doc);
+    /** Creates an optional setting with a default value, given as JSON. */
+    static Field withDefault(String name, FieldType type, String json, String description) {
+        return new Field(
+                name, type, Presence.OPTIONAL, Optional.of(JsonText.constant(json)), description);
     }
 }
--- a/src/main/java/org/orioleshed/settings/FieldType.java
+++ b/src/main/java/org/orioleshed/settings/FieldType.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** What a setting may hold. */
+/** The type of a setting's value. */
 sealed interface FieldType {
-    /** Returns what is allowed, as a phrase for operators. */
+    /** Returns a phrase that describes the allowed values, for operators. */
     String allowed();
 
-    /** A name or another short text that is not blank. */
+    /** A non-blank string of limited length. */
     record Text() implements FieldType {
         @Override
         public String allowed() {
@@ -15,55 +15,55 @@
         }
     }
 
-    /** A whole number within bounds, both included. */
-    record Whole(long min, long max) implements FieldType {
+    /** An integer from {@code min} to {@code max}, both inclusive. */
+    record IntegerRange(long min, long max) implements FieldType {
         @Override
         public String allowed() {
-            return "a whole number from " + min + " to " + max;
+            return "an integer from " + min + " to " + max;
         }
     }
 
-    /** A number within bounds, both included. */
-    record Fraction(double min, double max) implements FieldType {
+    /** A number from {@code min} to {@code max}, both inclusive. */
+    record NumberRange(double min, double max) implements FieldType {
         @Override
         public String allowed() {
             return "a number from " + min + " to " + max;
         }
     }
 
-    /** True or false. */
-    record Flag() implements FieldType {
+    /** A boolean. */
+    record Bool() implements FieldType {
         @Override
         public String allowed() {
             return "true or false";
         }
     }
 
-    /** One of a few words. */
-    record Choice(List<String> words) implements FieldType {
+    /** One of a fixed set of strings. */
+    record Choice(List<String> values) implements FieldType {
         @Override
         public String allowed() {
-            return "one of " + String.join(", ", words);
+            return "one of " + String.join(", ", values);
         }
     }
 
-    /** A base address. */
-    record HttpAddress() implements FieldType {
+    /** A base URL with the scheme http or https. */
+    record HttpUrl() implements FieldType {
         @Override
         public String allowed() {
-            return "an address such as http://127.0.0.1:9001";
+            return "an http or https URL such as http://127.0.0.1:9001";
         }
     }
 
-    /** An IP number and a port. */
+    /** An IP address and a port. */
     record HostPort() implements FieldType {
         @Override
         public String allowed() {
-            return "an IP number and port such as 127.0.0.1:8001";
+            return "an IP address and port such as 127.0.0.1:8001";
         }
     }
 
-    /** A SHA-256 digest. */
+    /** A SHA-256 hash in hexadecimal. */
     record KeyHash() implements FieldType {
         @Override
         public String allowed() {
@@ -80,14 +80,14 @@
     }
 
     /** A time zone. */
-    record Zone() implements FieldType {
+    record TimeZone() implements FieldType {
         @Override
         public String allowed() {
             return "a time zone such as Pacific/Fiji";
         }
     }
 
-    /** A list. */
+    /** A list with elements of one type. */
     record ListOf(FieldType element) implements FieldType {
         @Override
         public String allowed() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** An object of known fields. */
+    /** An object with a fixed set of fields. */
     record Group(List<Field> fields) implements FieldType {
         public Group {
             fields = List.copyOf(fields);
@@ -105,7 +105,7 @@
             return new Group(List.of(fields));
         }
 
-        List<String> names() {
+        List<String> fieldNames() {
             return fields.stream().map(Field::name).toList();
         }
 
@@ -120,20 +120,20 @@
 
         @Override
         public String allowed() {
-            return "an object with " + String.join(", ", names());
+            return "an object with " + String.join(", ", fieldNames());
         }
     }
 
-    /** An object whose names the operators choose. */
-    record MapOf(String nameOf, FieldType value) implements FieldType {
+    /** An object whose keys are chosen by operators. */
+    record MapOf(String keyKind, FieldType value) implements FieldType {
         @Override
         public String allowed() {
-            return "an object by " + nameOf;
+            return "an object keyed by " + keyKind;
         }
     }
 
-    /** A tree of branches whose items inherit. */
-    record TreeOf(String nameOf, Group item) implements FieldType {
+    /** A tree of branches whose items inherit the defaults of the branches above them. */
+    record TreeOf(String keyKind, Group item) implements FieldType {
         static final String DEFAULTS = "defaults";
         static final String BRANCHES = "branches";
         static final String ITEMS = "items";
@@ -141,7 +141,7 @@
 
         @Override
         public String allowed() {
-            return "an object with defaults, branches, items (by " + nameOf + ")";
+            return "an object with defaults, branches, items (keyed by " + keyKind + ")";
         }
     }
 }
--- a/src/main/java/org/orioleshed/settings/HostPorts.java
+++ b/src/main/java/org/orioleshed/settings/HostPorts.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads addresses written as an IP number and a port; names are never looked up. */
+/** Parses addresses of the form {@code IP:port}. Host names are rejected, not resolved. */
 public final class HostPorts {
-    private static final Pattern IP_NUMBER = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
+    private static final Pattern IP_LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
     private static final int MAX_PORT = 65_535;
 
     private HostPorts() {}
 
-    /** Returns the address in {@code text}, or empty when it is no IP number with a port. */
+    /** Returns the address in {@code text}, or empty if it is not an IP address with a port. */
     public static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon < 1 || !IP_NUMBER.matcher(text.substring(0, colon)).matches()) {
+        if (colon < 1 || !IP_LITERAL.matcher(text.substring(0, colon)).matches()) {
             return Optional.empty();
         }
         try {
--- a/src/main/java/org/orioleshed/settings/Inheritance.java
+++ b/src/main/java/org/orioleshed/settings/Inheritance.java
@@ -10,20 +10,20 @@
 import org.orioleshed.settings.FieldType.Group;
 import org.orioleshed.settings.FieldType.TreeOf;
 
-/** Works out what each item of a tree holds once all it inherits is laid below it. */
+/** Resolves the items of a tree by merging inherited values into them. */
 final class Inheritance {
     /**
-     * An item with all that it inherits.
+     * An item merged with its inherited values.
      *
-     * @param path where the item stands in the document
+     * @param path the item's JSON pointer in the document
      * @param id the item's name
-     * @param values its own and inherited fields
+     * @param values the item's own and inherited fields
      */
-    record Resolved(String path, String id, ObjectNode values) {}
+    record ResolvedItem(String path, String id, ObjectNode values) {}
 
     private final ObjectNode defaults;
     private final List<Problem> problems;
-    private final List<Resolved> items = new ArrayList<>();
+    private final List<ResolvedItem> items = new ArrayList<>();
     private final Map<String, String> pathById = new HashMap<>();
 
     private Inheritance(ObjectNode defaults, List<Problem> problems) {
@@ -31,81 +31,87 @@
         this.problems = problems;
     }
 
-    /** Returns the items of {@code tree}, in the order of the document. */
-    static List<Resolved> resolve(TreeOf type, JsonNode tree, String path, List<Problem> problems) {
+    /**
+     * Returns the resolved items of {@code tree}: those of its branches, in the order of the
+     * document, before its own.
+     */
+    static List<ResolvedItem> resolve(
+            TreeOf type, JsonNode tree, String path, List<Problem> problems) {
         ObjectNode defaults = defaults(type.item());
         Inheritance inheritance = new Inheritance(defaults, problems);
-        inheritance.walk(tree, path, defaults);
+        inheritance.resolveBranch(tree, path, defaults);
         return inheritance.items;
     }
 
-    /** Returns the defaults that the schema states for {@code group}. */
+    /** Returns the default values that the schema defines for {@code group}. */
     static ObjectNode defaults(Group group) {
         ObjectNode defaults = JsonNodeFactory.instance.objectNode();
         for (Field field : group.fields()) {
-            field.fallback().ifPresent(value -> defaults.set(field.name(), value));
+            field.defaultValue().ifPresent(value -> defaults.set(field.name(), value));
         }
         return defaults;
     }
 
-    /** Returns {@code values} with the schema's default for each field that is not stated. */
+    /** Returns {@code values} with the schema's default for each field that is not set. */
     static ObjectNode withDefaults(Group group, ObjectNode values) {
-        ObjectNode whole = defaults(group);
-        whole.setAll(values);
-        return whole;
+        ObjectNode complete = defaults(group);
+        complete.setAll(values);
+        return complete;
     }
 
     /**
-     * Returns {@code upper} laid over {@code lower}: objects are merged, null takes a value away,
-     * all else replaces. Neither argument is changed; parts of them are shared.
+     * Returns {@code base} overridden by {@code override}: objects are merged recursively, null
+     * removes an inherited value, any other value replaces it. The arguments are not modified; the
+     * result shares parts of them.
      */
-    static ObjectNode overlay(ObjectNode lower, ObjectNode upper) {
+    static ObjectNode merge(ObjectNode base, ObjectNode override) {
         ObjectNode merged = JsonNodeFactory.instance.objectNode();
-        merged.setAll(lower);
-        for (Map.Entry<String, JsonNode> entry : upper.properties()) {
+        merged.setAll(base);
+        for (Map.Entry<String, JsonNode> entry : override.properties()) {
             JsonNode value = entry.getValue();
             if (value.isNull()) {
                 merged.remove(entry.getKey());
                 continue;
             }
-            if (value instanceof ObjectNode own) {
-                value = overlay(objectAt(lower, entry.getKey()), own);
+            if (value instanceof ObjectNode object) {
+                value = merge(objectOrEmpty(base, entry.getKey()), object);
             }
             merged.set(entry.getKey(), value);
         }
         return merged;
     }
 
-    private static ObjectNode objectAt(ObjectNode values, String name) {
+    private static ObjectNode objectOrEmpty(ObjectNode values, String name) {
         return values.get(name) instanceof ObjectNode object
                 ? object
                 : JsonNodeFactory.instance.objectNode();
     }
 
-    private void walk(JsonNode node, String path, ObjectNode inherited) {
+    private void resolveBranch(JsonNode node, String path, ObjectNode inherited) {
         ObjectNode base =
                 node.get(TreeOf.DEFAULTS) instanceof ObjectNode own
-                        ? overlay(inherited, own)
+                        ? merge(inherited, own)
                         : inherited;
-        String branches = JsonText.below(path, TreeOf.BRANCHES);
+        String branches = JsonText.childPointer(path, TreeOf.BRANCHES);
         for (Map.Entry<String, JsonNode> branch : node.path(TreeOf.BRANCHES).properties()) {
-            walk(branch.getValue(), JsonText.below(branches, branch.getKey()), base);
+            resolveBranch(
+                    branch.getValue(), JsonText.childPointer(branches, branch.getKey()), base);
         }
-        String itemsPath = JsonText.below(path, TreeOf.ITEMS);
+        String itemsPath = JsonText.childPointer(path, TreeOf.ITEMS);
         for (Map.Entry<String, JsonNode> item : node.path(TreeOf.ITEMS).properties()) {
             if (item.getValue() instanceof ObjectNode own) {
-                ObjectNode values = overlay(base, own);
-                fillIn(values);
-                add(JsonText.below(itemsPath, item.getKey()), item.getKey(), values);
+                ObjectNode values = merge(base, own);
+                addDefaults(values);
+                add(JsonText.childPointer(itemsPath, item.getKey()), item.getKey(), values);
             }
         }
     }
 
-    /** Adds the schema's default for each field that was taken away. */
-    private void fillIn(ObjectNode values) {
-        for (Map.Entry<String, JsonNode> fallback : defaults.properties()) {
-            if (!values.has(fallback.getKey())) {
-                values.set(fallback.getKey(), fallback.getValue());
+    /** Adds the schema's default for each field that a null removed. */
+    private void addDefaults(ObjectNode values) {
+        for (Map.Entry<String, JsonNode> entry : defaults.properties()) {
+            if (!values.has(entry.getKey())) {
+                values.set(entry.getKey(), entry.getValue());
             }
         }
     }
@@ -113,9 +119,10 @@
     private void add(String path, String id, ObjectNode values) {
         String earlier = pathById.putIfAbsent(id, path);
         if (earlier != null) {
-            problems.add(Problem.of(path, id, "one place only: stated before at " + earlier));
+            problems.add(
+                    Problem.of(path, id, "an id defined only once, already defined at " + earlier));
             return;
         }
-        items.add(new Resolved(path, id, values));
+        items.add(new ResolvedItem(path, id, values));
     }
 }
--- a/src/main/java/org/orioleshed/settings/JsonText.java
+++ b/src/main/java/org/orioleshed/settings/JsonText.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** Reads and writes JSON with comments. */
+/** Parses JSON that may contain comments and trailing commas. */
 final class JsonText {
     private static final JsonMapper MAPPER =
             JsonMapper.builder()
@@ -25,13 +25,15 @@
         return MAPPER;
     }
 
-    /** Returns the object in {@code text}, or null after adding to {@code problems}. */
+    /** Parses {@code text} as an object; on failure adds to {@code problems} and returns null. */
     static ObjectNode parseObject(String text, List<Problem> problems) {
         JsonNode node;
         try {
             node = MAPPER.readTree(text);
         } catch (JsonProcessingException e) {
-            problems.add(Problem.of("", "", "JSON with comments: " + where(e)));
+            problems.add(
+                    Problem.of(
+                            "", "", "valid JSON, comments permitted: " + messageWithLocation(e)));
             return null;
         }
         if (!(node instanceof ObjectNode object)) {
@@ -41,40 +43,40 @@
         return object;
     }
 
-    /** Returns the value in {@code text}. */
+    /** Parses {@code text} as any JSON value. */
     static JsonNode parseValue(String text) throws JsonProcessingException {
         return MAPPER.readTree(text);
     }
 
-    /** Returns the value of a constant in the code. */
+    /** Parses a JSON constant of the code. */
     static JsonNode constant(String json) {
         try {
             return MAPPER.readTree(json);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not JSON: " + json, e);
+            throw new IllegalArgumentException("invalid JSON constant: " + json, e);
         }
     }
 
-    /** Returns an object of its own that holds the same values. */
-    static ObjectNode copy(ObjectNode node) {
+    /** Returns a new object with the same child nodes; the children are not copied. */
+    static ObjectNode shallowCopy(ObjectNode node) {
         ObjectNode copy = MAPPER.createObjectNode();
         copy.setAll(node);
         return copy;
     }
 
-    /** Returns {@code path} with {@code name} below it, as a JSON pointer. */
-    static String below(String path, String name) {
+    /** Returns the JSON pointer to the child {@code name} of {@code path}. */
+    static String childPointer(String path, String name) {
         return path + "/" + name.replace("~", "~0").replace("/", "~1");
     }
 
-    private static String where(JsonProcessingException e) {
-        String place =
+    private static String messageWithLocation(JsonProcessingException e) {
+        String location =
                 e.getLocation() == null
                         ? ""
                         : " at line "
                                 + e.getLocation().getLineNr()
                                 + ", column "
                                 + e.getLocation().getColumnNr();
-        return e.getOriginalMessage() + place;
+        return e.getOriginalMessage() + location;
     }
 }
--- a/src/main/java/org/orioleshed/settings/NearestName.java
+++ b/src/main/java/org/orioleshed/settings/NearestName.java
@@ -2,16 +2,19 @@
 
 import java.util.Optional;
 
-/** Finds the known name that a misspelt one was meant to be. */
+/** Suggests the known name closest to a misspelled one, by Levenshtein distance. */
 final class NearestName {
     private NearestName() {}
 
-    /** Returns the nearest of {@code known}, or empty when none is near. */
+    /**
+     * Returns the closest of {@code known}; empty if the distance to each of them exceeds {@code
+     * max(1, name.length() / 2)}.
+     */
     static Optional<String> of(String name, Iterable<String> known) {
         String best = null;
         int bestDistance = Math.max(1, name.length() / 2) + 1;
         for (String candidate : known) {
-            int distance = distance(name, candidate);
+            int distance = editDistance(name, candidate);
             if (distance < bestDistance) {
                 bestDistance = distance;
                 best = candidate;
@@ -20,8 +23,8 @@
         return Optional.ofNullable(best);
     }
 
-    /** Returns the number of single-character edits between the two. */
-    static int distance(String a, String b) {
+    /** Returns the Levenshtein distance between two strings. */
+    static int editDistance(String a, String b) {
         int[] previous = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             previous[j] = j;
--- a/src/main/java/org/orioleshed/settings/PeerSeed.java
+++ b/src/main/java/org/orioleshed/settings/PeerSeed.java
@@ -5,10 +5,10 @@
 import org.orioleshed.model.HostId;
 
 /**
- * An entry host that is known before membership has spoken.
+ * An entry host from the static configuration, known before the first membership update.
  *
- * @param id the host
+ * @param id the host's id
  * @param domain its failure domain
- * @param peerAddress where it takes peer connections
+ * @param peerAddress the address on which it accepts peer connections
  */
 public record PeerSeed(HostId id, FailureDomain domain, InetSocketAddress peerAddress) {}
--- a/src/main/java/org/orioleshed/settings/Proposal.java
+++ b/src/main/java/org/orioleshed/settings/Proposal.java
@@ -8,42 +8,42 @@
 import org.orioleshed.store.Store;
 
 /**
- * Brings one change into the store: read, check the tree whole, one compare-and-swap. A lost answer
- * is settled by reading back the change's id. The same swap may be repeated safely, since it names
- * the revision that it replaces.
+ * Writes one change to the store: reads the document, validates the changed tree, and writes it by
+ * compare-and-swap. If the result of the swap is lost, the document is read again and searched for
+ * the change's id. Repeating a swap is safe, since it names the revision that it replaces.
  */
 public final class Proposal implements Machine<ProposalEvent, ProposalAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long RETRY_NANOS = 100 * NANOS_PER_MILLI;
+    private static final long RETRY_DELAY_NANOS = 100 * NANOS_PER_MILLI;
 
-    private enum Step {
-        READ,
-        WAIT_READ,
-        WAIT_SWAP,
+    private enum State {
+        READ_PENDING,
+        READING,
+        SWAPPING,
         SETTLED
     }
 
     private final ProposedChange change;
-    private final long inForceNumber;
+    private final long activeNumber;
     private final long atMillis;
     private final long deadlineNanos;
-    private Step step = Step.READ;
-    private long retryNanos;
-    private boolean mayBeWritten;
-    private long number;
-    private Payload value = Payload.EMPTY;
+    private State state = State.READ_PENDING;
+    private long retryAtNanos;
+    private boolean possiblyWritten;
+    private long proposedNumber;
+    private Payload proposedValue = Payload.EMPTY;
 
     /**
-     * Makes one.
+     * Creates a proposal.
      *
-     * @param change what is wanted
-     * @param inForceNumber the revision in force at this host
-     * @param atMillis the time on the wall clock, in milliseconds since 1970
-     * @param deadlineNanos when to give up, on the monotonic clock
+     * @param change the proposed change
+     * @param activeNumber the active revision of this host
+     * @param atMillis the wall-clock time, in milliseconds since the epoch
+     * @param deadlineNanos the time limit, on the monotonic clock, in nanoseconds
      */
-    public Proposal(ProposedChange change, long inForceNumber, long atMillis, long deadlineNanos) {
+    public Proposal(ProposedChange change, long activeNumber, long atMillis, long deadlineNanos) {
         this.change = change;
-        this.inForceNumber = inForceNumber;
+        this.activeNumber = activeNumber;
         this.atMillis = atMillis;
         this.deadlineNanos = deadlineNanos;
     }
@@ -51,69 +51,72 @@
     @Override
     public List<ProposalAction> on(long nowNanos, ProposalEvent event) {
         return switch (event) {
-            case ProposalEvent.Tick tick -> tick(nowNanos);
-            case ProposalEvent.StoreAnswered answered -> answered(nowNanos, answered.result());
+            case ProposalEvent.Tick tick -> onTick(nowNanos);
+            case ProposalEvent.StoreAnswered answered -> onStoreResult(nowNanos, answered.result());
         };
     }
 
-    private List<ProposalAction> tick(long nowNanos) {
-        if (step != Step.READ || nowNanos < retryNanos) {
+    private List<ProposalAction> onTick(long nowNanos) {
+        if (state != State.READ_PENDING || nowNanos < retryAtNanos) {
             return List.of();
         }
         if (nowNanos >= deadlineNanos) {
-            return giveUp("no answer in time");
+            return giveUp("no result from the store before the deadline");
         }
-        step = Step.WAIT_READ;
+        state = State.READING;
         return List.of(new ProposalAction.ReadStore());
     }
 
-    private List<ProposalAction> answered(long nowNanos, Store.Result result) {
-        boolean reading = step == Step.WAIT_READ;
-        if (!reading && step != Step.WAIT_SWAP) {
+    private List<ProposalAction> onStoreResult(long nowNanos, Store.Result result) {
+        boolean reading = state == State.READING;
+        if (!reading && state != State.SWAPPING) {
             return List.of();
         }
         return switch (result) {
             case Store.Result.Entries entries when reading ->
-                    judge(entries.entries().stream().findFirst());
+                    onRead(entries.entries().stream().findFirst());
             case Store.Result.Swapped swapped when !reading ->
-                    settle(new ProposalResult.Accepted(number, value));
-            case Store.Result.Conflict conflict when !reading -> lost(conflict.present());
+                    settle(new ProposalResult.Accepted(proposedNumber, proposedValue));
+            case Store.Result.Conflict conflict when !reading -> onConflict(conflict.present());
             case Store.Result.Unknown unknown -> {
-                mayBeWritten |= !reading;
+                possiblyWritten |= !reading;
                 yield retry(nowNanos);
             }
-            case Store.Result.Away away when !mayBeWritten -> giveUp(away.detail());
+            case Store.Result.Away unavailable when !possiblyWritten ->
+                    giveUp(unavailable.detail());
             default -> retry(nowNanos);
         };
     }
 
     private List<ProposalAction> retry(long nowNanos) {
-        step = Step.READ;
-        retryNanos = nowNanos + RETRY_NANOS;
+        state = State.READ_PENDING;
+        retryAtNanos = nowNanos + RETRY_DELAY_NANOS;
         return List.of();
     }
 
-    private List<ProposalAction> judge(Optional<Store.Entry> entry) {
+    private List<ProposalAction> onRead(Optional<Store.Entry> entry) {
         if (entry.isEmpty()) {
             return settle(new ProposalResult.Refused("the store has no settings"));
         }
         return switch (SettingsDocument.decode(entry.get().value())) {
-            case SettingsDocument.Result.Problems bad ->
-                    settle(new ProposalResult.Refused("unreadable: " + bad.problems()));
-            case SettingsDocument.Result.Read good ->
-                    build(good.document(), entry.get().revision());
+            case SettingsDocument.Result.Problems invalid ->
+                    settle(
+                            new ProposalResult.Refused(
+                                    "the stored settings are unreadable: " + invalid.problems()));
+            case SettingsDocument.Result.Read read ->
+                    prepare(read.document(), entry.get().revision());
         };
     }
 
-    private List<ProposalAction> build(SettingsDocument present, long storeRevision) {
-        Optional<Long> done = present.numberOf(change.id());
-        if (done.isPresent()) {
-            return settle(new ProposalResult.Accepted(done.get(), Payload.EMPTY));
+    private List<ProposalAction> prepare(SettingsDocument present, long storeRevision) {
+        Optional<Long> acceptedNumber = present.numberOf(change.id());
+        if (acceptedNumber.isPresent()) {
+            return settle(new ProposalResult.Accepted(acceptedNumber.get(), Payload.EMPTY));
         }
-        if (present.number() < inForceNumber) {
-            String detail = "the store holds revision " + present.number() + ", older than ";
-            return settle(
-                    new ProposalResult.Refused(detail + inForceNumber + " which is in force"));
+        if (present.number() < activeNumber) {
+            String detail =
+                    "the store holds revision " + present.number() + ", older than the active ";
+            return settle(new ProposalResult.Refused(detail + "revision " + activeNumber));
         }
         if (change.basedOn().isPresent() && change.basedOn().get() != present.number()) {
             return settle(conflict(present, change.basedOn().get()));
@@ -127,62 +130,65 @@
                         atMillis,
                         change.edits());
         return switch (present.with(next)) {
-            case SettingsDocument.Result.Problems bad ->
-                    settle(new ProposalResult.Rejected(bad.problems()));
-            case SettingsDocument.Result.Read good -> swap(good.document(), storeRevision);
+            case SettingsDocument.Result.Problems invalid ->
+                    settle(new ProposalResult.Rejected(invalid.problems()));
+            case SettingsDocument.Result.Read read -> swap(read.document(), storeRevision);
         };
     }
 
-    private List<ProposalAction> swap(SettingsDocument wanted, long storeRevision) {
+    private List<ProposalAction> swap(SettingsDocument proposed, long storeRevision) {
         List<Problem> problems = new ArrayList<>();
-        if (wanted.check() instanceof SettingsTree.Result.Problems bad) {
-            problems.addAll(bad.problems());
+        if (proposed.check() instanceof SettingsTree.Result.Problems invalid) {
+            problems.addAll(invalid.problems());
         }
-        value = wanted.encode();
-        if (value.size() > SettingsDocument.MAX_BYTES) {
-            String allowed = "a tree of at most " + SettingsDocument.MAX_BYTES + " bytes, packed";
-            problems.add(Problem.of("", value.size(), allowed));
+        proposedValue = proposed.encode();
+        if (proposedValue.size() > SettingsDocument.MAX_BYTES) {
+            String allowed =
+                    "a document of at most " + SettingsDocument.MAX_BYTES + " compressed bytes";
+            problems.add(Problem.of("", proposedValue.size(), allowed));
         }
         if (!problems.isEmpty()) {
             return settle(new ProposalResult.Rejected(problems));
         }
-        number = wanted.number();
-        step = Step.WAIT_SWAP;
-        return List.of(new ProposalAction.SwapStore(storeRevision, value));
+        proposedNumber = proposed.number();
+        state = State.SWAPPING;
+        return List.of(new ProposalAction.SwapStore(storeRevision, proposedValue));
     }
 
-    /** Another write came between; it may have been this very change, whose answer was lost. */
-    private List<ProposalAction> lost(Optional<Store.Entry> present) {
+    /** Handles a failed swap. The intervening write may be this change, if its result was lost. */
+    private List<ProposalAction> onConflict(Optional<Store.Entry> present) {
         if (present.isEmpty()) {
-            return settle(new ProposalResult.Refused("the store has no settings any more"));
+            return settle(new ProposalResult.Refused("the settings were deleted from the store"));
         }
         return switch (SettingsDocument.decode(present.get().value())) {
-            case SettingsDocument.Result.Problems bad ->
-                    settle(new ProposalResult.Refused("unreadable: " + bad.problems()));
-            case SettingsDocument.Result.Read good -> {
-                Optional<Long> done = good.document().numberOf(change.id());
-                if (done.isPresent()) {
-                    yield settle(new ProposalResult.Accepted(done.get(), Payload.EMPTY));
+            case SettingsDocument.Result.Problems invalid ->
+                    settle(
+                            new ProposalResult.Refused(
+                                    "the stored settings are unreadable: " + invalid.problems()));
+            case SettingsDocument.Result.Read read -> {
+                Optional<Long> acceptedNumber = read.document().numberOf(change.id());
+                if (acceptedNumber.isPresent()) {
+                    yield settle(new ProposalResult.Accepted(acceptedNumber.get(), Payload.EMPTY));
                 }
-                yield settle(conflict(good.document(), number - 1));
+                yield settle(conflict(read.document(), proposedNumber - 1));
             }
         };
     }
 
-    private static ProposalResult conflict(SettingsDocument present, long seen) {
-        List<SettingsChange> since = present.changesAfter(seen).orElse(present.changes());
+    private static ProposalResult conflict(SettingsDocument present, long baseNumber) {
+        List<SettingsChange> since = present.changesAfter(baseNumber).orElse(present.changes());
         return new ProposalResult.Conflict(present.number(), since);
     }
 
     private List<ProposalAction> giveUp(String detail) {
         return settle(
-                mayBeWritten
+                possiblyWritten
                         ? new ProposalResult.InDoubt(detail)
-                        : new ProposalResult.StoreAway(detail));
+                        : new ProposalResult.StoreUnavailable(detail));
     }
 
     private List<ProposalAction> settle(ProposalResult result) {
-        step = Step.SETTLED;
+        state = State.SETTLED;
         return List.of(new ProposalAction.Settled(result));
     }
 }
--- a/src/main/java/org/orioleshed/settings/ProposalAction.java
+++ b/src/main/java/org/orioleshed/settings/ProposalAction.java
@@ -2,14 +2,14 @@
 
 import org.orioleshed.model.Payload;
 
-/** What a proposed change wants done. */
+/** Actions requested by a {@link Proposal}. */
 public sealed interface ProposalAction {
-    /** Read the settings' key. */
+    /** Read the settings key from the store. */
     record ReadStore() implements ProposalAction {}
 
-    /** Replace the settings' key if it is still at {@code expectedRevision}. */
+    /** Replace the settings key if its store revision is still {@code expectedRevision}. */
     record SwapStore(long expectedRevision, Payload value) implements ProposalAction {}
 
-    /** The proposal is settled; the last action. */
+    /** The proposal has a result. This is its last action. */
     record Settled(ProposalResult result) implements ProposalAction {}
 }
--- a/src/main/java/org/orioleshed/settings/ProposalEvent.java
+++ b/src/main/java/org/orioleshed/settings/ProposalEvent.java
@@ -2,11 +2,11 @@
 
 import org.orioleshed.store.Store;
 
-/** What can happen to a proposed change. */
+/** Events handled by a {@link Proposal}. */
 public sealed interface ProposalEvent {
-    /** Time passed, or the proposal starts. */
+    /** Time has passed; the first tick starts the proposal. */
     record Tick() implements ProposalEvent {}
 
-    /** The store answered the last action. */
+    /** The store's result of the last action. */
     record StoreAnswered(Store.Result result) implements ProposalEvent {}
 }
--- a/src/main/java/org/orioleshed/settings/ProposalResult.java
+++ b/src/main/java/org/orioleshed/settings/ProposalResult.java
@@ -3,17 +3,18 @@
 import java.util.List;
 import org.orioleshed.model.Payload;
 
-/** What became of a proposed change. */
+/** The result of a proposed change. */
 public sealed interface ProposalResult {
     /**
-     * The change is accepted and will be in force everywhere; it never reverts.
+     * The change is accepted and will become active on every host; it is never reverted.
      *
-     * @param number its revision
-     * @param value the store's value with it; empty when a later change came on top
+     * @param number the revision that the change created
+     * @param value the value written to the store; empty if the change was already in the stored
+     *     history
      */
     record Accepted(long number, Payload value) implements ProposalResult {}
 
-    /** The change, or the tree with it, is not valid. Nothing was written. */
+    /** The change, or the resulting tree, is invalid. Nothing was written. */
     record Rejected(List<Problem> problems) implements ProposalResult {
         /** Copies the list. */
         public Rejected {
@@ -22,10 +23,11 @@
     }
 
     /**
-     * Other changes came first. Nothing was written.
+     * Other changes were accepted first. Nothing was written.
      *
-     * @param presentNumber the revision that stands
-     * @param since the changes since the one that the operator saw, as far as they are kept
+     * @param presentNumber the latest revision in the store
+     * @param since the changes after the revision that the proposal is based on, as far as they are
+     *     retained
      */
     record Conflict(long presentNumber, List<SettingsChange> since) implements ProposalResult {
         /** Copies the list. */
@@ -34,12 +36,12 @@
         }
     }
 
-    /** The store holds settings that must not be built on. Nothing was written. */
+    /** The stored settings cannot serve as a base for changes. Nothing was written. */
     record Refused(String detail) implements ProposalResult {}
 
-    /** The store can't be asked. Nothing was written. */
-    record StoreAway(String detail) implements ProposalResult {}
+    /** The store is unavailable. Nothing was written. */
+    record StoreUnavailable(String detail) implements ProposalResult {}
 
-    /** The store did not say whether the change was written; propose the same id again. */
+    /** It is unknown whether the change was written; propose the same id again. */
     record InDoubt(String detail) implements ProposalResult {}
 }
--- a/src/main/java/org/orioleshed/settings/Schema.java
+++ b/src/main/java/org/orioleshed/settings/Schema.java
@@ -1,55 +1,56 @@
 package org.orioleshed.settings;
 
 import java.util.List;
+import org.orioleshed.settings.FieldType.Bool;
 import org.orioleshed.settings.FieldType.Choice;
-import org.orioleshed.settings.FieldType.Flag;
-import org.orioleshed.settings.FieldType.Fraction;
 import org.orioleshed.settings.FieldType.Group;
 import org.orioleshed.settings.FieldType.HostPort;
-import org.orioleshed.settings.FieldType.HttpAddress;
+import org.orioleshed.settings.FieldType.HttpUrl;
+import org.orioleshed.settings.FieldType.IntegerRange;
 import org.orioleshed.settings.FieldType.KeyHash;
 import org.orioleshed.settings.FieldType.ListOf;
 import org.orioleshed.settings.FieldType.MapOf;
+import org.orioleshed.settings.FieldType.NumberRange;
 import org.orioleshed.settings.FieldType.Text;
 import org.orioleshed.settings.FieldType.TimeOfDay;
+import org.orioleshed.settings.FieldType.TimeZone;
 import org.orioleshed.settings.FieldType.TreeOf;
-import org.orioleshed.settings.FieldType.Whole;
-import org.orioleshed.settings.FieldType.Zone;
 
-/** The one statement of all settings: checks, defaults, docs and help come from here. */
+/** The schema of all settings, from which validation, defaults, documentation and help derive. */
 final class Schema {
     private static final long DAY_MILLIS = 86_400_000;
     private static final long WEEK_MILLIS = 7 * DAY_MILLIS;
     private static final long MAX_TOKENS = 1_000_000_000;
 
-    /** The entry host's own file. */
+    /** The configuration file of an entry host. */
     static final Group ENTRY =
             Group.of(
-                    Field.required("host", host(), "Who this entry host is."),
-                    Field.required("addresses", addresses(), "Where it listens."),
+                    Field.required("host", host(), "The identity of this entry host."),
+                    Field.required("addresses", addresses(), "The listen addresses."),
                     Field.withDefault(
                             "peers",
                             new ListOf(peer()),
                             "[]",
-                            "Entry hosts to ask for the fleet when the store is away."),
+                            "Entry hosts to contact for the fleet's state when the store is"
+                                    + " unavailable."),
                     Field.required("store", store(), "The platform's key-value service."),
                     Field.withDefault(
                             "operators",
                             new ListOf(operator()),
                             "[]",
-                            "Who may use the admin API."),
+                            "Operators with access to the admin API."),
                     Field.withDefault(
                             "drainMillis",
-                            new Whole(0, 10 * 60_000),
+                            new IntegerRange(0, 10 * 60_000),
                             "30000",
-                            "The longest that a graceful stop waits for running requests."),
+                            "The maximum time that a graceful stop waits for running requests."),
                     Field.withDefault(
                             "policy",
                             new Choice(List.of("orioleshed", "naive")),
                             "\"orioleshed\"",
-                            "Which decisions to use; naive is there to compare with."));
+                            "The scheduling policy; naive is a baseline for comparison."));
 
-    /** The fleet's tree of settings. */
+    /** The settings tree of the fleet. */
     static final Group TREE =
             Group.of(
                     Field.withDefault(
@@ -57,12 +58,13 @@
                             new MapOf("tier", tier()),
                             "{\"urgent\":{\"rank\":0},\"standard\":{\"rank\":1},"
                                     + "\"patient\":{\"rank\":2}}",
-                            "Tiers of urgency."),
+                            "Priority tiers."),
                     Field.withDefault(
                             "routes",
                             new MapOf("route", route()),
                             "{}",
-                            "The names that callers ask for, and what they lead to."),
+                            "The names that callers request, and the model or service that each"
+                                    + " maps to."),
                     Field.withDefault(
                             "servers", new TreeOf("server", server()), "{}", "Backend servers."),
                     Field.withDefault(
@@ -70,12 +72,13 @@
                             new TreeOf("workspace", workspace()),
                             "{}",
                             "Workspaces."),
-                    Field.withDefault("limits", limits(), "{}", "Limits of the whole fleet."),
+                    Field.withDefault(
+                            "limits", limits(), "{}", "Limits that apply to the whole fleet."),
                     Field.withDefault(
                             "currentVersions",
                             new MapOf("route", new Text()),
                             "{}",
-                            "For each route, the version to use while no move is under way."));
+                            "For each route, the version to use while no rollout is in progress."));
 
     private Schema() {}
 
@@ -87,94 +90,106 @@
 
     private static Group addresses() {
         return Group.of(
-                Field.required("caller", new HostPort(), "For callers."),
-                Field.required("peer", new HostPort(), "For other entry hosts."),
-                Field.optional("admin", new HostPort(), "For operators; off when not stated."));
+                Field.required("caller", new HostPort(), "The address for callers."),
+                Field.required("peer", new HostPort(), "The address for other entry hosts."),
+                Field.optional(
+                        "admin",
+                        new HostPort(),
+                        "The address of the admin API; disabled if not set."));
     }
 
     private static Group peer() {
         return Group.of(
                 Field.required("id", new Text(), "The peer's id."),
                 Field.required("domain", new Text(), "Its failure domain."),
-                Field.required("peerAddress", new HostPort(), "Its address for peers."));
+                Field.required("peerAddress", new HostPort(), "Its address for peer connections."));
     }
 
     private static Group store() {
         return Group.of(
                 Field.required(
-                        "addresses", new ListOf(new HttpAddress()), "Tried one after another."));
+                        "addresses", new ListOf(new HttpUrl()), "The base URLs, tried in turn."));
     }
 
     private static Group operator() {
         return Group.of(
-                Field.required("name", new Text(), "The operator's name, for the audit log."),
+                Field.required("name", new Text(), "The operator's name in the audit log."),
                 Field.required("keyHash", new KeyHash(), "The SHA-256 of the operator's key."),
                 Field.withDefault(
                         "role",
                         new Choice(List.of("read", "change")),
                         "\"read\"",
-                        "What the operator may do."));
+                        "The operator's permissions."));
     }
 
     private static Group tier() {
         return Group.of(
-                Field.required("rank", new Whole(0, 100), "Zero for the most urgent."),
+                Field.required(
+                        "rank",
+                        new IntegerRange(0, 100),
+                        "The tier's priority; zero is the most urgent."),
                 Field.withDefault(
                         "deadlineMillis",
-                        new Whole(1, WEEK_MILLIS),
+                        new IntegerRange(1, WEEK_MILLIS),
                         "86400000",
-                        "The longest deadline that a workspace may ask for, unless it says"
-                                + " otherwise."));
+                        "The longest deadline that a workspace may request, unless the workspace"
+                                + " overrides it."));
     }
 
     private static Group route() {
         return Group.of(
-                Field.optional("model", new Text(), "The model that it leads to."),
-                Field.optional("service", new Text(), "The plain service that it leads to."),
+                Field.optional("model", new Text(), "The model that the route maps to."),
+                Field.optional("service", new Text(), "The plain service that the route maps to."),
                 Field.withDefault(
                         "calls",
                         new MapOf("call", call()),
                         "{}",
-                        "The calls that a plain service knows."));
+                        "The calls that the plain service supports."));
     }
 
     private static Group call() {
         return Group.of(
                 Field.withDefault(
                         "repeatable",
-                        new Flag(),
+                        new Bool(),
                         "false",
-                        "Whether the service may run a call more than once."));
+                        "Whether the service may run the call more than once."));
     }
 
     private static Group server() {
         return Group.of(
                 Field.required("domain", new Text(), "The failure domain."),
-                Field.required("address", new HttpAddress(), "The base address."),
-                Field.optional("model", new Text(), "The model that it runs."),
-                Field.optional("service", new Text(), "The plain service that it runs."),
-                Field.required("version", new Text(), "The version that it runs."),
+                Field.required("address", new HttpUrl(), "The base URL."),
+                Field.optional("model", new Text(), "The model that the server runs."),
+                Field.optional("service", new Text(), "The plain service that the server runs."),
+                Field.required("version", new Text(), "The version that the server runs."),
                 Field.withDefault(
                         "generation", new Text(), "\"default\"", "The hardware generation."),
                 Field.withDefault(
-                        "places", new Whole(1, 10_000), "8", "Requests that may run at once."),
+                        "places",
+                        new IntegerRange(1, 10_000),
+                        "8",
+                        "The maximum number of requests that run concurrently."),
                 Field.withDefault(
                         "cacheTokens",
-                        new Whole(0, MAX_TOKENS),
+                        new IntegerRange(0, MAX_TOKENS),
                         "0",
                         "The size of the prefix cache, in tokens."),
                 Field.withDefault(
                         "canResume",
-                        new Flag(),
+                        new Bool(),
                         "false",
-                        "Whether it resumes a stream from an offset."),
+                        "Whether the server can resume a stream from an offset."),
                 Field.withDefault(
                         "checksFencing",
-                        new Flag(),
+                        new Bool(),
                         "false",
-                        "Whether it refuses an order that carries an old fencing number."),
+                        "Whether the server refuses an order that carries an old fencing number."),
                 Field.withDefault(
-                        "leaving", new Flag(), "false", "Whether it must get no new work."));
+                        "leaving",
+                        new Bool(),
+                        "false",
+                        "Whether the server must not receive new work."));
     }
 
     private static Group workspace() {
@@ -186,78 +201,83 @@
                         "The SHA-256 of each bearer key."),
                 Field.withDefault(
                         "weight",
-                        new Whole(1, 1_000),
+                        new IntegerRange(1, 1_000),
                         "1",
-                        "The share against other workspaces in the same tier."),
+                        "The weight relative to other workspaces in the same tier."),
                 Field.withDefault(
                         "maxWaiting",
-                        new Whole(1, 1_000_000),
+                        new IntegerRange(1, 1_000_000),
                         "200",
-                        "Requests that may wait or run on one entry host."),
+                        "The maximum number of requests that wait or run on one entry host."),
                 Field.withDefault(
                         "maxOutputTokens",
-                        new Whole(1, MAX_TOKENS),
+                        new IntegerRange(1, MAX_TOKENS),
                         "4000",
-                        "The most tokens that one request may ask for."),
+                        "The maximum number of output tokens that one request may ask for."),
                 Field.withDefault(
                         "defaultTier",
                         new Text(),
                         "\"standard\"",
-                        "The tier of a request that names none."),
+                        "The tier of a request that specifies none."),
                 Field.withDefault(
                         "tiers",
                         new MapOf("tier", workspaceTier()),
                         "{}",
-                        "What differs from the fleet's tiers."),
+                        "Overrides of the fleet's tiers."),
                 Field.optional(
                         "patience",
                         patience(),
-                        "The daily window for patient work; all day when not stated."));
+                        "The daily window for patient work; all day if not set."));
     }
 
     private static Group workspaceTier() {
         return Group.of(
                 Field.optional(
                         "deadlineMillis",
-                        new Whole(1, WEEK_MILLIS),
-                        "The longest deadline that the workspace may ask for."),
+                        new IntegerRange(1, WEEK_MILLIS),
+                        "The longest deadline that the workspace may request."),
                 Field.withDefault(
-                        "allowed", new Flag(), "true", "Whether the workspace may use the tier."));
+                        "allowed", new Bool(), "true", "Whether the workspace may use the tier."));
     }
 
     private static Group patience() {
         return Group.of(
-                Field.required("start", new TimeOfDay(), "When the window opens."),
+                Field.required("start", new TimeOfDay(), "The time when the window opens."),
                 Field.required(
-                        "end", new TimeOfDay(), "When it closes; on the next day if not later."),
-                Field.required("zone", new Zone(), "The time zone of both."));
+                        "end",
+                        new TimeOfDay(),
+                        "The time when the window closes; on the next day if not after the start."),
+                Field.required("zone", new TimeZone(), "The time zone of both times."));
     }
 
     private static Group limits() {
         return Group.of(
                 Field.withDefault(
                         "moveSpreadMillis",
-                        new Whole(100, 60_000),
+                        new IntegerRange(100, 60_000),
                         "3000",
-                        "How long before a move's time its outcome must be recorded, so that"
-                                + " every host knows it by then. Read at a host's start."),
+                        "How long before a rollout's completeBy time its outcome must be recorded,"
+                                + " so that it reaches every host in time. Read when a host"
+                                + " starts."),
                 Field.withDefault(
                         "moveShares",
-                        new ListOf(new Fraction(0.001, 1)),
+                        new ListOf(new NumberRange(0.001, 1)),
                         "[0.01,0.02,0.04]",
-                        "The new version's share of requests at each step of a move, growing; the"
-                                + " last is kept until the outcome. Read at a host's start."),
+                        "The new version's share of requests at each step of a rollout, strictly"
+                                + " increasing; the last share applies until the outcome. Read"
+                                + " when a host starts."),
                 Field.withDefault(
                         "moveSoakFraction",
-                        new Fraction(0, 1),
+                        new NumberRange(0, 1),
                         "0.8",
-                        "The part of a move's time that must pass before it completes. Read at a"
-                                + " host's start."),
+                        "The fraction of the time from a rollout's start to its completeBy time"
+                                + " that must pass before it completes. Read when a host"
+                                + " starts."),
                 Field.withDefault(
                         "versionLoadsAtOnce",
-                        new Whole(1, 1_000),
+                        new IntegerRange(1, 1_000),
                         "1",
-                        "Backend servers that may load a version from the weight store at"
-                                + " once. Read at a host's start."));
+                        "The maximum number of backend servers that load a version from the"
+                                + " weight store concurrently. Read when a host starts."));
     }
 }
--- a/src/main/java/org/orioleshed/settings/SettingsChange.java
+++ b/src/main/java/org/orioleshed/settings/SettingsChange.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One accepted change of the tree.
+ * An accepted change of the settings tree.
  *
- * @param number the revision that it made, from one, without gaps
- * @param id the change's id, chosen by whoever proposed it
+ * @param number the revision that the change created; revisions start at one and have no gaps
+ * @param id the change's id, chosen by the proposer
  * @param author the operator
- * @param reason why, in the operator's words
- * @param atMillis when, on the wall clock of the host that proposed it, in milliseconds since 1970
- * @param edits what it changed
+ * @param reason the operator's reason
+ * @param atMillis the wall-clock time of the proposing host, in milliseconds since the epoch
+ * @param edits the edits
  */
 public record SettingsChange(
         long number,
--- a/src/main/java/org/orioleshed/settings/SettingsCodec.java
+++ b/src/main/java/org/orioleshed/settings/SettingsCodec.java
@@ -10,7 +10,7 @@
 import org.orioleshed.peer.MessageCodec;
 import org.orioleshed.wire.SettingsWire.Settings;
 
-/** Writes settings messages as protobuf. */
+/** Encodes and decodes settings messages as protobuf. */
 public final class SettingsCodec implements MessageCodec<SettingsMessage> {
     @Override
     public byte[] encode(SettingsMessage message) {
@@ -27,9 +27,9 @@
                             .setHaveChangeId(fetch.haveChangeId())
                             .setOffset(fetch.offset());
             case SettingsMessage.Delta delta -> {
-                Settings.Delta.Builder built = wire.getDeltaBuilder();
-                built.setFromNumber(delta.fromNumber()).setDigest(delta.digest());
-                delta.changes().forEach(change -> built.addChanges(write(change)));
+                Settings.Delta.Builder builder = wire.getDeltaBuilder();
+                builder.setFromNumber(delta.fromNumber()).setDigest(delta.digest());
+                delta.changes().forEach(change -> builder.addChanges(encode(change)));
             }
             case SettingsMessage.Chunk chunk ->
                     wire.getChunkBuilder()
@@ -38,21 +38,21 @@
                             .setOffset(chunk.offset())
                             .setTotalBytes(chunk.totalBytes())
                             .setPiece(ByteString.copyFrom(chunk.piece().toBytes()));
-            case SettingsMessage.StatusAsked asked ->
-                    wire.getStatusAskedBuilder().setTicket(asked.ticket());
-            case SettingsMessage.StatusTold told ->
+            case SettingsMessage.StatusRequest request ->
+                    wire.getStatusAskedBuilder().setTicket(request.ticket());
+            case SettingsMessage.StatusReport report ->
                     wire.getStatusToldBuilder()
-                            .setTicket(told.ticket())
-                            .setNumber(told.status().number())
-                            .setChangeId(told.status().changeId())
-                            .setUnconfirmed(told.status().unconfirmed())
-                            .setStoreAwayMillis(told.status().storeAwayMillis());
+                            .setTicket(report.ticket())
+                            .setNumber(report.status().number())
+                            .setChangeId(report.status().changeId())
+                            .setUnconfirmed(report.status().unconfirmed())
+                            .setStoreAwayMillis(report.status().storeUnavailableMillis());
         }
         return wire.build().toByteArray();
     }
 
-    private static Settings.Change write(SettingsChange change) {
-        Settings.Change.Builder built =
+    private static Settings.Change encode(SettingsChange change) {
+        Settings.Change.Builder builder =
                 Settings.Change.newBuilder()
                         .setNumber(change.number())
                         .setId(change.id())
@@ -60,61 +60,63 @@
                         .setReason(change.reason())
                         .setAtMillis(change.atMillis());
         for (SettingsEdit edit : change.edits()) {
-            Settings.Edit.Builder written = built.addEditsBuilder().setPath(edit.path());
-            edit.json().ifPresent(written::setJson);
+            Settings.Edit.Builder editBuilder = builder.addEditsBuilder().setPath(edit.path());
+            edit.json().ifPresent(editBuilder::setJson);
         }
-        return built.build();
+        return builder.build();
     }
 
     @Override
     public SettingsMessage decode(byte[] bytes) throws BadMessageException {
         try {
-            return read(Settings.parseFrom(bytes));
+            return decode(Settings.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new BadMessageException("not a settings message", e);
+            throw new BadMessageException("malformed settings message", e);
         }
     }
 
-    private static SettingsMessage read(Settings wire) throws BadMessageException {
+    private static SettingsMessage decode(Settings wire) throws BadMessageException {
         return switch (wire.getMessageCase()) {
             case ADVERT ->
                     new SettingsMessage.Advert(
-                            notNegative(wire.getAdvert().getNumber()),
+                            requireNonNegative(wire.getAdvert().getNumber()),
                             wire.getAdvert().getChangeId(),
                             wire.getAdvert().getWantReply());
             case FETCH ->
                     new SettingsMessage.Fetch(
-                            notNegative(wire.getFetch().getHaveNumber()),
+                            requireNonNegative(wire.getFetch().getHaveNumber()),
                             wire.getFetch().getHaveChangeId(),
-                            (int) notNegative(wire.getFetch().getOffset()));
-            case DELTA -> read(wire.getDelta());
-            case CHUNK -> read(wire.getChunk());
-            case STATUS_ASKED -> new SettingsMessage.StatusAsked(wire.getStatusAsked().getTicket());
-            case STATUS_TOLD -> read(wire.getStatusTold());
-            case MESSAGE_NOT_SET -> throw new BadMessageException("an empty settings message");
+                            (int) requireNonNegative(wire.getFetch().getOffset()));
+            case DELTA -> decode(wire.getDelta());
+            case CHUNK -> decode(wire.getChunk());
+            case STATUS_ASKED ->
+                    new SettingsMessage.StatusRequest(wire.getStatusAsked().getTicket());
+            case STATUS_TOLD -> decode(wire.getStatusTold());
+            case MESSAGE_NOT_SET ->
+                    throw new BadMessageException("settings message without content");
         };
     }
 
-    private static SettingsMessage read(Settings.StatusTold told) throws BadMessageException {
-        return new SettingsMessage.StatusTold(
-                told.getTicket(),
+    private static SettingsMessage decode(Settings.StatusTold report) throws BadMessageException {
+        return new SettingsMessage.StatusReport(
+                report.getTicket(),
                 new SettingsStatus(
-                        notNegative(told.getNumber()),
-                        told.getChangeId(),
-                        told.getUnconfirmed(),
-                        notNegative(told.getStoreAwayMillis())));
+                        requireNonNegative(report.getNumber()),
+                        report.getChangeId(),
+                        report.getUnconfirmed(),
+                        requireNonNegative(report.getStoreAwayMillis())));
     }
 
-    private static SettingsMessage read(Settings.Chunk chunk) throws BadMessageException {
+    private static SettingsMessage decode(Settings.Chunk chunk) throws BadMessageException {
         return new SettingsMessage.Chunk(
-                notNegative(chunk.getNumber()),
+                requireNonNegative(chunk.getNumber()),
                 chunk.getChangeId(),
-                (int) notNegative(chunk.getOffset()),
-                (int) notNegative(chunk.getTotalBytes()),
+                (int) requireNonNegative(chunk.getOffset()),
+                (int) requireNonNegative(chunk.getTotalBytes()),
                 Payload.of(chunk.getPiece().toByteArray()));
     }
 
-    private static SettingsMessage read(Settings.Delta delta) throws BadMessageException {
+    private static SettingsMessage decode(Settings.Delta delta) throws BadMessageException {
         List<SettingsChange> changes = new ArrayList<>();
         for (Settings.Change change : delta.getChangesList()) {
             List<SettingsEdit> edits = new ArrayList<>();
@@ -125,7 +127,7 @@
             }
             changes.add(
                     new SettingsChange(
-                            notNegative(change.getNumber()),
+                            requireNonNegative(change.getNumber()),
                             change.getId(),
                             change.getAuthor(),
                             change.getReason(),
@@ -133,12 +135,13 @@
                             edits));
         }
         return new SettingsMessage.Delta(
-                notNegative(delta.getFromNumber()), delta.getDigest(), changes);
+                requireNonNegative(delta.getFromNumber()), delta.getDigest(), changes);
     }
 
-    private static long notNegative(long value) throws BadMessageException {
+    private static long requireNonNegative(long value) throws BadMessageException {
         if (value < 0) {
-            throw new BadMessageException("a number is out of range");
+            throw new BadMessageException(
+                    "settings message: a number must not be negative, found " + value);
         }
         return value;
     }
--- a/src/main/java/org/orioleshed/settings/SettingsDocs.java
+++ b/src/main/java/org/orioleshed/settings/SettingsDocs.java
@@ -8,42 +8,43 @@
 import org.orioleshed.settings.FieldType.MapOf;
 import org.orioleshed.settings.FieldType.TreeOf;
 
-/** Writes the page on settings, and the admin's help on one setting, from the schema. */
+/** Generates the settings reference, and the admin tool's help on settings, from the schema. */
 public final class SettingsDocs {
     private final StringBuilder page = new StringBuilder();
 
     private SettingsDocs() {}
 
     /**
-     * Writes the page.
+     * Writes the settings reference to a file.
      *
-     * @param args the file to write
-     * @throws IOException when the file can't be written
+     * @param args the path of the file
+     * @throws IOException if the file cannot be written
      */
     public static void main(String[] args) throws IOException {
         Files.writeString(Path.of(args[0]), page());
     }
 
-    /** Returns the page on all settings, as Markdown. */
+    /** Returns the reference of all settings, as Markdown. */
     public static String page() {
         SettingsDocs docs = new SettingsDocs();
         docs.page
                 .append("# Settings\n\nGenerated from the schema in the code; do not edit.\n\n")
                 .append("Settings are JSON with comments. Paths are JSON pointers, with `*` for")
-                .append(" a name or number of your choice. A value that names no default is")
-                .append(" optional unless marked required.\n");
-        docs.section("The entry host's own file", Schema.ENTRY);
-        docs.section("The fleet's tree", Schema.TREE);
+                .append(" a key or list index. A setting without a default is optional unless")
+                .append(" marked required.\n");
+        docs.appendSection("The entry host's own file", Schema.ENTRY);
+        docs.appendSection("The fleet's tree", Schema.TREE);
         docs.page
-                .append("\nBackend servers and workspaces are trees: `defaults` hold for all")
-                .append(" below, `branches` nest, `items` are the servers or workspaces. A branch")
-                .append(" states only what differs from its parent; an item only what differs")
-                .append(" from its branch. Objects are merged name by name, anything else is")
-                .append(" replaced, and `null` takes an inherited value away.\n");
+                .append("\nBackend servers and workspaces are trees: `defaults` apply to")
+                .append(
+                        " everything below them, `branches` nest, `items` are the servers or workspaces.")
+                .append(" A branch sets only what differs from its parent, an item only what")
+                .append(" differs from its branch. Objects are merged key by key, any other value")
+                .append(" is replaced, and `null` removes an inherited value.\n");
         return docs.page.toString();
     }
 
-    /** Returns the lines of help on settings whose path holds {@code word}. */
+    /** Returns the reference lines that contain {@code word}, one per setting. */
     public static String help(String word) {
         StringBuilder help = new StringBuilder();
         page().lines()
@@ -53,43 +54,43 @@
         return help.toString();
     }
 
-    private void section(String title, Group group) {
+    private void appendSection(String title, Group group) {
         page.append("\n## ").append(title).append("\n\n");
         page.append("| Path | Allowed | Default | Meaning |\n|---|---|---|---|\n");
-        fields(group, "");
+        appendFields(group, "");
     }
 
-    private void fields(Group group, String path) {
+    private void appendFields(Group group, String path) {
         for (Field field : group.fields()) {
-            String below = path + "/" + field.name();
-            String fallback =
-                    field.need() == Field.Need.REQUIRED
+            String fieldPath = path + "/" + field.name();
+            String defaultText =
+                    field.presence() == Field.Presence.REQUIRED
                             ? "required"
-                            : field.fallback().map(value -> "`" + value + "`").orElse("none");
+                            : field.defaultValue().map(value -> "`" + value + "`").orElse("none");
             page.append("| `")
-                    .append(below)
+                    .append(fieldPath)
                     .append("` | ")
-                    .append(brief(field.type()))
+                    .append(summary(field.type()))
                     .append(" | ")
-                    .append(fallback)
+                    .append(defaultText)
                     .append(" | ")
-                    .append(field.doc())
+                    .append(field.description())
                     .append(" |\n");
-            inside(field.type(), below);
+            appendNested(field.type(), fieldPath);
         }
     }
 
-    private void inside(FieldType type, String path) {
+    private void appendNested(FieldType type, String path) {
         switch (type) {
-            case Group group -> fields(group, path);
-            case ListOf list -> inside(list.element(), path + "/*");
-            case MapOf map -> inside(map.value(), path + "/*");
-            case TreeOf tree -> fields(tree.item(), path + "/items/*");
+            case Group group -> appendFields(group, path);
+            case ListOf list -> appendNested(list.element(), path + "/*");
+            case MapOf map -> appendNested(map.value(), path + "/*");
+            case TreeOf tree -> appendFields(tree.item(), path + "/items/*");
             default -> {}
         }
     }
 
-    private static String brief(FieldType type) {
+    private static String summary(FieldType type) {
         return switch (type) {
             case Group group -> "an object";
             case ListOf list when list.element() instanceof Group -> "a list of objects";
--- a/src/main/java/org/orioleshed/settings/SettingsDocument.java
+++ b/src/main/java/org/orioleshed/settings/SettingsDocument.java
@@ -13,18 +13,18 @@
 import org.orioleshed.model.Payload;
 
 /**
- * What the store holds of the settings: the tree as operators wrote it, its revision number, and
- * the latest changes. A value that is plain JSON is a tree that no change was made to yet.
+ * The stored form of the settings: the tree as written by operators, its revision number and the
+ * latest changes. A stored value of plain JSON is a tree without changes, with revision one.
  */
 public final class SettingsDocument {
-    /** The most changes that are kept. */
+    /** The maximum number of retained changes. */
     static final int MAX_CHANGES = 50;
 
-    /** The largest value that the store takes, in bytes. */
+    /** The maximum size of a value in the store, in bytes. */
     static final int MAX_BYTES = 1_000_000;
 
     private static final int MAX_HISTORY_CHARACTERS = 64_000;
-    private static final String PLAIN_ID = "plain-";
+    private static final String PLAIN_ID_PREFIX = "plain-";
 
     private final long number;
     private final List<SettingsChange> changes;
@@ -36,12 +36,12 @@
         this.tree = tree;
     }
 
-    /** What came of reading a value. */
+    /** The result of decoding a value or applying a change. */
     sealed interface Result {
-        /** The value is a document. */
+        /** The document is readable. Its tree has not been validated. */
         record Read(SettingsDocument document) implements Result {}
 
-        /** The value is none. */
+        /** The value cannot be read, or the change cannot be applied. */
         record Problems(List<Problem> problems) implements Result {
             /** Copies the list. */
             public Problems {
@@ -50,63 +50,71 @@
         }
     }
 
-    /** Reads a value of the store, plain JSON or packed. */
+    /** Decodes a stored value, either plain JSON or compressed. */
     static Result decode(Payload value) {
         List<Problem> problems = new ArrayList<>();
-        Optional<String> text = PackedText.unpack(value);
+        Optional<String> text = CompressedText.decompress(value);
         if (text.isEmpty()) {
-            return new Result.Problems(List.of(Problem.of("", value, "packed settings")));
+            return new Result.Problems(
+                    List.of(Problem.of("", value, "settings in compressed form")));
         }
         ObjectNode root = JsonText.parseObject(text.get(), problems);
         if (root == null) {
             return new Result.Problems(problems);
         }
         if (!root.has("number")) {
-            return new Result.Read(plain(root));
+            return new Result.Read(fromPlainTree(root));
         }
-        return read(root);
+        return parse(root);
     }
 
-    private static SettingsDocument plain(ObjectNode tree) {
+    private static SettingsDocument fromPlainTree(ObjectNode tree) {
         String digest =
                 Hashing.murmur3_128()
                         .hashString(tree.toString(), StandardCharsets.UTF_8)
                         .toString();
         SettingsChange first =
-                new SettingsChange(1, PLAIN_ID + digest, "", "written as plain JSON", 0, List.of());
+                new SettingsChange(
+                        1, PLAIN_ID_PREFIX + digest, "", "written as plain JSON", 0, List.of());
         return new SettingsDocument(1, List.of(first), tree);
     }
 
-    private static Result read(ObjectNode root) {
+    private static Result parse(ObjectNode root) {
         List<SettingsChange> changes = new ArrayList<>();
         for (JsonNode change : root.path("changes")) {
-            changes.add(readChange(change));
+            changes.add(parseChange(change));
         }
         long number = root.path("number").asLong();
-        boolean whole = !changes.isEmpty() && changes.getLast().number() == number;
-        if (!whole || !(root.get("tree") instanceof ObjectNode tree)) {
-            return new Result.Problems(List.of(Problem.of("", "", "number, changes and tree")));
+        boolean consistent = !changes.isEmpty() && changes.getLast().number() == number;
+        if (!consistent || !(root.get("tree") instanceof ObjectNode tree)) {
+            return new Result.Problems(
+                    List.of(
+                            Problem.of(
+                                    "",
+                                    "",
+                                    "an object with number, changes and tree; the last change must"
+                                            + " have that number")));
         }
         return new Result.Read(new SettingsDocument(number, changes, tree));
     }
 
-    /** Returns the value for the store, packed. */
+    /** Returns the compressed value for the store. */
     Payload encode() {
-        return PackedText.pack(text());
+        return CompressedText.compress(toJsonText());
     }
 
-    private String text() {
+    private String toJsonText() {
         ObjectNode root = JsonNodeFactory.instance.objectNode();
         root.put("number", number);
-        ArrayNode list = root.putArray("changes");
-        changes.forEach(change -> list.add(writeChange(change)));
+        ArrayNode changeNodes = root.putArray("changes");
+        changes.forEach(change -> changeNodes.add(changeToJson(change)));
         root.set("tree", tree);
         return root.toString();
     }
 
-    /** Returns a digest of the whole, to check that a change was applied alike. */
+    /** Returns a digest of the document, to verify that hosts applied a change identically. */
     long digest() {
-        return Hashing.murmur3_128().hashString(text(), StandardCharsets.UTF_8).asLong();
+        return Hashing.murmur3_128().hashString(toJsonText(), StandardCharsets.UTF_8).asLong();
     }
 
     /** Returns the revision number. */
@@ -114,44 +122,44 @@
         return number;
     }
 
-    /** Returns the id of the change that made this revision. */
+    /** Returns the id of the change that created this revision. */
     public String changeId() {
         return changes.getLast().id();
     }
 
-    /** Returns the latest changes, the oldest first. */
+    /** Returns the latest changes, oldest first. */
     public List<SettingsChange> changes() {
         return changes;
     }
 
-    /** Returns the value at a JSON pointer as JSON; empty when nothing is stated there. */
+    /** Returns the value at a JSON pointer as JSON; empty if it is not set. */
     public Optional<String> valueAt(String path) {
         JsonNode node = tree;
-        for (String name : TreeEdits.names(path)) {
+        for (String name : TreeEdits.pointerTokens(path)) {
             node = node.path(name);
         }
-        return pretty(node);
+        return prettyPrint(node);
     }
 
     /**
-     * Returns the value at a JSON pointer as JSON, with all that it inherits and the defaults
-     * filled in; empty when there is nothing.
+     * Returns the effective value at a JSON pointer as JSON, including inherited values and
+     * defaults; empty if there is none.
      */
     public Optional<String> effectiveAt(String path) {
-        for (Inheritance.Resolved item : TreeBuilder.resolvedItems(tree)) {
+        for (Inheritance.ResolvedItem item : TreeBuilder.resolvedItems(tree)) {
             if (path.equals(item.path()) || path.startsWith(item.path() + "/")) {
                 String rest = path.substring(item.path().length());
-                return pretty(item.values().at(rest));
+                return prettyPrint(item.values().at(rest));
             }
         }
-        return pretty(Inheritance.withDefaults(Schema.TREE, tree).at(path));
+        return prettyPrint(Inheritance.withDefaults(Schema.TREE, tree).at(path));
     }
 
-    private static Optional<String> pretty(JsonNode node) {
+    private static Optional<String> prettyPrint(JsonNode node) {
         return node.isMissingNode() ? Optional.empty() : Optional.of(node.toPrettyString());
     }
 
-    /** Returns the number of the change with {@code id}; empty when it is not among the latest. */
+    /** Returns the number of the change with {@code id}; empty if it is not retained. */
     public Optional<Long> numberOf(String id) {
         return changes.stream()
                 .filter(change -> change.id().equals(id))
@@ -159,7 +167,7 @@
                 .findFirst();
     }
 
-    /** Returns the changes after revision {@code after}; empty when they are no longer kept. */
+    /** Returns the changes after revision {@code after}; empty if they are no longer retained. */
     public Optional<List<SettingsChange>> changesAfter(long after) {
         if (after < changes.getFirst().number()) {
             return Optional.empty();
@@ -168,8 +176,8 @@
     }
 
     /**
-     * Returns whether revision {@code otherNumber}, made by change {@code otherId}, lies in this
-     * one's past, as far as the kept changes tell.
+     * Returns whether this revision descends from revision {@code otherNumber}, created by change
+     * {@code otherId}. Revisions older than the retained changes count as ancestors.
      */
     boolean descendsFrom(long otherNumber, String otherId) {
         if (otherNumber > number) {
@@ -181,31 +189,30 @@
         return numberOf(otherId).filter(found -> found == otherNumber).isPresent();
     }
 
-    /** Checks the tree whole. */
+    /** Validates and resolves the complete tree. */
     SettingsTree.Result check() {
         return SettingsTree.of(tree);
     }
 
     /**
-     * Checks the tree by what differs from another one; the result is that of {@link #check}.
+     * Validates and resolves the tree incrementally. The result is the same as that of {@link
+     * #check}.
      *
-     * @param before a document without problems
-     * @param resolvedBefore what came of checking it
+     * @param previous a valid document
+     * @param previousTree the result of checking {@code previous}
      */
-    SettingsTree.Result checkAfter(SettingsDocument before, SettingsTree resolvedBefore) {
+    SettingsTree.Result checkAfter(SettingsDocument previous, SettingsTree previousTree) {
         Optional<SettingsTree> resolved =
-                new ChangedTree(before.tree, resolvedBefore, tree).resolve();
-        // All problems are reported in the order of the document, which only the whole tells.
+                new IncrementalResolver(previous.tree, previousTree, tree).resolve();
+        // Problems are reported in document order, which requires a check of the complete tree.
         return resolved.<SettingsTree.Result>map(SettingsTree.Result.Loaded::new)
                 .orElseGet(this::check);
     }
 
-    /**
-     * Returns all that would be wrong with the tree after {@code edits}; none when they are valid.
-     */
+    /** Returns the problems of the tree after {@code edits}; empty if the edits are valid. */
     public List<Problem> problemsWith(List<SettingsEdit> edits) {
         List<Problem> problems = new ArrayList<>();
-        ObjectNode edited = TreeEdits.applied(tree, edits, problems);
+        ObjectNode edited = TreeEdits.applyAll(tree, edits, problems);
         if (!problems.isEmpty()) {
             return problems;
         }
@@ -215,31 +222,32 @@
         };
     }
 
-    /** Returns this document with one more change, or all that is wrong with it. */
+    /** Returns this document with one more change, or the problems in applying it. */
     Result with(SettingsChange change) {
         List<Problem> problems = new ArrayList<>();
-        ObjectNode edited = TreeEdits.applied(tree, change.edits(), problems);
+        ObjectNode edited = TreeEdits.applyAll(tree, change.edits(), problems);
         if (!problems.isEmpty()) {
             return new Result.Problems(problems);
         }
-        List<SettingsChange> kept = new ArrayList<>(changes);
-        kept.add(change);
-        return new Result.Read(new SettingsDocument(change.number(), bounded(kept), edited));
+        List<SettingsChange> retained = new ArrayList<>(changes);
+        retained.add(change);
+        return new Result.Read(
+                new SettingsDocument(change.number(), truncateHistory(retained), edited));
     }
 
-    private static List<SettingsChange> bounded(List<SettingsChange> changes) {
+    private static List<SettingsChange> truncateHistory(List<SettingsChange> changes) {
         int first = Math.max(0, changes.size() - MAX_CHANGES);
-        int characters = 0;
+        int historyCharacters = 0;
         for (int i = changes.size() - 1; i > first; i--) {
-            characters += writeChange(changes.get(i)).toString().length();
-            if (characters > MAX_HISTORY_CHARACTERS) {
+            historyCharacters += changeToJson(changes.get(i)).toString().length();
+            if (historyCharacters > MAX_HISTORY_CHARACTERS) {
                 first = Math.min(i + 1, changes.size() - 1);
             }
         }
         return changes.subList(first, changes.size());
     }
 
-    private static SettingsChange readChange(JsonNode node) {
+    private static SettingsChange parseChange(JsonNode node) {
         List<SettingsEdit> edits = new ArrayList<>();
         for (JsonNode edit : node.path("edits")) {
             Optional<String> json = Optional.ofNullable(edit.get("value")).map(JsonNode::toString);
@@ -254,7 +262,7 @@
                 edits);
     }
 
-    private static ObjectNode writeChange(SettingsChange change) {
+    private static ObjectNode changeToJson(SettingsChange change) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("number", change.number())
                 .put("id", change.id())
@@ -263,17 +271,17 @@
                 .put("atMillis", change.atMillis());
         ArrayNode edits = node.putArray("edits");
         for (SettingsEdit edit : change.edits()) {
-            ObjectNode written = edits.addObject().put("path", edit.path());
-            edit.json().ifPresent(json -> written.set("value", parsed(json)));
+            ObjectNode editNode = edits.addObject().put("path", edit.path());
+            edit.json().ifPresent(json -> editNode.set("value", parseEditValue(json)));
         }
         return node;
     }
 
-    private static JsonNode parsed(String json) {
+    private static JsonNode parseEditValue(String json) {
         try {
             return JsonText.parseValue(json);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an edit that was applied is not JSON: " + json, e);
+            throw new IllegalStateException("an applied edit is not valid JSON: " + json, e);
         }
     }
 }
--- a/src/main/java/org/orioleshed/settings/SettingsEdit.java
+++ b/src/main/java/org/orioleshed/settings/SettingsEdit.java
@@ -3,25 +3,25 @@
 import java.util.Optional;
 
 /**
- * One edit of the tree.
+ * An edit of one value in the settings tree.
  *
- * @param path what is edited, as a JSON pointer such as {@code /limits/moveSpreadMillis}
- * @param json the new value as JSON; empty to take the value away
+ * @param path the edited setting, as a JSON pointer such as {@code /limits/moveSpreadMillis}
+ * @param json the new value as JSON; empty to remove the value
  */
 public record SettingsEdit(String path, Optional<String> json) {
     /** Checks the arguments. */
     public SettingsEdit {
         if (path == null || json == null) {
-            throw new IllegalArgumentException("path and value must be given");
+            throw new IllegalArgumentException("path and json must not be null");
         }
     }
 
-    /** Makes an edit that sets a value, given as JSON. */
+    /** Creates an edit that sets a value, given as JSON. */
     public static SettingsEdit set(String path, String json) {
         return new SettingsEdit(path, Optional.of(json));
     }
 
-    /** Makes an edit that takes a value away. */
+    /** Creates an edit that removes a value. */
     public static SettingsEdit unset(String path) {
         return new SettingsEdit(path, Optional.empty());
     }
--- a/src/main/java/org/orioleshed/settings/SettingsEvent.java
+++ b/src/main/java/org/orioleshed/settings/SettingsEvent.java
@@ -5,12 +5,12 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
 
-/** What can happen to the settings of a host. */
+/** Events handled by {@link SettingsPropagation}. */
 public sealed interface SettingsEvent {
-    /** Time passed; comes at least every 100 ms. */
+    /** Time has passed; occurs at least every 100 ms. */
     record Tick() implements SettingsEvent {}
 
-    /** The other entry hosts that can be reached. */
+    /** The set of reachable entry hosts, without this one, has changed. */
     record PeersChanged(List<HostId> peers) implements SettingsEvent {
         /** Copies the list. */
         public PeersChanged {
@@ -18,15 +18,15 @@
         }
     }
 
-    /** The store gave its value; empty when it has none. */
-    record StoreSaid(Optional<Payload> value) implements SettingsEvent {}
+    /** The store returned its value; empty if it has none. */
+    record StoreValueReceived(Optional<Payload> value) implements SettingsEvent {}
 
-    /** The store says that the value known is still the latest. */
-    record StoreSaidSame() implements SettingsEvent {}
+    /** The store reported that the value received last is still current. */
+    record StoreValueUnchanged() implements SettingsEvent {}
 
-    /** The store can't be asked. */
-    record StoreAway() implements SettingsEvent {}
+    /** The store is unavailable. */
+    record StoreUnavailable() implements SettingsEvent {}
 
-    /** A message from a peer. */
+    /** A message arrived from a peer. */
     record Received(HostId from, SettingsMessage message) implements SettingsEvent {}
 }
--- a/src/main/java/org/orioleshed/settings/SettingsFetch.java
+++ b/src/main/java/org/orioleshed/settings/SettingsFetch.java
@@ -5,37 +5,40 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.Payload;
 
-/** One exchange in which a host gets a later revision from a peer. */
+/** A transfer of a newer revision from one peer. */
 final class SettingsFetch {
     private final HostId from;
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     private long number;
     private String changeId = "";
-    private long heardNanos;
+    private long lastReceivedNanos;
 
     SettingsFetch(HostId from, long nowNanos) {
         this.from = from;
-        this.heardNanos = nowNanos;
+        this.lastReceivedNanos = nowNanos;
     }
 
     HostId from() {
         return from;
     }
 
-    long heardNanos() {
-        return heardNanos;
+    long lastReceivedNanos() {
+        return lastReceivedNanos;
     }
 
-    /** Returns from which byte on the rest is wanted. */
+    /** Returns the number of bytes received, which is the offset of the next chunk. */
     int offset() {
         return bytes.size();
     }
 
-    /** Takes a piece; returns the whole when this was the last one. */
-    Optional<Payload> take(SettingsMessage.Chunk chunk, long nowNanos) {
-        heardNanos = nowNanos;
-        boolean other = chunk.number() != number || !chunk.changeId().equals(changeId);
-        if (other) {
+    /**
+     * Adds a chunk; returns the complete value after the last one. A chunk of another revision
+     * restarts the transfer.
+     */
+    Optional<Payload> append(SettingsMessage.Chunk chunk, long nowNanos) {
+        lastReceivedNanos = nowNanos;
+        boolean otherRevision = chunk.number() != number || !chunk.changeId().equals(changeId);
+        if (otherRevision) {
             bytes.reset();
             number = chunk.number();
             changeId = chunk.changeId();
@@ -43,7 +46,7 @@
         if (chunk.offset() == bytes.size()) {
             bytes.writeBytes(chunk.piece().toBytes());
         }
-        boolean whole = bytes.size() > 0 && bytes.size() == chunk.totalBytes();
-        return whole ? Optional.of(Payload.of(bytes.toByteArray())) : Optional.empty();
+        boolean complete = bytes.size() > 0 && bytes.size() == chunk.totalBytes();
+        return complete ? Optional.of(Payload.of(bytes.toByteArray())) : Optional.empty();
     }
 }
--- a/src/main/java/org/orioleshed/settings/SettingsMessage.java
+++ b/src/main/java/org/orioleshed/settings/SettingsMessage.java
@@ -3,32 +3,32 @@
 import java.util.List;
 import org.orioleshed.model.Payload;
 
-/** What entry hosts say to each other about the settings. */
+/** Messages between entry hosts that propagate settings. */
 public sealed interface SettingsMessage {
     /**
-     * The revision in force at the sender; zero when it has none.
+     * Announces the sender's active revision.
      *
-     * @param number the revision
-     * @param changeId the change that made it; empty when there is none
-     * @param wantReply whether the sender wants to hear the receiver's
+     * @param number the revision; zero if the sender has none
+     * @param changeId the id of the change that created it; empty if there is none
+     * @param wantReply whether the receiver should reply with its own advert
      */
     record Advert(long number, String changeId, boolean wantReply) implements SettingsMessage {}
 
     /**
-     * Send me what you have in force.
+     * Requests the receiver's active revision.
      *
-     * @param haveNumber the revision in force at the sender; zero when it has none, or wants the
-     *     whole
-     * @param haveChangeId the change that made it
-     * @param offset from which byte of the whole on
+     * @param haveNumber the sender's active revision; zero if it has none or requests the complete
+     *     document
+     * @param haveChangeId the id of the change that created it
+     * @param offset the first byte of the complete document to send
      */
     record Fetch(long haveNumber, String haveChangeId, int offset) implements SettingsMessage {}
 
     /**
-     * The changes that lead to the sender's revision.
+     * The changes from an earlier revision to the sender's.
      *
-     * @param fromNumber the revision that they start from
-     * @param digest a digest of the whole after them
+     * @param fromNumber the revision that the changes apply to
+     * @param digest a digest of the document after the changes
      * @param changes the changes, in order
      */
     record Delta(long fromNumber, long digest, List<SettingsChange> changes)
@@ -40,29 +40,29 @@
     }
 
     /**
-     * A piece of the whole.
+     * A part of the complete document.
      *
      * @param number the revision
-     * @param changeId the change that made it
-     * @param offset where the piece starts
-     * @param totalBytes the length of the whole
-     * @param piece the piece
+     * @param changeId the id of the change that created it
+     * @param offset the position of the first byte of the piece
+     * @param totalBytes the length of the complete document, in bytes
+     * @param piece the bytes
      */
     record Chunk(long number, String changeId, int offset, int totalBytes, Payload piece)
             implements SettingsMessage {}
 
     /**
-     * Which revision is in force at your place?
+     * Requests the receiver's settings status.
      *
-     * @param ticket returned with the answer
+     * @param ticket an identifier that is repeated in the report
      */
-    record StatusAsked(long ticket) implements SettingsMessage {}
+    record StatusRequest(long ticket) implements SettingsMessage {}
 
     /**
-     * The answer to {@link StatusAsked}.
+     * The response to {@link StatusRequest}.
      *
-     * @param ticket as asked
-     * @param status how the sender stands
+     * @param ticket the identifier from the request
+     * @param status the sender's status
      */
-    record StatusTold(long ticket, SettingsStatus status) implements SettingsMessage {}
+    record StatusReport(long ticket, SettingsStatus status) implements SettingsMessage {}
 }
--- a/src/main/java/org/orioleshed/settings/SettingsStatus.java
+++ b/src/main/java/org/orioleshed/settings/SettingsStatus.java
@@ -1,12 +1,13 @@
 package org.orioleshed.settings;
 
 /**
- * How one host stands with the settings.
+ * The settings status of one host.
  *
- * @param number the revision in force; zero when there is none
- * @param changeId the change that made it; empty when there is none
- * @param unconfirmed whether the host could not yet ask the store since its start
- * @param storeAwayMillis for how long the store has been away from this host; zero when it is not
+ * @param number the active revision; zero if there is none
+ * @param changeId the id of the change that created it; empty if there is none
+ * @param unconfirmed whether the store has not answered this host since its start
+ * @param storeUnavailableMillis for how long the store has been unavailable to this host, in
+ *     milliseconds; zero if it is available
  */
 public record SettingsStatus(
-        long number, String changeId, boolean unconfirmed, long storeAwayMillis) {}
+        long number, String changeId, boolean unconfirmed, long storeUnavailableMillis) {}
--- a/src/main/java/org/orioleshed/settings/SettingsTree.java
+++ b/src/main/java/org/orioleshed/settings/SettingsTree.java
@@ -19,14 +19,14 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * The fleet's settings, checked whole, with all inheritance resolved. Immutable.
+ * The validated settings of the fleet, with all inheritance resolved. Immutable.
  *
  * @param tiers the tiers by name
  * @param routes the routes
  * @param servers the backend servers
  * @param workspaces the workspaces
- * @param currentVersions the version of each route that states one
- * @param limits limits of the whole fleet
+ * @param currentVersions the configured version of each route that has one
+ * @param limits limits that apply to the whole fleet
  */
 public record SettingsTree(
         Map<String, Tier> tiers,
@@ -44,12 +44,12 @@
         currentVersions = Map.copyOf(currentVersions);
     }
 
-    /** What came of reading a tree. */
+    /** The result of reading a tree. */
     public sealed interface Result {
-        /** The tree is good. */
+        /** The tree is valid. */
         record Loaded(SettingsTree tree) implements Result {}
 
-        /** The tree is not good: all that is wrong with it. */
+        /** The tree is invalid; lists every problem found. */
         record Problems(List<Problem> problems) implements Result {
             /** Copies the list. */
             public Problems {
@@ -58,44 +58,45 @@
         }
     }
 
-    /** Reads a tree written as JSON with comments, and checks it whole. */
+    /** Parses and validates a tree written as JSON with comments. */
     public static Result parse(String text) {
         List<Problem> problems = new ArrayList<>();
         ObjectNode document = JsonText.parseObject(text, problems);
         return document == null ? new Result.Problems(problems) : of(document);
     }
 
-    /** Checks a document whole and resolves it. */
+    /** Validates and resolves a complete document. */
     static Result of(ObjectNode document) {
         return new TreeBuilder(document).build();
     }
 
     /**
-     * Returns the world that these settings make together with what else a host knows.
+     * Returns the fleet snapshot that combines these settings with the other state of a host.
      *
      * @param revision the revision of these settings
      * @param hosts the membership view
-     * @param leavingMarks for servers that the platform speaks of, whether they are leaving
-     * @param splits the division of traffic for routes with a move under way
-     * @param movedVersions versions that finished moves brought, which go before the settings' own
+     * @param leavingMarks for servers reported by the platform, whether they are leaving
+     * @param splits the traffic split of each route with a rollout in progress
+     * @param rolledOutVersions versions set by completed rollouts, which override the configured
+     *     ones
      */
     public World world(
             long revision,
             Map<HostId, EntryHost> hosts,
             Map<ServerId, Boolean> leavingMarks,
             Map<RouteId, VersionSplit> splits,
-            Map<RouteId, VersionId> movedVersions) {
-        Map<ServerId, BackendServer> marked = servers;
+            Map<RouteId, VersionId> rolledOutVersions) {
+        Map<ServerId, BackendServer> updatedServers = servers;
         for (Map.Entry<ServerId, Boolean> mark : leavingMarks.entrySet()) {
-            BackendServer server = marked.get(mark.getKey());
+            BackendServer server = updatedServers.get(mark.getKey());
             if (server == null || server.leaving() || !mark.getValue()) {
                 continue;
             }
-            marked = marked == servers ? new HashMap<>(servers) : marked;
-            marked.put(mark.getKey(), server.withLeaving(true));
+            updatedServers = updatedServers == servers ? new HashMap<>(servers) : updatedServers;
+            updatedServers.put(mark.getKey(), server.withLeaving(true));
         }
         Map<RouteId, VersionId> versions = new HashMap<>(currentVersions);
-        versions.putAll(movedVersions);
-        return new World(revision, hosts, marked, routes, workspaces, splits, versions);
+        versions.putAll(rolledOutVersions);
+        return new World(revision, hosts, updatedServers, routes, workspaces, splits, versions);
     }
 }
--- a/src/main/java/org/orioleshed/settings/TreeBuilder.java
+++ b/src/main/java/org/orioleshed/settings/TreeBuilder.java
@@ -29,7 +29,7 @@
 import org.orioleshed.settings.FieldType.Group;
 import org.orioleshed.settings.FieldType.TreeOf;
 
-/** Checks one document of the tree and makes its typed form. */
+/** Validates a settings document and converts it to a {@link SettingsTree}. */
 final class TreeBuilder {
     private static final TreeOf SERVERS = (TreeOf) Schema.TREE.field("servers").type();
     private static final TreeOf WORKSPACES = (TreeOf) Schema.TREE.field("workspaces").type();
@@ -40,27 +40,27 @@
 
     private final ObjectNode document;
     private final List<Problem> problems = new ArrayList<>();
-    private final SchemaCheck check = new SchemaCheck(problems);
+    private final SchemaValidator validator = new SchemaValidator(problems);
     private final Map<String, Tier> tiers = new HashMap<>();
-    private final Map<Tier, Long> deadlines = new HashMap<>();
-    private final Map<Object, Object> shared = new HashMap<>();
+    private final Map<Tier, Long> deadlineMillisByTier = new HashMap<>();
+    private final Map<Object, Object> interned = new HashMap<>();
 
     TreeBuilder(ObjectNode document) {
         this.document = Inheritance.withDefaults(Schema.TREE, document);
-        check.check(Schema.TREE, document, "", SchemaCheck.Extent.WHOLE);
+        validator.check(Schema.TREE, document, "", SchemaValidator.Completeness.COMPLETE);
     }
 
-    /** Lets new items share the values that they have in common with items of an earlier tree. */
-    void shareWith(Collection<BackendServer> servers, Collection<Workspace> workspaces) {
+    /** Seeds the interned values with those of an earlier tree, so that new items share them. */
+    void internFrom(Collection<BackendServer> servers, Collection<Workspace> workspaces) {
         for (BackendServer server : servers) {
-            share(server.domain());
-            share(server.target());
-            share(server.version());
-            share(server.generation());
+            intern(server.domain());
+            intern(server.target());
+            intern(server.version());
+            intern(server.generation());
         }
         for (Workspace workspace : workspaces) {
-            share(workspace.tiers());
-            share(workspace.patience());
+            intern(workspace.tiers());
+            intern(workspace.patience());
         }
     }
 
@@ -87,11 +87,15 @@
             JsonNode values = Inheritance.withDefaults(TIER, (ObjectNode) entry.getValue());
             Tier tier = new Tier(entry.getKey(), values.get("rank").intValue());
             tiers.put(tier.name(), tier);
-            deadlines.put(tier, values.get("deadlineMillis").longValue());
-            String other = nameByRank.put(tier.rank(), tier.name());
-            if (other != null) {
-                String path = JsonText.below("/tiers", tier.name()) + "/rank";
-                problems.add(Problem.of(path, tier.rank(), "a rank of its own: as " + other));
+            deadlineMillisByTier.put(tier, values.get("deadlineMillis").longValue());
+            String otherTier = nameByRank.put(tier.rank(), tier.name());
+            if (otherTier != null) {
+                String path = JsonText.childPointer("/tiers", tier.name()) + "/rank";
+                problems.add(
+                        Problem.of(
+                                path,
+                                tier.rank(),
+                                "a unique rank, already used by tier " + otherTier));
             }
         }
     }
@@ -99,7 +103,7 @@
     private Map<RouteId, Route> buildRoutes() {
         Map<RouteId, Route> routes = new HashMap<>();
         for (Map.Entry<String, JsonNode> entry : document.get("routes").properties()) {
-            String path = JsonText.below("/routes", entry.getKey());
+            String path = JsonText.childPointer("/routes", entry.getKey());
             Target target = target(entry.getValue(), path);
             if (target == null) {
                 continue;
@@ -117,7 +121,7 @@
     private Target target(JsonNode values, String path) {
         boolean model = values.hasNonNull("model");
         if (model == values.hasNonNull("service")) {
-            problems.add(Problem.of(path, values, "exactly one of model, service"));
+            problems.add(Problem.of(path, values, "exactly one of model and service"));
             return null;
         }
         return model
@@ -127,37 +131,37 @@
 
     private Map<ServerId, BackendServer> buildServers() {
         Map<ServerId, BackendServer> servers = new HashMap<>();
-        for (Inheritance.Resolved item :
+        for (Inheritance.ResolvedItem item :
                 Inheritance.resolve(SERVERS, document.get("servers"), "/servers", problems)) {
-            int before = problems.size();
-            check.checkNothingMissing(SERVERS.item(), item.values(), item.path());
+            int problemsBefore = problems.size();
+            validator.checkRequiredFields(SERVERS.item(), item.values(), item.path());
             Target target = target(item.values(), item.path());
-            if (problems.size() == before) {
+            if (problems.size() == problemsBefore) {
                 servers.put(new ServerId(item.id()), buildServer(item, target));
             }
         }
         return servers;
     }
 
-    /** Returns the items of all branches with what they inherit; problems are left out. */
-    static List<Inheritance.Resolved> resolvedItems(ObjectNode tree) {
+    /** Returns the items of all branches with their inherited values; problems are ignored. */
+    static List<Inheritance.ResolvedItem> resolvedItems(ObjectNode tree) {
         List<Problem> ignored = new ArrayList<>();
-        List<Inheritance.Resolved> items = new ArrayList<>();
+        List<Inheritance.ResolvedItem> items = new ArrayList<>();
         items.addAll(Inheritance.resolve(SERVERS, tree.path("servers"), "/servers", ignored));
         items.addAll(
                 Inheritance.resolve(WORKSPACES, tree.path("workspaces"), "/workspaces", ignored));
         return items;
     }
 
-    private BackendServer buildServer(Inheritance.Resolved item, Target target) {
+    private BackendServer buildServer(Inheritance.ResolvedItem item, Target target) {
         JsonNode values = item.values();
         return new BackendServer(
                 new ServerId(item.id()),
-                share(new FailureDomain(values.get("domain").textValue())),
+                intern(new FailureDomain(values.get("domain").textValue())),
                 URI.create(values.get("address").textValue()),
-                share(target),
-                share(new VersionId(values.get("version").textValue())),
-                share(values.get("generation").textValue()),
+                intern(target),
+                intern(new VersionId(values.get("version").textValue())),
+                intern(values.get("generation").textValue()),
                 values.get("places").intValue(),
                 values.get("cacheTokens").longValue(),
                 values.get("canResume").booleanValue(),
@@ -167,93 +171,100 @@
 
     private Map<WorkspaceId, Workspace> buildWorkspaces() {
         Map<WorkspaceId, Workspace> workspaces = new HashMap<>();
-        Map<String, String> pathByKey = new HashMap<>();
-        for (Inheritance.Resolved item :
+        Map<String, String> pathByKeyHash = new HashMap<>();
+        for (Inheritance.ResolvedItem item :
                 Inheritance.resolve(
                         WORKSPACES, document.get("workspaces"), "/workspaces", problems)) {
-            int before = problems.size();
-            check.checkNothingMissing(WORKSPACES.item(), item.values(), item.path());
+            int problemsBefore = problems.size();
+            validator.checkRequiredFields(WORKSPACES.item(), item.values(), item.path());
             checkPatience(item);
-            checkKeys(item, pathByKey);
-            Map<Tier, Long> allowed = workspaceTiers(item);
-            Tier defaultTier = defaultTier(item, allowed);
-            if (problems.size() == before) {
+            checkKeyHashes(item, pathByKeyHash);
+            Map<Tier, Long> allowedTiers = workspaceTiers(item);
+            Tier defaultTier = defaultTier(item, allowedTiers);
+            if (problems.size() == problemsBefore) {
                 WorkspaceId id = new WorkspaceId(item.id());
-                workspaces.put(id, buildWorkspace(id, item.values(), allowed, defaultTier));
+                workspaces.put(id, buildWorkspace(id, item.values(), allowedTiers, defaultTier));
             }
         }
         return workspaces;
     }
 
-    private void checkPatience(Inheritance.Resolved item) {
+    private void checkPatience(Inheritance.ResolvedItem item) {
         JsonNode patience = item.values().get("patience");
         if (patience != null) {
-            check.checkNothingMissing(PATIENCE, patience, JsonText.below(item.path(), "patience"));
+            validator.checkRequiredFields(
+                    PATIENCE, patience, JsonText.childPointer(item.path(), "patience"));
         }
     }
 
-    private void checkKeys(Inheritance.Resolved item, Map<String, String> pathByKey) {
+    private void checkKeyHashes(Inheritance.ResolvedItem item, Map<String, String> pathByKeyHash) {
         for (JsonNode hash : item.values().path("keyHashes")) {
-            String other = pathByKey.put(hash.textValue(), item.path());
-            if (other != null) {
-                String path = JsonText.below(item.path(), "keyHashes");
-                problems.add(Problem.of(path, hash, "a key of one workspace only: as " + other));
+            String otherPath = pathByKeyHash.put(hash.textValue(), item.path());
+            if (otherPath != null) {
+                String path = JsonText.childPointer(item.path(), "keyHashes");
+                problems.add(
+                        Problem.of(
+                                path,
+                                hash,
+                                "a key hash of only one workspace, already used by " + otherPath));
             }
         }
     }
 
-    private Map<Tier, Long> workspaceTiers(Inheritance.Resolved item) {
-        Map<Tier, Long> allowed = new HashMap<>(deadlines);
-        String path = JsonText.below(item.path(), "tiers");
+    private Map<Tier, Long> workspaceTiers(Inheritance.ResolvedItem item) {
+        Map<Tier, Long> allowedTiers = new HashMap<>(deadlineMillisByTier);
+        String path = JsonText.childPointer(item.path(), "tiers");
         for (Map.Entry<String, JsonNode> entry : item.values().path("tiers").properties()) {
             Tier tier = tiers.get(entry.getKey());
             if (tier == null) {
-                String below = JsonText.below(path, entry.getKey());
-                problems.add(Problem.unknownName(below, entry.getKey(), known()));
+                String tierPath = JsonText.childPointer(path, entry.getKey());
+                problems.add(Problem.unknownName(tierPath, entry.getKey(), tierNames()));
                 continue;
             }
             if (!entry.getValue().path("allowed").asBoolean(true)) {
-                allowed.remove(tier);
+                allowedTiers.remove(tier);
                 continue;
             }
-            JsonNode deadline = entry.getValue().get("deadlineMillis");
-            if (deadline != null) {
-                allowed.put(tier, deadline.longValue());
+            JsonNode deadlineMillis = entry.getValue().get("deadlineMillis");
+            if (deadlineMillis != null) {
+                allowedTiers.put(tier, deadlineMillis.longValue());
             }
         }
-        return share(Map.copyOf(allowed));
+        return intern(Map.copyOf(allowedTiers));
     }
 
-    private Tier defaultTier(Inheritance.Resolved item, Map<Tier, Long> allowed) {
+    private Tier defaultTier(Inheritance.ResolvedItem item, Map<Tier, Long> allowedTiers) {
         String name = item.values().get("defaultTier").textValue();
         Tier tier = tiers.get(name);
-        if (tier == null || !allowed.containsKey(tier)) {
-            String path = JsonText.below(item.path(), "defaultTier");
-            problems.add(Problem.unknownName(path, name, known()));
+        if (tier == null || !allowedTiers.containsKey(tier)) {
+            String path = JsonText.childPointer(item.path(), "defaultTier");
+            problems.add(Problem.unknownName(path, name, tierNames()));
         }
         return tier;
     }
 
-    private Iterable<String> known() {
+    private Iterable<String> tierNames() {
         return new TreeSet<>(tiers.keySet());
     }
 
     private Workspace buildWorkspace(
-            WorkspaceId id, JsonNode values, Map<Tier, Long> allowed, Tier defaultTier) {
+            WorkspaceId id, JsonNode values, Map<Tier, Long> allowedTiers, Tier defaultTier) {
         List<String> keyHashes = new ArrayList<>();
         values.path("keyHashes").forEach(hash -> keyHashes.add(hash.textValue()));
         return new Workspace(
                 id,
                 keyHashes,
                 values.get("weight").intValue(),
-                allowed,
+                allowedTiers,
                 defaultTier,
                 values.get("maxWaiting").intValue(),
                 values.get("maxOutputTokens").intValue(),
-                share(Optional.ofNullable(values.get("patience")).map(TreeBuilder::window)));
+                intern(
+                        Optional.ofNullable(values.get("patience"))
+                                .map(TreeBuilder::buildPatience)));
     }
 
-    private static PatienceWindow window(JsonNode values) {
+    private static PatienceWindow buildPatience(JsonNode values) {
         return new PatienceWindow(
                 LocalTime.parse(values.get("start").textValue()),
                 LocalTime.parse(values.get("end").textValue()),
@@ -262,12 +273,12 @@
 
     private Map<RouteId, VersionId> buildVersions(Map<RouteId, Route> routes) {
         Map<RouteId, VersionId> versions = new HashMap<>();
-        List<String> known = routes.keySet().stream().map(RouteId::value).sorted().toList();
+        List<String> routeNames = routes.keySet().stream().map(RouteId::value).sorted().toList();
         for (Map.Entry<String, JsonNode> entry : document.get("currentVersions").properties()) {
             RouteId route = new RouteId(entry.getKey());
             if (!routes.containsKey(route)) {
-                String path = JsonText.below("/currentVersions", entry.getKey());
-                problems.add(Problem.unknownName(path, entry.getKey(), known));
+                String path = JsonText.childPointer("/currentVersions", entry.getKey());
+                problems.add(Problem.unknownName(path, entry.getKey(), routeNames));
                 continue;
             }
             versions.put(route, new VersionId(entry.getValue().textValue()));
@@ -278,9 +289,9 @@
     private Limits buildLimits() {
         JsonNode limits = Inheritance.withDefaults(LIMITS, (ObjectNode) document.get("limits"));
         List<Double> shares = new ArrayList<>();
-        limits.get("moveShares").forEach(share -> shares.add(share.doubleValue()));
+        limits.get("moveShares").forEach(value -> shares.add(value.doubleValue()));
         if (shares.isEmpty() || !Ordering.natural().isStrictlyOrdered(shares)) {
-            String allowed = "at least one share, each greater than the one before";
+            String allowed = "at least one share, in strictly increasing order";
             problems.add(Problem.of("/limits/moveShares", shares, allowed));
         }
         return new Limits(
@@ -290,9 +301,9 @@
                 limits.get("versionLoadsAtOnce").intValue());
     }
 
-    /** Returns an equal value met before, so that thousands of items share it. */
-    @SuppressWarnings("unchecked") // equal keys are of the same class
-    private <T> T share(T value) {
-        return (T) shared.computeIfAbsent(value, same -> same);
+    /** Returns the canonical instance of an equal value, so that thousands of items share it. */
+    @SuppressWarnings("unchecked") // equal keys have the same class
+    private <T> T intern(T value) {
+        return (T) interned.computeIfAbsent(value, key -> key);
     }
 }
--- a/src/main/java/org/orioleshed/settings/TreeEdits.java
+++ b/src/main/java/org/orioleshed/settings/TreeEdits.java
@@ -9,16 +9,16 @@
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
 
-/** Applies edits to a tree's document. */
+/** Applies edits to a settings tree in JSON form. */
 final class TreeEdits {
     private TreeEdits() {}
 
     /**
-     * Returns {@code tree} with all edits applied, or reports those that can't be. The argument is
-     * not changed; what no edit touches is shared with it.
+     * Returns {@code tree} with all edits applied, and reports those that cannot be applied. The
+     * argument is not modified; the result shares its unedited parts.
      */
-    static ObjectNode applied(ObjectNode tree, List<SettingsEdit> edits, List<Problem> problems) {
-        ObjectNode edited = JsonText.copy(tree);
+    static ObjectNode applyAll(ObjectNode tree, List<SettingsEdit> edits, List<Problem> problems) {
+        ObjectNode edited = JsonText.shallowCopy(tree);
         for (SettingsEdit edit : edits) {
             apply(edited, edit, problems);
         }
@@ -26,16 +26,17 @@
     }
 
     private static void apply(ObjectNode tree, SettingsEdit edit, List<Problem> problems) {
-        List<String> names = names(edit.path());
-        if (names.isEmpty()) {
-            problems.add(Problem.of(edit.path(), "", "the path of a setting, such as /limits"));
+        List<String> tokens = pointerTokens(edit.path());
+        if (tokens.isEmpty()) {
+            problems.add(
+                    Problem.of(edit.path(), "", "a JSON pointer to a setting, such as /limits"));
             return;
         }
-        ObjectNode parent = parent(tree, names, edit, problems);
+        ObjectNode parent = parent(tree, tokens, edit, problems);
         if (parent == null) {
             return;
         }
-        String last = names.getLast();
+        String last = tokens.getLast();
         if (edit.json().isEmpty()) {
             if (parent.remove(last) == null) {
                 problems.add(missing(edit.path(), last, parent));
@@ -46,27 +47,27 @@
             JsonNode value = JsonText.parseValue(edit.json().get());
             parent.set(last, value);
         } catch (JsonProcessingException e) {
-            String allowed = "a value as JSON: " + e.getOriginalMessage();
+            String allowed = "a valid JSON value: " + e.getOriginalMessage();
             problems.add(Problem.of(edit.path(), edit.json().get(), allowed));
         }
     }
 
-    /** Returns the object that holds the edited value, with a copy of each object on the way. */
+    /** Returns the parent object of the edited value, after copying each object on the path. */
     private static ObjectNode parent(
-            ObjectNode tree, List<String> names, SettingsEdit edit, List<Problem> problems) {
+            ObjectNode tree, List<String> tokens, SettingsEdit edit, List<Problem> problems) {
         ObjectNode node = tree;
-        for (String name : names.subList(0, names.size() - 1)) {
-            JsonNode below = node.get(name);
-            if (below == null && edit.json().isPresent()) {
-                below = node.putObject(name);
+        for (String token : tokens.subList(0, tokens.size() - 1)) {
+            JsonNode child = node.get(token);
+            if (child == null && edit.json().isPresent()) {
+                child = node.putObject(token);
             }
-            if (!(below instanceof ObjectNode object)) {
-                problems.add(missing(edit.path(), name, node));
+            if (!(child instanceof ObjectNode object)) {
+                problems.add(missing(edit.path(), token, node));
                 return null;
             }
-            ObjectNode own = JsonText.copy(object);
-            node.set(name, own);
-            node = own;
+            ObjectNode copy = JsonText.shallowCopy(object);
+            node.set(token, copy);
+            node = copy;
         }
         return node;
     }
@@ -78,14 +79,14 @@
         return Problem.unknownName(path, name, known);
     }
 
-    /** Returns the names in a JSON pointer; a leading slash may be left out. */
-    static List<String> names(String path) {
-        String bare = path.startsWith("/") ? path.substring(1) : path;
-        if (bare.isEmpty()) {
+    /** Returns the unescaped reference tokens of a JSON pointer; the leading slash is optional. */
+    static List<String> pointerTokens(String path) {
+        String relative = path.startsWith("/") ? path.substring(1) : path;
+        if (relative.isEmpty()) {
             return List.of();
         }
-        return Arrays.stream(bare.split("/", -1))
-                .map(name -> name.replace("~1", "/").replace("~0", "~"))
+        return Arrays.stream(relative.split("/", -1))
+                .map(token -> token.replace("~1", "/").replace("~0", "~"))
                 .toList();
     }
 }
--- a/src/main/java/org/orioleshed/settings/package-info.java
+++ b/src/main/java/org/orioleshed/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry host's own file and the fleet's tree of settings: schema, checks, inheritance, changes,
- * and how a change reaches every host.
+ * The configuration file of an entry host and the settings tree of the fleet: schema, validation,
+ * inheritance, changes, and the propagation of changes to all entry hosts.
  */
 package org.orioleshed.settings;
--- a/src/test/java/org/orioleshed/control/ControlCoreTest.java
+++ b/src/test/java/org/orioleshed/control/ControlCoreTest.java
@@ -125,7 +125,7 @@
         CompletableFuture<ProposalResult> answer = fleet.propose(0, "c2", Optional.empty());
         CompletableFuture<ControlStatus> status = fleet.status(2);
         fleet.runMillis(1_500);
-        assertEquals(answer.join().getClass(), ProposalResult.StoreAway.class);
+        assertEquals(answer.join().getClass(), ProposalResult.StoreUnavailable.class);
         assertTrue(status.join().own().unconfirmed());
         fleet.store.setAway(false);
         fleet.runMillis(15_000);
--- a/src/test/java/org/orioleshed/control/ControlCostMain.java
+++ b/src/test/java/org/orioleshed/control/ControlCostMain.java
@@ -83,7 +83,7 @@
         double[] resolveMillis = new double[ROUNDS];
         double[] changeMillis = new double[ROUNDS];
         long emptyBytes = usedBytes();
-        Object[] kept = LargeTree.kept(text);
+        Object[] kept = LargeTree.hostState(text);
         long keptBytes = usedBytes() - emptyBytes;
         for (int i = 0; i < ROUNDS; i++) {
             long start = System.nanoTime();
--- a/src/test/java/org/orioleshed/settings/EntrySettingsTest.java
+++ b/src/test/java/org/orioleshed/settings/EntrySettingsTest.java
@@ -13,7 +13,7 @@
 
 /** Tests of {@link EntrySettings}. */
 public class EntrySettingsTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"host": {"id": "suva-a-e1", "domain": "suva-a"}, /* comment */
              "addresses": {"caller": "127.0.0.1:8001", "peer": "127.0.0.1:8101"},
@@ -24,13 +24,13 @@
             """
                     .formatted("0".repeat(64));
 
-    private static EntrySettings.Result.Problems bad(String text) {
+    private static EntrySettings.Result.Problems problemsOf(String text) {
         return (EntrySettings.Result.Problems) EntrySettings.parse(text);
     }
 
     @Test
-    public void readsAFileWithCommentsAndFillsInDefaults() {
-        var loaded = (EntrySettings.Result.Loaded) EntrySettings.parse(GOOD);
+    public void parsesCommentsAndAppliesDefaults() {
+        var loaded = (EntrySettings.Result.Loaded) EntrySettings.parse(VALID);
         EntrySettings settings = loaded.settings();
         assertEquals(settings.domain(), new FailureDomain("suva-a"));
         assertEquals(settings.callerAddress().getPort(), 8001);
@@ -43,7 +43,7 @@
     }
 
     @DataProvider
-    Object[][] badFiles() {
+    Object[][] invalidFiles() {
         return new Object[][] {
             {"\"addresses\": {", "\"adresses\": {", List.of("/adresses", "/addresses")},
             {"127.0.0.1:8001", "localhost:8001", List.of("/addresses/caller")},
@@ -56,21 +56,21 @@
         };
     }
 
-    @Test(dataProvider = "badFiles")
-    public void namesEachPathThatIsWrong(String from, String to, List<String> paths) {
-        List<Problem> problems = bad(GOOD.replace(from, to)).problems();
+    @Test(dataProvider = "invalidFiles")
+    public void reportsPathOfEachProblem(String from, String to, List<String> paths) {
+        List<Problem> problems = problemsOf(VALID.replace(from, to)).problems();
         assertEquals(problems.stream().map(Problem::path).toList(), paths);
     }
 
     @Test
-    public void offersTheNearestKnownName() {
-        List<Problem> problems = bad(GOOD.replace("\"naive\"", "\"naiv\"")).problems();
+    public void suggestsNearestKnownName() {
+        List<Problem> problems = problemsOf(VALID.replace("\"naive\"", "\"naiv\"")).problems();
         assertEquals(problems.get(0).nearest(), Optional.of("naive"));
         assertTrue(problems.get(0).toString().contains("did you mean naive?"));
     }
 
     @Test
-    public void aFileThatIsNotThereIsAProblemNotAnException() {
+    public void reportsMissingFileAsProblem() {
         var result = EntrySettings.load(Path.of("no-such-file.json"));
         assertEquals(((EntrySettings.Result.Problems) result).problems().size(), 1);
     }
--- a/src/test/java/org/orioleshed/settings/InheritanceProperties.java
+++ b/src/test/java/org/orioleshed/settings/InheritanceProperties.java
@@ -13,35 +13,39 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.orioleshed.settings.FieldType.Group;
+import org.orioleshed.settings.FieldType.IntegerRange;
 import org.orioleshed.settings.FieldType.TreeOf;
-import org.orioleshed.settings.FieldType.Whole;
 
-/** Inheritance agrees with a resolver that walks the tree for each value. */
+/**
+ * Guards against items that resolve to other values than a lookup that searches the tree for each
+ * value.
+ */
 class InheritanceProperties {
     private static final List<String> FIELDS = List.of("a", "b", "c");
     private static final int MAX_DEPTH = 4;
     private static final TreeOf TYPE = new TreeOf("item", group());
 
-    private int items;
+    private int itemCount;
 
     private static Group group() {
         List<Field> fields = new ArrayList<>();
-        FIELDS.forEach(name -> fields.add(Field.optional(name, new Whole(0, 9), "A number.")));
+        FIELDS.forEach(
+                name -> fields.add(Field.optional(name, new IntegerRange(0, 9), "A number.")));
         return new Group(fields);
     }
 
     @Property(seed = "1", tries = 500)
-    void resolvedItemsHoldWhatALookUpFinds(@ForAll long seed) {
-        items = 0;
+    void resolvedItemsMatchNaiveLookup(@ForAll long seed) {
+        itemCount = 0;
         ObjectNode tree = tree(new Random(seed), 0);
         List<Problem> problems = new ArrayList<>();
-        List<Inheritance.Resolved> resolved = Inheritance.resolve(TYPE, tree, "", problems);
+        List<Inheritance.ResolvedItem> resolved = Inheritance.resolve(TYPE, tree, "", problems);
         assertTrue(problems.isEmpty());
-        assertEquals(resolved.size(), items);
-        for (Inheritance.Resolved item : resolved) {
+        assertEquals(resolved.size(), itemCount);
+        for (Inheritance.ResolvedItem item : resolved) {
             for (String field : FIELDS) {
                 Optional<JsonNode> found = Optional.ofNullable(item.values().get(field));
-                assertEquals(found, NaiveResolver.lookUp(tree, item.id(), field), tree.toString());
+                assertEquals(found, NaiveResolver.lookup(tree, item.id(), field), tree.toString());
             }
         }
     }
@@ -49,9 +53,9 @@
     private ObjectNode tree(Random random, int depth) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.set("defaults", values(random));
-        ObjectNode own = node.putObject("items");
+        ObjectNode items = node.putObject("items");
         for (int i = random.nextInt(3); i > 0; i--) {
-            own.set("item-" + items++, values(random));
+            items.set("item-" + itemCount++, values(random));
         }
         ObjectNode branches = node.putObject("branches");
         for (int i = depth < MAX_DEPTH ? random.nextInt(3) : 0; i > 0; i--) {
--- a/src/test/java/org/orioleshed/settings/LargeTree.java
+++ b/src/test/java/org/orioleshed/settings/LargeTree.java
@@ -2,14 +2,16 @@
 
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.orioleshed.model.Payload;
 
-/** A tree of many workspaces and servers, for measurements. */
+/** Generates large settings trees and applies changes to them, for measurements. */
 public final class LargeTree {
     private static final int BRANCHES = 20;
 
     private LargeTree() {}
 
-    /** Returns a tree with so many workspaces and backend servers. */
+    /** Returns a tree with the given numbers of workspaces and backend servers. */
     public static String text(int workspaces, int servers) {
         StringBuilder text = new StringBuilder();
         text.append("{\"routes\":{\"letters\":{\"model\":\"letters\"}},");
@@ -44,37 +46,40 @@
         }
     }
 
-    /** Returns the size of the tree as the store holds it, in bytes. */
+    /** Returns the compressed size of the tree, in bytes. */
     public static int packedBytes(String text) {
-        return PackedText.pack(text).size();
+        return CompressedText.compress(text).size();
     }
 
-    /** Checks and resolves a tree. */
+    /** Parses, validates and resolves a tree. */
     public static SettingsTree resolve(String text) {
         return ((SettingsTree.Result.Loaded) SettingsTree.parse(text)).tree();
     }
 
-    /** Returns what a host keeps of a tree once it is in force. */
-    public static Object[] kept(String text) {
+    /**
+     * Returns the state that a host retains for an active tree: its {@link ActiveSettings} and its
+     * {@link SettingsTree}.
+     */
+    public static Object[] hostState(String text) {
         SettingsDocument document = document(text);
         SettingsTree tree = ((SettingsTree.Result.Loaded) document.check()).tree();
-        return new Object[] {SettingsInForce.of(document), tree};
+        return new Object[] {ActiveSettings.of(document), tree};
     }
 
-    /** Applies one change to a tree as a host does that gets it from a peer. */
-    public static Object[] change(Object[] kept, int number) {
-        return change(kept, number, false);
+    /** Applies one change like a host that receives it from a peer; returns the new state. */
+    public static Object[] change(Object[] state, int number) {
+        return change(state, number, false);
     }
 
-    /** Applies one change to a tree, and resolves the tree whole. */
-    public static Object[] changeAndResolveWhole(Object[] kept, int number) {
-        return change(kept, number, true);
+    /** Applies one change and resolves the complete tree; returns the new state. */
+    public static Object[] changeAndResolveCompletely(Object[] state, int number) {
+        return change(state, number, true);
     }
 
-    private static Object[] change(Object[] kept, int number, boolean whole) {
-        SettingsInForce before = (SettingsInForce) kept[0];
+    private static Object[] change(Object[] state, int number, boolean complete) {
+        ActiveSettings before = (ActiveSettings) state[0];
         SettingsDocument document =
-                ((SettingsDocument.Result.Read) SettingsDocument.decode(before.packed()))
+                ((SettingsDocument.Result.Read) SettingsDocument.decode(before.compressed()))
                         .document();
         SettingsChange change =
                 new SettingsChange(
@@ -83,27 +88,27 @@
                         "litia",
                         "measurement",
                         0,
-                        java.util.List.of(
+                        List.of(
                                 SettingsEdit.set(
                                         "/workspaces/branches/branch-1/items/workspace-1/weight",
                                         Integer.toString(number + 1))));
         SettingsDocument next = ((SettingsDocument.Result.Read) document.with(change)).document();
         SettingsTree.Result result =
-                whole ? next.check() : next.checkAfter(document, (SettingsTree) kept[1]);
+                complete ? next.check() : next.checkAfter(document, (SettingsTree) state[1]);
         SettingsTree tree = ((SettingsTree.Result.Loaded) result).tree();
-        return new Object[] {SettingsInForce.of(next), tree};
+        return new Object[] {ActiveSettings.of(next), tree};
     }
 
     /**
-     * Returns how long it takes to check and resolve a changed tree, in nanoseconds.
+     * Returns the time to validate and resolve a changed tree, in nanoseconds.
      *
-     * @param path what is changed
-     * @param json the value that it is changed to
-     * @param how whether the changed tree is resolved whole, by what changed in a document that
-     *     shares the rest, or by what changed in a document read anew
+     * @param state the state before the change
+     * @param path the changed setting, as a JSON pointer
+     * @param json the new value, as JSON
+     * @param mode how the changed tree is resolved
      */
-    public static long resolveNanos(Object[] kept, String path, String json, How how) {
-        SettingsDocument before = read(((SettingsInForce) kept[0]).packed());
+    public static long resolveNanos(Object[] state, String path, String json, Mode mode) {
+        SettingsDocument before = decode(((ActiveSettings) state[0]).compressed());
         SettingsChange change =
                 new SettingsChange(
                         before.number() + 1,
@@ -111,36 +116,37 @@
                         "litia",
                         "measurement",
                         0,
-                        java.util.List.of(SettingsEdit.set(path, json)));
+                        List.of(SettingsEdit.set(path, json)));
         SettingsDocument changed = ((SettingsDocument.Result.Read) before.with(change)).document();
-        SettingsDocument after = how == How.READ_ANEW ? read(changed.encode()) : changed;
+        SettingsDocument after = mode == Mode.PARSED_AGAIN ? decode(changed.encode()) : changed;
         long start = System.nanoTime();
         SettingsTree.Result result =
-                how == How.WHOLE ? after.check() : after.checkAfter(before, (SettingsTree) kept[1]);
+                mode == Mode.COMPLETE
+                        ? after.check()
+                        : after.checkAfter(before, (SettingsTree) state[1]);
         long nanos = System.nanoTime() - start;
         if (!(result instanceof SettingsTree.Result.Loaded)) {
-            throw new IllegalStateException("" + result);
+            throw new IllegalStateException("changed tree is invalid: " + result);
         }
         return nanos;
     }
 
-    /** How a changed tree is resolved. */
-    public enum How {
-        /** All of it. */
-        WHOLE,
-        /** What differs, most of the rest being the same objects. */
+    /** The ways to resolve a changed tree. */
+    public enum Mode {
+        /** Completely. */
+        COMPLETE,
+        /** Incrementally; the unchanged parts of the document are mostly the same objects. */
         SHARED,
-        /** What differs, nothing being the same objects. */
-        READ_ANEW
+        /** Incrementally; the document was parsed again and shares no objects. */
+        PARSED_AGAIN
     }
 
-    private static SettingsDocument read(org.orioleshed.model.Payload value) {
+    private static SettingsDocument decode(Payload value) {
         return ((SettingsDocument.Result.Read) SettingsDocument.decode(value)).document();
     }
 
     private static SettingsDocument document(String text) {
-        return ((SettingsDocument.Result.Read)
-                        SettingsDocument.decode(org.orioleshed.model.Payload.of(text)))
+        return ((SettingsDocument.Result.Read) SettingsDocument.decode(Payload.of(text)))
                 .document();
     }
 }
--- a/src/test/java/org/orioleshed/settings/ProposalProperties.java
+++ b/src/test/java/org/orioleshed/settings/ProposalProperties.java
@@ -15,7 +15,10 @@
 import org.orioleshed.store.MemoryStore;
 import org.orioleshed.store.Store;
 
-/** Operators race, answers get lost, writes land late: no change is lost or made twice. */
+/**
+ * Guards against changes that are lost or applied twice when operators propose concurrently, store
+ * results are lost and writes are delayed.
+ */
 class ProposalProperties {
     private static final String KEY = "orioleshed/settings/tree";
     private static final long STEP_NANOS = 50_000_000;
@@ -23,7 +26,7 @@
     private static final int PROPOSALS = 6;
     private static final int MAX_STEPS = 600;
 
-    /** A call on its way to the store. */
+    /** A call in transit to the store. */
     private record Call(int proposal, ProposalAction action) {}
 
     private final MemoryStore store = new MemoryStore();
@@ -31,7 +34,7 @@
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
 
     @Property(seed = "1", tries = 200)
-    void aChangeIsMadeOnceIfAcceptedAndNotAtAllIfTurnedDown(@ForAll long seed) {
+    void acceptedChangeIsAppliedOnceAndRejectedChangeNever(@ForAll long seed) {
         Random random = new Random(seed);
         store.put(KEY, "{}");
         settled.clear();
@@ -41,7 +44,7 @@
             proposals.add(proposal(i, random));
         }
         for (int step = 0; step < MAX_STEPS && settled.size() < PROPOSALS; step++) {
-            run(proposals, random, step * STEP_NANOS);
+            step(proposals, random, step * STEP_NANOS);
         }
         assertEquals(settled.size(), PROPOSALS);
         checkHistory();
@@ -59,9 +62,9 @@
         return new Proposal(change, 1, 0, DEADLINE_NANOS);
     }
 
-    private void run(List<Proposal> proposals, Random random, long nowNanos) {
+    private void step(List<Proposal> proposals, Random random, long nowNanos) {
         for (int i = 0; i < proposals.size(); i++) {
-            act(i, proposals.get(i).on(nowNanos, new ProposalEvent.Tick()));
+            handle(i, proposals.get(i).on(nowNanos, new ProposalEvent.Tick()));
         }
         for (int waiting = calls.size(); waiting > 0; waiting--) {
             Call call = calls.poll();
@@ -69,8 +72,8 @@
                 calls.add(call);
                 continue;
             }
-            Store.Result result = make(call, random);
-            act(
+            Store.Result result = execute(call, random);
+            handle(
                     call.proposal(),
                     proposals
                             .get(call.proposal())
@@ -78,7 +81,7 @@
         }
     }
 
-    private void act(int proposal, List<ProposalAction> actions) {
+    private void handle(int proposal, List<ProposalAction> actions) {
         for (ProposalAction action : actions) {
             if (action instanceof ProposalAction.Settled done) {
                 assertTrue(settled.put(proposal, done.result()) == null);
@@ -88,11 +91,11 @@
         }
     }
 
-    /** Makes the call, or loses it on the way, or loses its answer. */
-    private Store.Result make(Call call, Random random) {
+    /** Executes the call, drops it, or drops its result. */
+    private Store.Result execute(Call call, Random random) {
         int fault = random.nextInt(6);
         if (fault == 0) {
-            return new Store.Result.Unknown("lost on the way");
+            return new Store.Result.Unknown("call lost");
         }
         Store.Result result =
                 switch (call.action()) {
@@ -101,7 +104,7 @@
                             store.swap(KEY, swap.expectedRevision(), swap.value(), 0, 1).join();
                     case ProposalAction.Settled done -> throw new AssertionError(done);
                 };
-        return fault == 1 ? new Store.Result.Unknown("answer lost") : result;
+        return fault == 1 ? new Store.Result.Unknown("result lost") : result;
     }
 
     private void checkHistory() {
@@ -112,16 +115,16 @@
                         .document();
         List<String> ids = document.changes().stream().map(SettingsChange::id).toList();
         assertEquals(ids.stream().distinct().count(), ids.size(), ids.toString());
-        for (Map.Entry<Integer, ProposalResult> each : settled.entrySet()) {
-            boolean made = ids.contains("change-" + each.getKey());
-            switch (each.getValue()) {
+        for (Map.Entry<Integer, ProposalResult> entry : settled.entrySet()) {
+            boolean applied = ids.contains("change-" + entry.getKey());
+            switch (entry.getValue()) {
                 case ProposalResult.Accepted accepted -> {
-                    assertTrue(made);
-                    long number = document.numberOf("change-" + each.getKey()).orElseThrow();
+                    assertTrue(applied);
+                    long number = document.numberOf("change-" + entry.getKey()).orElseThrow();
                     assertEquals(accepted.number(), number);
                 }
                 case ProposalResult.InDoubt inDoubt -> {}
-                default -> assertTrue(!made, each.toString());
+                default -> assertTrue(!applied, entry.toString());
             }
         }
     }
--- a/src/test/java/org/orioleshed/settings/SampleTree.java
+++ b/src/test/java/org/orioleshed/settings/SampleTree.java
@@ -1,8 +1,8 @@
 package org.orioleshed.settings;
 
-/** Documents that several tests use. */
+/** A settings document shared by several tests. */
 final class SampleTree {
-    /** A whole tree with comments and inheritance over two levels. */
+    /** A complete tree with comments and inheritance over two levels. */
     static final String TEXT =
             """
             {
--- a/src/test/java/org/orioleshed/settings/SettingsCodecProperties.java
+++ b/src/test/java/org/orioleshed/settings/SettingsCodecProperties.java
@@ -37,17 +37,17 @@
                                 (n, id, offset, total, piece) ->
                                         new SettingsMessage.Chunk(
                                                 n, id, offset, total, Payload.of(piece))),
-                number.map(SettingsMessage.StatusAsked::new));
+                number.map(SettingsMessage.StatusRequest::new));
     }
 
     @Property(seed = "1")
-    void aMessageComesBackAsItWas(@ForAll("messages") SettingsMessage message)
+    void decodesEncodedMessage(@ForAll("messages") SettingsMessage message)
             throws BadMessageException {
         assertEquals(codec.decode(codec.encode(message)), message);
     }
 
     @Property(seed = "2")
-    void anyBytesGiveAMessageOrATypedError(@ForAll byte[] bytes) {
+    void arbitraryBytesDecodeOrThrowBadMessage(@ForAll byte[] bytes) {
         try {
             codec.decode(bytes);
         } catch (BadMessageException e) {
@@ -56,13 +56,13 @@
     }
 
     @Property(seed = "3")
-    void damagedMessagesGiveAMessageOrATypedError(
+    void corruptMessagesDecodeOrThrowBadMessage(
             @ForAll("messages") SettingsMessage message,
             @ForAll List<@net.jqwik.api.constraints.IntRange(max = 255) Integer> noise) {
         byte[] bytes = codec.encode(message);
         for (int i = 0; i < noise.size() && bytes.length > 0; i++) {
             bytes[Math.floorMod(noise.get(i) * 31 + i, bytes.length)] ^= noise.get(i).byteValue();
         }
-        anyBytesGiveAMessageOrATypedError(bytes);
+        arbitraryBytesDecodeOrThrowBadMessage(bytes);
     }
 }
--- a/src/test/java/org/orioleshed/settings/SettingsCostMain.java
+++ b/src/test/java/org/orioleshed/settings/SettingsCostMain.java
@@ -3,30 +3,31 @@
 import java.util.Arrays;
 
 /**
- * Prints what one change of the settings costs a host at several sizes of the tree, resolved whole
- * and resolved by what changed, with the slope for each workspace.
+ * Prints the time that a host needs for one settings change at several tree sizes, resolved
+ * completely and incrementally, and the added time per workspace.
  */
 final class SettingsCostMain {
-    private static final int[] WORKSPACES = {100, 1_800, 3_550, 7_100};
-    private static final int SERVERS = 1_000;
+    private static final int[] WORKSPACE_COUNTS = {100, 1_800, 3_550, 7_100};
+    private static final int SERVER_COUNT = 1_000;
     private static final int WARM_UP_ROUNDS = 40;
     private static final int ROUNDS = 41;
-    private static final String ITEM = "/workspaces/branches/branch-1/items/workspace-1/weight";
-    private static final String BRANCH = "/workspaces/branches/branch-1/defaults/weight";
-    private static final String ALL = "/workspaces/defaults/maxWaiting";
+    private static final String ITEM_SETTING =
+            "/workspaces/branches/branch-1/items/workspace-1/weight";
+    private static final String BRANCH_SETTING = "/workspaces/branches/branch-1/defaults/weight";
+    private static final String ROOT_SETTING = "/workspaces/defaults/maxWaiting";
 
     private SettingsCostMain() {}
 
     /** Runs all measurements. */
     public static void main(String[] args) {
-        double[][] medians = new double[WORKSPACES.length][];
-        measure(WORKSPACES[WORKSPACES.length - 1], WARM_UP_ROUNDS);
-        for (int i = 0; i < WORKSPACES.length; i++) {
-            medians[i] = measure(WORKSPACES[i], ROUNDS);
+        double[][] medians = new double[WORKSPACE_COUNTS.length][];
+        measure(WORKSPACE_COUNTS[WORKSPACE_COUNTS.length - 1], WARM_UP_ROUNDS);
+        for (int i = 0; i < WORKSPACE_COUNTS.length; i++) {
+            medians[i] = measure(WORKSPACE_COUNTS[i], ROUNDS);
             System.out.printf(
-                    "workspaces=%d whole=%.2f item=%.3f itemReadAnew=%.3f branch=%.3f all=%.2f"
-                            + " applyWhole=%.2f apply=%.2f (ms, medians of %d)%n",
-                    WORKSPACES[i],
+                    "workspaces=%d complete=%.2f item=%.3f itemParsedAgain=%.3f branch=%.3f"
+                            + " root=%.2f applyComplete=%.2f apply=%.2f (ms, medians of %d)%n",
+                    WORKSPACE_COUNTS[i],
                     medians[i][0],
                     medians[i][1],
                     medians[i][2],
@@ -36,45 +37,46 @@
                     medians[i][6],
                     ROUNDS);
         }
-        double[] first = medians[0];
-        double[] last = medians[medians.length - 1];
-        double more = WORKSPACES[WORKSPACES.length - 1] - WORKSPACES[0];
+        double[] smallest = medians[0];
+        double[] largest = medians[medians.length - 1];
+        double addedWorkspaces =
+                WORKSPACE_COUNTS[WORKSPACE_COUNTS.length - 1] - WORKSPACE_COUNTS[0];
         System.out.printf(
-                "slope, microseconds a workspace: whole=%.3f item=%.4f itemReadAnew=%.4f"
-                        + " branch=%.4f all=%.3f applyWhole=%.3f apply=%.3f%n",
-                1_000 * (last[0] - first[0]) / more,
-                1_000 * (last[1] - first[1]) / more,
-                1_000 * (last[2] - first[2]) / more,
-                1_000 * (last[3] - first[3]) / more,
-                1_000 * (last[4] - first[4]) / more,
-                1_000 * (last[5] - first[5]) / more,
-                1_000 * (last[6] - first[6]) / more);
+                "slope, microseconds per workspace: complete=%.3f item=%.4f itemParsedAgain=%.4f"
+                        + " branch=%.4f root=%.3f applyComplete=%.3f apply=%.3f%n",
+                1_000 * (largest[0] - smallest[0]) / addedWorkspaces,
+                1_000 * (largest[1] - smallest[1]) / addedWorkspaces,
+                1_000 * (largest[2] - smallest[2]) / addedWorkspaces,
+                1_000 * (largest[3] - smallest[3]) / addedWorkspaces,
+                1_000 * (largest[4] - smallest[4]) / addedWorkspaces,
+                1_000 * (largest[5] - smallest[5]) / addedWorkspaces,
+                1_000 * (largest[6] - smallest[6]) / addedWorkspaces);
     }
 
     private static double[] measure(int workspaces, int rounds) {
         double[][] millis = new double[7][rounds];
-        Object[] kept = LargeTree.kept(LargeTree.text(workspaces, SERVERS));
-        Object[] keptWhole = kept;
-        Object[] keptChanged = kept;
+        Object[] state = LargeTree.hostState(LargeTree.text(workspaces, SERVER_COUNT));
+        Object[] completeState = state;
+        Object[] incrementalState = state;
         for (int i = 0; i < rounds; i++) {
             String value = Integer.toString(i + 100);
-            millis[0][i] = resolve(kept, ITEM, value, LargeTree.How.WHOLE);
-            millis[1][i] = resolve(kept, ITEM, value, LargeTree.How.SHARED);
-            millis[2][i] = resolve(kept, ITEM, value, LargeTree.How.READ_ANEW);
-            millis[3][i] = resolve(kept, BRANCH, value, LargeTree.How.SHARED);
-            millis[4][i] = resolve(kept, ALL, value, LargeTree.How.SHARED);
+            millis[0][i] = resolve(state, ITEM_SETTING, value, LargeTree.Mode.COMPLETE);
+            millis[1][i] = resolve(state, ITEM_SETTING, value, LargeTree.Mode.SHARED);
+            millis[2][i] = resolve(state, ITEM_SETTING, value, LargeTree.Mode.PARSED_AGAIN);
+            millis[3][i] = resolve(state, BRANCH_SETTING, value, LargeTree.Mode.SHARED);
+            millis[4][i] = resolve(state, ROOT_SETTING, value, LargeTree.Mode.SHARED);
             long start = System.nanoTime();
-            keptWhole = LargeTree.changeAndResolveWhole(keptWhole, i);
+            completeState = LargeTree.changeAndResolveCompletely(completeState, i);
             long middle = System.nanoTime();
-            keptChanged = LargeTree.change(keptChanged, i);
+            incrementalState = LargeTree.change(incrementalState, i);
             millis[5][i] = (middle - start) / 1e6;
             millis[6][i] = (System.nanoTime() - middle) / 1e6;
         }
         return Arrays.stream(millis).mapToDouble(SettingsCostMain::median).toArray();
     }
 
-    private static double resolve(Object[] kept, String path, String json, LargeTree.How how) {
-        return LargeTree.resolveNanos(kept, path, json, how) / 1e6;
+    private static double resolve(Object[] state, String path, String json, LargeTree.Mode mode) {
+        return LargeTree.resolveNanos(state, path, json, mode) / 1e6;
     }
 
     private static double median(double[] values) {
--- a/src/test/java/org/orioleshed/settings/SettingsDocsTest.java
+++ b/src/test/java/org/orioleshed/settings/SettingsDocsTest.java
@@ -11,12 +11,12 @@
 /** Tests of {@link SettingsDocs}. */
 public class SettingsDocsTest {
     @Test
-    public void theCommittedPageIsWhatTheSchemaSays() throws IOException {
+    public void committedPageMatchesSchema() throws IOException {
         assertEquals(Files.readString(Path.of("docs/SETTINGS.md")), SettingsDocs.page());
     }
 
     @Test
-    public void helpFindsASettingByPartOfItsPath() {
+    public void helpFindsSettingByPartOfPath() {
         assertTrue(SettingsDocs.help("drainMillis").contains("/drainMillis"));
     }
 }
--- a/src/test/java/org/orioleshed/settings/SettingsSpreadTest.java
+++ b/src/test/java/org/orioleshed/settings/SettingsPropagationTest.java
@@ -15,18 +15,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link SettingsSpread} between a few hosts, by hand. */
-public class SettingsSpreadTest {
+/** Tests of {@link SettingsPropagation} between two hosts with simulated time and messages. */
+public class SettingsPropagationTest {
     private static final long STEP_NANOS = 50_000_000;
     private static final int WORKSPACES = 7_100;
     private static final HostId A = new HostId("a");
     private static final HostId B = new HostId("b");
 
-    private record Letter(HostId from, HostId to, SettingsMessage message) {}
+    private record Envelope(HostId from, HostId to, SettingsMessage message) {}
 
-    private final Map<HostId, SettingsSpread> hosts = new LinkedHashMap<>();
+    private final Map<HostId, SettingsPropagation> hosts = new LinkedHashMap<>();
     private final Map<HostId, List<Long>> adopted = new LinkedHashMap<>();
-    private final ArrayDeque<Letter> letters = new ArrayDeque<>();
+    private final ArrayDeque<Envelope> inFlight = new ArrayDeque<>();
     private final List<String> alarms = new ArrayList<>();
     private final List<SettingsMessage> sent = new ArrayList<>();
     private long nowNanos;
@@ -35,7 +35,7 @@
     public void clear() {
         hosts.clear();
         adopted.clear();
-        letters.clear();
+        inFlight.clear();
         alarms.clear();
         sent.clear();
         nowNanos = 0;
@@ -44,33 +44,35 @@
     }
 
     private void start(HostId host) {
-        hosts.put(host, new SettingsSpread(new Random(1)));
+        hosts.put(host, new SettingsPropagation(new Random(1)));
         adopted.put(host, new ArrayList<>());
-        act(host, new SettingsEvent.PeersChanged(List.of(host.equals(A) ? B : A)));
+        handle(host, new SettingsEvent.PeersChanged(List.of(host.equals(A) ? B : A)));
     }
 
-    private void act(HostId host, SettingsEvent event) {
+    private void handle(HostId host, SettingsEvent event) {
         for (SettingsAction action : hosts.get(host).on(nowNanos, event)) {
             switch (action) {
                 case SettingsAction.Send send -> {
-                    letters.add(new Letter(host, send.to(), send.message()));
+                    inFlight.add(new Envelope(host, send.to(), send.message()));
                     sent.add(send.message());
                 }
                 case SettingsAction.Adopt adopt -> adopted.get(host).add(adopt.number());
                 case SettingsAction.Alarm alarm -> alarms.add(alarm.detail());
-                case SettingsAction.Told told -> {}
+                case SettingsAction.StatusReceived status -> {}
             }
         }
     }
 
-    private void run(int steps) {
+    private void runSteps(int steps) {
         for (int i = 0; i < steps; i++) {
             nowNanos += STEP_NANOS;
-            for (int waiting = letters.size(); waiting > 0; waiting--) {
-                Letter letter = letters.poll();
-                act(letter.to(), new SettingsEvent.Received(letter.from(), letter.message()));
+            for (int waiting = inFlight.size(); waiting > 0; waiting--) {
+                Envelope envelope = inFlight.poll();
+                handle(
+                        envelope.to(),
+                        new SettingsEvent.Received(envelope.from(), envelope.message()));
             }
-            hosts.keySet().forEach(host -> act(host, new SettingsEvent.Tick()));
+            hosts.keySet().forEach(host -> handle(host, new SettingsEvent.Tick()));
         }
     }
 
@@ -91,8 +93,8 @@
         return ((SettingsDocument.Result.Read) document.with(change)).document();
     }
 
-    private void say(HostId host, SettingsDocument document) {
-        act(host, new SettingsEvent.StoreSaid(Optional.of(document.encode())));
+    private void provideStoreValue(HostId host, SettingsDocument document) {
+        handle(host, new SettingsEvent.StoreValueReceived(Optional.of(document.encode())));
     }
 
     private long number(HostId host) {
@@ -100,70 +102,70 @@
     }
 
     @Test
-    public void aFreshHostGetsALargeTreeInPieces() {
-        say(A, document(LargeTree.text(WORKSPACES, 10)));
-        run(40);
+    public void newHostReceivesLargeTreeInChunks() {
+        provideStoreValue(A, document(LargeTree.text(WORKSPACES, 10)));
+        runSteps(40);
         assertEquals(number(B), 1);
         assertTrue(sent.stream().filter(SettingsMessage.Chunk.class::isInstance).count() > 2);
     }
 
     @Test
-    public void aHostOneChangeBehindGetsThatChangeOnly() {
+    public void hostOneRevisionBehindReceivesOnlyDelta() {
         SettingsDocument first = document(LargeTree.text(WORKSPACES, 10));
-        say(A, first);
-        say(B, first);
-        run(10);
+        provideStoreValue(A, first);
+        provideStoreValue(B, first);
+        runSteps(10);
         sent.clear();
-        say(A, changed(first, "c1"));
-        run(10);
+        provideStoreValue(A, changed(first, "c1"));
+        runSteps(10);
         assertEquals(number(B), 2);
         assertTrue(sent.stream().noneMatch(SettingsMessage.Chunk.class::isInstance));
     }
 
     @Test
-    public void aRevisionWithAnotherPastIsRefusedFromStoreAndPeersAlike() {
+    public void rejectsDivergentRevisionFromStoreAndPeers() {
         SettingsDocument first = document("{}");
-        say(A, first);
-        run(10);
-        say(A, changed(first, "ours"));
-        run(10);
+        provideStoreValue(A, first);
+        runSteps(10);
+        provideStoreValue(A, changed(first, "ours"));
+        runSteps(10);
         SettingsDocument forked = changed(changed(first, "theirs"), "theirs-2");
-        say(B, forked);
-        run(20);
+        provideStoreValue(B, forked);
+        runSteps(20);
         assertEquals(adopted.get(A), List.of(1L, 2L));
         assertEquals(adopted.get(B), List.of(1L, 2L));
         assertTrue(alarms.getFirst().contains("does not follow"), alarms.toString());
     }
 
     @Test
-    public void aLowerRevisionIsRefusedWithAnAlarmOnce() {
+    public void rejectsLowerRevisionWithOneAlarm() {
         SettingsDocument first = document("{}");
-        say(A, changed(first, "c1"));
-        run(10);
-        say(A, first);
-        say(A, first);
+        provideStoreValue(A, changed(first, "c1"));
+        runSteps(10);
+        provideStoreValue(A, first);
+        provideStoreValue(A, first);
         assertEquals(number(A), 2);
         assertEquals(alarms.size(), 1);
         assertTrue(alarms.getFirst().contains("older"), alarms.toString());
     }
 
     @Test
-    public void aFreshHostWaitsForItsPeersBeforeItTrustsAnOldStore() {
+    public void newHostWaitsForPeersBeforeUsingStoreValue() {
         SettingsDocument first = document("{}");
-        say(A, changed(first, "c1"));
-        run(10);
+        provideStoreValue(A, changed(first, "c1"));
+        runSteps(10);
         start(B);
         hosts.get(B);
         nowNanos += STEP_NANOS;
-        say(B, first);
-        run(20);
+        provideStoreValue(B, first);
+        runSteps(20);
         assertEquals(adopted.get(B), List.of(2L));
     }
 
     @Test
-    public void settingsThatAreNotValidAreNeverInForce() {
-        say(A, document("{}"));
-        run(10);
+    public void neverActivatesInvalidSettings() {
+        provideStoreValue(A, document("{}"));
+        runSteps(10);
         SettingsChange bad =
                 new SettingsChange(
                         2,
@@ -174,8 +176,8 @@
                         List.of(SettingsEdit.set("/limits/moveSpreadMillis", "-1")));
         SettingsDocument document =
                 ((SettingsDocument.Result.Read) document("{}").with(bad)).document();
-        say(A, document);
-        run(10);
+        provideStoreValue(A, document);
+        runSteps(10);
         assertEquals(number(A), 1);
         assertEquals(alarms.size(), 1);
     }
--- a/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
+++ b/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    public void anItemOverridesItsBranchAndABranchItsParent() {
+    public void itemOverridesBranchAndBranchOverridesParent() {
         SettingsTree tree = tree(SampleTree.TEXT);
         assertEquals(tree.servers().get(new ServerId("suva-a-1")).places(), 4);
         assertEquals(tree.servers().get(new ServerId("suva-a-2")).places(), 2);
@@ -41,13 +41,13 @@
     }
 
     @Test
-    public void nullTakesAnInheritedValueAway() {
+    public void nullRemovesInheritedValue() {
         Workspace stewards = tree(SampleTree.TEXT).workspaces().get(new WorkspaceId("stewards"));
         assertEquals(stewards.patience(), Optional.empty());
     }
 
     @Test
-    public void aWorkspaceHasTheFleetsTiersButForWhatItOverrides() {
+    public void workspaceInheritsFleetTiersWithOverrides() {
         SettingsTree tree = tree(SampleTree.TEXT);
         Workspace clerks = tree.workspaces().get(new WorkspaceId("clerks"));
         assertEquals(clerks.tiers(), Map.of(Tier.URGENT, 10_000L, Tier.STANDARD, 86_400_000L));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void theWorldHasLeavingMarksAndMovedVersions() {
+    public void snapshotAppliesLeavingMarksAndRolledOutVersions() {
         ServerId marked = new ServerId("suva-a-1");
         RouteId route = new RouteId("gangway");
         World world =
@@ -73,7 +73,7 @@
     }
 
     @DataProvider
-    Object[][] badTrees() {
+    Object[][] invalidTrees() {
         return new Object[][] {
             {"{\"tears\":{}}", "/tears", "tiers"},
             {"{\"tiers\":{\"urgent\":{\"rank\":-1}}}", "/tiers/urgent/rank", ""},
@@ -113,8 +113,8 @@
         };
     }
 
-    @Test(dataProvider = "badTrees")
-    public void namesThePathAndTheNearestName(String text, String path, String nearest) {
+    @Test(dataProvider = "invalidTrees")
+    public void reportsPathAndNearestName(String text, String path, String nearest) {
         List<Problem> problems = problems(text);
         assertEquals(problems.size(), 1, problems.toString());
         assertEquals(problems.get(0).path(), path);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    public void reportsAllThatAServerLacksInOneGo() {
+    public void reportsAllMissingFieldsOfServer() {
         List<Problem> problems = problems("{\"servers\":{\"items\":{\"s\":{}}}}");
         assertEquals(
                 problems.stream().map(Problem::path).toList(),
@@ -135,7 +135,7 @@
     }
 
     @Test
-    public void nullTakesAnInheritedValueAwaySoThatTheDefaultHolds() {
+    public void nullRestoresSchemaDefault() {
         SettingsTree tree =
                 tree(
                         """
@@ -153,7 +153,7 @@
     }
 
     @Test
-    public void nullDeadlineOfAWorkspaceLeavesTheTiersOwn() {
+    public void nullDeadlineKeepsTierDeadline() {
         SettingsTree tree =
                 tree(
                         """
