--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -158,7 +158,8 @@
                             wanted.after(),
                             now + wanted.waitMillis() * NANOS_PER_MILLI,
                             wanted.answer());
-            case ControlEvent.DrainAsked asked -> onMembership(new MembershipEvent.LeaveAsked());
+            case ControlEvent.DrainAsked asked ->
+                    onMembership(new MembershipEvent.LeaveRequested());
         }
     }
 
--- a/src/main/java/org/orioleshed/gateway/FleetView.java
+++ b/src/main/java/org/orioleshed/gateway/FleetView.java
@@ -101,7 +101,7 @@
 
     void leave() {
         leaving = true;
-        apply(membership.on(clock.getAsLong(), new MembershipEvent.LeaveAsked()));
+        apply(membership.on(clock.getAsLong(), new MembershipEvent.LeaveRequested()));
     }
 
     private void apply(List<MembershipAction> actions) {
--- a/src/main/java/org/orioleshed/membership/HealthClock.java
+++ b/src/main/java/org/orioleshed/membership/HealthTimestamps.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import org.orioleshed.model.HostId;
 
-/** Since when hosts have been suspected, or dead. */
-final class HealthClock {
+/** The times since when hosts have been suspected or dead. */
+final class HealthTimestamps {
     private final Map<HostId, Long> suspectSinceNanos = new HashMap<>();
     private final Map<HostId, Long> deadSinceNanos = new HashMap<>();
 
-    /** Takes what is now held true of a host. */
-    void track(Member member, long nowNanos) {
+    /** Records the current health of a host. */
+    void update(Member member, long nowNanos) {
         HostId id = member.id();
         if (member.health() == Member.Health.SUSPECT) {
             suspectSinceNanos.putIfAbsent(id, nowNanos);
@@ -27,29 +27,29 @@
         }
     }
 
-    /** Gives all suspects their whole time again. */
+    /** Restarts the suspicion timeout of all suspects. */
     void restartSuspicions(long nowNanos) {
         suspectSinceNanos.replaceAll((id, since) -> nowNanos);
     }
 
     /** Returns the hosts that have been suspected for {@code limitNanos}. */
-    List<HostId> overdue(long nowNanos, long limitNanos) {
-        return older(suspectSinceNanos, nowNanos, limitNanos);
+    List<HostId> suspectedFor(long nowNanos, long limitNanos) {
+        return olderThan(suspectSinceNanos, nowNanos, limitNanos);
     }
 
-    /** Returns the hosts that have been dead for {@code limitNanos}, and forgets them. */
-    List<HostId> takeForgotten(long nowNanos, long limitNanos) {
-        List<HostId> forgotten = older(deadSinceNanos, nowNanos, limitNanos);
-        deadSinceNanos.keySet().removeAll(forgotten);
-        return forgotten;
+    /** Removes and returns the hosts that have been dead for {@code limitNanos}. */
+    List<HostId> removeDeadFor(long nowNanos, long limitNanos) {
+        List<HostId> expired = olderThan(deadSinceNanos, nowNanos, limitNanos);
+        deadSinceNanos.keySet().removeAll(expired);
+        return expired;
     }
 
-    /** Returns the dead that are remembered. */
+    /** Returns the dead hosts that are still retained. */
     Set<HostId> dead() {
         return deadSinceNanos.keySet();
     }
 
-    private static List<HostId> older(Map<HostId, Long> since, long nowNanos, long limitNanos) {
+    private static List<HostId> olderThan(Map<HostId, Long> since, long nowNanos, long limitNanos) {
         List<HostId> older = new ArrayList<>();
         for (Map.Entry<HostId, Long> entry : since.entrySet()) {
             if (nowNanos - entry.getValue() >= limitNanos) {
--- a/src/main/java/org/orioleshed/membership/Member.java
+++ b/src/main/java/org/orioleshed/membership/Member.java
@@ -8,16 +8,16 @@
 import org.orioleshed.model.HostId;
 
 /**
- * What is held true of one entry host. The host itself raises its incarnation at each start, and
- * its version when it must refute what others say of it.
+ * The membership record of one entry host. Only the host itself raises its incarnation, at each
+ * start, and its version, to refute a record of it that others propagate.
  *
  * @param id the host
  * @param domain its failure domain
- * @param address where it takes peer connections
- * @param incarnation grows with each start of the host
- * @param version grows with each refutation within an incarnation
- * @param leaving whether it takes nothing new; never taken back within an incarnation
- * @param health whether it answers
+ * @param address where it accepts peer connections
+ * @param incarnation increases with each start of the host
+ * @param version increases with each refutation within an incarnation
+ * @param leaving whether it accepts no new work; never reset within an incarnation
+ * @param health whether it responds to pings
  */
 public record Member(
         HostId id,
@@ -27,29 +27,29 @@
         int version,
         boolean leaving,
         Health health) {
-    /** Whether a host answers, in the order in which one word overrides another. */
+    /** Whether a host responds to pings; at equal versions the later constant wins a merge. */
     public enum Health {
-        /** Answers. */
+        /** Responds to pings. */
         ALIVE,
-        /** Missed heartbeats. */
+        /** Did not respond to a ping. */
         SUSPECT,
-        /** Missed them for too long. */
+        /** Did not refute the suspicion in time. */
         DEAD
     }
 
-    /** Returns what is true when both {@code this} and {@code other} were said of the host. */
+    /** Returns the merge of two records of the host; commutative, associative and idempotent. */
     Member merge(Member other) {
         if (incarnation != other.incarnation) {
             return incarnation > other.incarnation ? this : other;
         }
-        Member later = version >= other.version ? this : other;
+        Member newer = version >= other.version ? this : other;
         Health worst = health.compareTo(other.health) >= 0 ? health : other.health;
-        Health merged = version == other.version ? worst : later.health;
-        return later.with(later.version, leaving || other.leaving, merged);
+        Health merged = version == other.version ? worst : newer.health;
+        return newer.with(newer.version, leaving || other.leaving, merged);
     }
 
-    Member withHealth(Health other) {
-        return with(version, leaving, other);
+    Member withHealth(Health newHealth) {
+        return with(version, leaving, newHealth);
     }
 
     Member asLeaving() {
@@ -67,7 +67,7 @@
         return new Member(id, domain, address, incarnation, newVersion, newLeaving, newHealth);
     }
 
-    /** Returns the host as decisions see it. */
+    /** Returns the host as the placement code sees it. */
     public EntryHost toEntryHost() {
         EntryHost.State state =
                 switch (health) {
@@ -78,7 +78,7 @@
         return new EntryHost(id, domain, incarnation, address, state);
     }
 
-    /** Returns a digest of all that views compare; zero for the dead, which views forget. */
+    /** Returns a digest of the fields that views compare; zero for dead hosts, which views drop. */
     long digest() {
         if (health == Health.DEAD) {
             return 0;
--- a/src/main/java/org/orioleshed/membership/Membership.java
+++ b/src/main/java/org/orioleshed/membership/Membership.java
@@ -9,43 +9,44 @@
 import org.orioleshed.model.Machine;
 
 /**
- * One host's view of the fleet. Each host pings one other in each period, whatever the fleet's
- * size; news rides on pings and answers, and goes to a few hosts at once when it is fresh. A host
- * that does not answer, not even to others, is suspected; it has some seconds to refute that.
+ * The membership protocol of one host. Each host pings one other host per period, independent of
+ * the size of the fleet. Changes are piggybacked on pings and acknowledgements, and new changes are
+ * also gossiped to a few hosts at once. A host that acknowledges neither direct nor indirect pings
+ * is suspected, and declared dead unless it refutes that before the suspicion timeout.
  */
 public final class Membership implements Machine<MembershipEvent, MembershipAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int RUMORS_PER_MESSAGE = 8;
     private static final int RUMORS_PER_VIEW_PART = 128;
-    private static final int TOLD_PER_DOUBLING = 3;
-    private static final long PAUSE_MILLIS = 400;
+    private static final int SENDS_PER_DOUBLING = 3;
+    private static final long PAUSE_THRESHOLD_MILLIS = 400;
 
     private final MembershipOptions options;
     private final RandomGenerator random;
     private final MembershipView view = new MembershipView();
-    private final RumorQueue news = new RumorQueue();
+    private final RumorQueue rumorQueue = new RumorQueue();
     private final Prober prober;
-    private final HealthClock health = new HealthClock();
+    private final HealthTimestamps healthTimestamps = new HealthTimestamps();
     private final HostId self;
     private List<MembershipEvent.Seed> seeds = List.of();
     private List<HostId> reachable = List.of();
     private List<MembershipAction> actions = new ArrayList<>();
     private boolean changed;
-    private int roundsLeft;
+    private int gossipRoundsLeft;
     private long nowNanos;
-    private long tickedNanos;
+    private long lastTickNanos;
     private long nextProbeNanos;
-    private long nextNewsNanos;
+    private long nextGossipNanos;
     private long nextSeedNanos;
-    private long nextCompareNanos;
+    private long nextSyncNanos;
     private boolean started;
 
     /**
-     * Makes the view of a host that knows itself only.
+     * Creates a view that contains only this host.
      *
-     * @param self this host, alive
-     * @param options times and bounds
-     * @param random spreads load and chooses whom to tell
+     * @param self the record of this host, alive
+     * @param options intervals, timeouts and bounds
+     * @param random the source of jitter and of random peers
      */
     public Membership(Member self, MembershipOptions options, RandomGenerator random) {
         this.self = self.id();
@@ -55,7 +56,7 @@
         view.put(self);
     }
 
-    /** Returns all members but the dead, this host included. */
+    /** Returns all members that are not dead, including this host. */
     public List<Member> members() {
         return view.members().stream()
                 .filter(member -> member.health() != Member.Health.DEAD)
@@ -63,7 +64,7 @@
                 .toList();
     }
 
-    /** Returns what the platform's lists say of hosts and servers. */
+    /** Returns the stored entries of the platform's host and server lists. */
     public List<PlatformMark> marks() {
         return List.copyOf(view.marks());
     }
@@ -77,45 +78,46 @@
             case MembershipEvent.Tick tick -> tick();
             case MembershipEvent.Received received -> receive(received);
             case MembershipEvent.Seeded seeded -> seed(seeded.seeds());
-            case MembershipEvent.Marked marked -> learn(new Rumor.OfMark(marked.mark()));
-            case MembershipEvent.LeaveAsked asked -> leave();
+            case MembershipEvent.Marked marked -> applyRumor(new Rumor.OfMark(marked.mark()));
+            case MembershipEvent.LeaveRequested requested -> leave();
         }
         if (changed) {
             actions.add(new MembershipAction.ViewChanged());
-            roundsLeft = options.newsRounds();
+            gossipRoundsLeft = options.gossipRounds();
         }
-        handOnNews();
+        gossip();
         return actions;
     }
 
     private void tick() {
-        if (!started || nowNanos - tickedNanos > PAUSE_MILLIS * NANOS_PER_MILLI) {
-            resume();
+        if (!started || nowNanos - lastTickNanos > PAUSE_THRESHOLD_MILLIS * NANOS_PER_MILLI) {
+            resetAfterPause();
         }
         started = true;
-        tickedNanos = nowNanos;
-        news.dropOld(nowNanos - options.newsAgeMillis() * NANOS_PER_MILLI);
+        lastTickNanos = nowNanos;
+        rumorQueue.removeAddedBefore(nowNanos - options.maxRumorAgeMillis() * NANOS_PER_MILLI);
         checkProbes();
         checkSuspects();
-        forgetDead();
+        removeExpiredDead();
         if (nowNanos >= nextProbeNanos) {
-            nextProbeNanos = after(options.probeMillis());
+            nextProbeNanos = jitteredDeadline(options.probeIntervalMillis());
             probe();
         }
         if (nowNanos >= nextSeedNanos) {
-            nextSeedNanos = after(options.seedMillis());
-            trySeed();
+            nextSeedNanos = jitteredDeadline(options.seedIntervalMillis());
+            contactAbsentHost();
         }
     }
 
-    /** After a pause of this host, silence of others proves nothing. */
-    private void resume() {
-        prober.forgetAll();
-        health.restartSuspicions(nowNanos);
-        nextProbeNanos = nowNanos + random.nextLong(options.probeMillis() * NANOS_PER_MILLI);
+    /** Resets timeouts: after a pause of this process, missing acknowledgements prove nothing. */
+    private void resetAfterPause() {
+        prober.clear();
+        healthTimestamps.restartSuspicions(nowNanos);
+        nextProbeNanos =
+                nowNanos + random.nextLong(options.probeIntervalMillis() * NANOS_PER_MILLI);
         if (!started) {
             nextSeedNanos = nowNanos;
-            nextCompareNanos = nowNanos;
+            nextSyncNanos = nowNanos;
         }
     }
 
@@ -123,41 +125,41 @@
         HostId from = received.from();
         switch (received.message()) {
             case MembershipMessage.Ping ping -> {
-                learnAll(ping.rumors());
+                applyAll(ping.rumors());
                 send(
                         from,
-                        new MembershipMessage.Ack(ping.sequence(), view.digest(), newsFor(from)));
-                compare(from, ping.viewDigest());
+                        new MembershipMessage.Ack(ping.sequence(), view.digest(), rumorsFor(from)));
+                syncIfDifferent(from, ping.viewDigest());
             }
             case MembershipMessage.Ack ack -> {
-                learnAll(ack.rumors());
-                takeAck(from, ack);
+                applyAll(ack.rumors());
+                onAck(from, ack);
             }
-            case MembershipMessage.PingWanted wanted -> {
-                long sequence = prober.startRelay(from, wanted.sequence(), nowNanos);
-                send(wanted.target(), ping(wanted.target(), sequence));
+            case MembershipMessage.PingRequest request -> {
+                long sequence = prober.startRelay(from, request.sequence(), nowNanos);
+                send(request.target(), ping(request.target(), sequence));
             }
-            case MembershipMessage.News told -> learnAll(told.rumors());
-            case MembershipMessage.View whole -> {
-                learnAll(whole.rumors());
-                tellOfItself(from);
-                if (whole.wantReply()) {
+            case MembershipMessage.Update update -> applyAll(update.rumors());
+            case MembershipMessage.View part -> {
+                applyAll(part.rumors());
+                sendRecordToSubject(from);
+                if (part.wantReply()) {
                     sendView(from, false);
                 }
             }
         }
     }
 
-    private void takeAck(HostId from, MembershipMessage.Ack ack) {
-        Prober.Relay relay = prober.takeRelay(ack.sequence());
+    private void onAck(HostId from, MembershipMessage.Ack ack) {
+        Prober.Relay relay = prober.removeRelay(ack.sequence());
         if (relay != null) {
             send(
-                    relay.asker(),
+                    relay.requester(),
                     new MembershipMessage.Ack(relay.sequence(), ack.viewDigest(), List.of()));
             return;
         }
-        prober.answered(ack.sequence());
-        compare(from, ack.viewDigest());
+        prober.completeProbe(ack.sequence());
+        syncIfDifferent(from, ack.viewDigest());
     }
 
     private void probe() {
@@ -168,70 +170,75 @@
     }
 
     private void checkProbes() {
-        prober.dropRelays(nowNanos - options.probeMillis() * NANOS_PER_MILLI);
-        Iterator<Map.Entry<Long, Prober.Probe>> waiting = prober.probes().entrySet().iterator();
-        while (waiting.hasNext()) {
-            Map.Entry<Long, Prober.Probe> entry = waiting.next();
+        prober.removeRelaysBefore(nowNanos - options.probeIntervalMillis() * NANOS_PER_MILLI);
+        Iterator<Map.Entry<Long, Prober.Probe>> pendingProbes =
+                prober.probes().entrySet().iterator();
+        while (pendingProbes.hasNext()) {
+            Map.Entry<Long, Prober.Probe> entry = pendingProbes.next();
             Prober.Probe probe = entry.getValue();
             long ageNanos = nowNanos - probe.sentNanos;
-            if (!probe.indirect && ageNanos >= options.ackMillis() * NANOS_PER_MILLI) {
-                probe.indirect = true;
-                askOthers(entry.getKey(), probe.target);
+            if (!probe.indirectRequested
+                    && ageNanos >= options.ackTimeoutMillis() * NANOS_PER_MILLI) {
+                probe.indirectRequested = true;
+                requestIndirectPings(entry.getKey(), probe.target);
             }
-            if (ageNanos >= options.probeMillis() * NANOS_PER_MILLI) {
-                waiting.remove();
+            if (ageNanos >= options.probeIntervalMillis() * NANOS_PER_MILLI) {
+                pendingProbes.remove();
                 suspect(probe.target);
             }
         }
     }
 
-    private void askOthers(long sequence, HostId target) {
-        for (HostId helper : chooseOthers(target)) {
-            send(helper, new MembershipMessage.PingWanted(sequence, target));
+    private void requestIndirectPings(long sequence, HostId target) {
+        for (HostId relay : randomPeers(target)) {
+            send(relay, new MembershipMessage.PingRequest(sequence, target));
         }
     }
 
     private void suspect(HostId id) {
         Member member = view.get(id);
         if (member != null && member.health() == Member.Health.ALIVE) {
-            learn(new Rumor.OfHost(member.withHealth(Member.Health.SUSPECT)));
-            tellOfItself(id);
+            applyRumor(new Rumor.OfHost(member.withHealth(Member.Health.SUSPECT)));
+            sendRecordToSubject(id);
         }
     }
 
     private void checkSuspects() {
-        long limitNanos = options.suspicionMillis() * NANOS_PER_MILLI;
-        for (HostId id : health.overdue(nowNanos, limitNanos)) {
-            learn(new Rumor.OfHost(view.get(id).withHealth(Member.Health.DEAD)));
+        long limitNanos = options.suspicionTimeoutMillis() * NANOS_PER_MILLI;
+        for (HostId id : healthTimestamps.suspectedFor(nowNanos, limitNanos)) {
+            applyRumor(new Rumor.OfHost(view.get(id).withHealth(Member.Health.DEAD)));
         }
     }
 
-    private void forgetDead() {
-        long limitNanos = options.forgetMillis() * NANOS_PER_MILLI;
-        health.takeForgotten(nowNanos, limitNanos).forEach(view::forget);
+    private void removeExpiredDead() {
+        long limitNanos = options.deadRetentionMillis() * NANOS_PER_MILLI;
+        healthTimestamps.removeDeadFor(nowNanos, limitNanos).forEach(view::remove);
     }
 
     private void seed(List<MembershipEvent.Seed> given) {
         seeds = given;
         for (MembershipEvent.Seed seed : given) {
-            Member known = view.get(seed.id());
-            if (known == null || known.health() == Member.Health.DEAD) {
+            Member current = view.get(seed.id());
+            if (current == null || current.health() == Member.Health.DEAD) {
                 actions.add(new MembershipAction.Locate(seed.id(), seed.address()));
             }
         }
     }
 
-    /** Tries one host that is not in the view: after a partition, or at the start. */
-    private void trySeed() {
+    /**
+     * Sends this host's record to one host that is absent from the view and requests that host's
+     * view: at the start, or after a partition.
+     */
+    private void contactAbsentHost() {
         List<HostId> absent = new ArrayList<>();
         for (MembershipEvent.Seed seed : seeds) {
-            Member known = view.get(seed.id());
-            boolean missing = known == null || known.health() == Member.Health.DEAD;
+            Member current = view.get(seed.id());
+            boolean missing = current == null || current.health() == Member.Health.DEAD;
             if (missing && !seed.id().equals(self)) {
                 absent.add(seed.id());
             }
         }
-        for (HostId dead : health.dead()) {
+        for (HostId dead : healthTimestamps.dead()) {
             if (!absent.contains(dead)) {
                 absent.add(dead);
             }
@@ -246,67 +253,67 @@
     private void leave() {
         Member member = view.get(self);
         if (!member.leaving()) {
-            accept(member, member.asLeaving());
+            replaceRecord(member, member.asLeaving());
         }
     }
 
-    private void learnAll(List<Rumor> rumors) {
-        rumors.forEach(this::learn);
+    private void applyAll(List<Rumor> rumors) {
+        rumors.forEach(this::applyRumor);
     }
 
-    private void learn(Rumor rumor) {
+    private void applyRumor(Rumor rumor) {
         switch (rumor) {
-            case Rumor.OfHost host -> learnHost(host.member());
+            case Rumor.OfHost host -> applyHostRecord(host.member());
             case Rumor.OfMark of -> {
-                if (view.putIfLater(of.mark())) {
-                    news.add(rumor, nowNanos);
+                if (view.putIfNewer(of.mark())) {
+                    rumorQueue.add(rumor, nowNanos);
                     changed = true;
                 }
             }
         }
     }
 
-    private void learnHost(Member told) {
-        Member known = view.get(told.id());
-        if (told.id().equals(self)) {
-            learnOfSelf(known, told);
+    private void applyHostRecord(Member received) {
+        Member current = view.get(received.id());
+        if (received.id().equals(self)) {
+            refuteIfWrong(current, received);
             return;
         }
-        if (known == null && told.health() == Member.Health.DEAD) {
+        if (current == null && received.health() == Member.Health.DEAD) {
             return;
         }
-        Member merged = known == null ? told : known.merge(told);
-        if (merged.equals(known)) {
+        Member merged = current == null ? received : current.merge(received);
+        if (merged.equals(current)) {
             return;
         }
-        accept(known, merged);
+        replaceRecord(current, merged);
     }
 
-    private void learnOfSelf(Member known, Member told) {
-        if (told.incarnation() > known.incarnation()) {
+    private void refuteIfWrong(Member current, Member received) {
+        if (received.incarnation() > current.incarnation()) {
             return;
         }
-        Member merged = known.merge(told);
-        if (merged.equals(known)) {
+        Member merged = current.merge(received);
+        if (merged.equals(current)) {
             return;
         }
-        int version = Math.max(known.version(), told.version()) + 1;
-        accept(known, merged.refuted(version));
+        int version = Math.max(current.version(), received.version()) + 1;
+        replaceRecord(current, merged.refuted(version));
     }
 
-    private void accept(Member known, Member merged) {
+    private void replaceRecord(Member current, Member merged) {
         view.put(merged);
-        news.add(new Rumor.OfHost(merged), nowNanos);
+        rumorQueue.add(new Rumor.OfHost(merged), nowNanos);
         changed = true;
-        boolean moved = known == null || !known.address().equals(merged.address());
-        boolean returned =
-                known != null
-                        && known.health() == Member.Health.DEAD
+        boolean addressChanged = current == null || !current.address().equals(merged.address());
+        boolean revived =
+                current != null
+                        && current.health() == Member.Health.DEAD
                         && merged.health() != Member.Health.DEAD;
-        if ((moved || returned) && !merged.id().equals(self)) {
+        if ((addressChanged || revived) && !merged.id().equals(self)) {
             actions.add(new MembershipAction.Locate(merged.id(), merged.address()));
         }
-        health.track(merged, nowNanos);
+        healthTimestamps.update(merged, nowNanos);
         if (merged.health() == Member.Health.DEAD) {
             actions.add(new MembershipAction.Died(merged.id()));
         }
@@ -321,32 +328,32 @@
                         .toList();
     }
 
-    private void handOnNews() {
-        if (roundsLeft == 0 || nowNanos < nextNewsNanos) {
+    private void gossip() {
+        if (gossipRoundsLeft == 0 || nowNanos < nextGossipNanos) {
             return;
         }
-        nextNewsNanos = nowNanos + options.newsMillis() * NANOS_PER_MILLI;
-        roundsLeft--;
-        List<Rumor> rumors = takeNews();
+        nextGossipNanos = nowNanos + options.gossipIntervalMillis() * NANOS_PER_MILLI;
+        gossipRoundsLeft--;
+        List<Rumor> rumors = takeRumors();
         if (rumors.isEmpty()) {
             return;
         }
-        for (HostId other : chooseOthers(self)) {
-            send(other, new MembershipMessage.News(rumors));
+        for (HostId other : randomPeers(self)) {
+            send(other, new MembershipMessage.Update(rumors));
         }
     }
 
-    /** Exchanges whole views with a host whose view differs for longer than news needs. */
-    private void compare(HostId other, long otherDigest) {
-        if (otherDigest == view.digest() || !news.isEmpty() || nowNanos < nextCompareNanos) {
+    /** Exchanges whole views with a host whose view still differs when no rumors are pending. */
+    private void syncIfDifferent(HostId other, long otherDigest) {
+        if (otherDigest == view.digest() || !rumorQueue.isEmpty() || nowNanos < nextSyncNanos) {
             return;
         }
-        nextCompareNanos = after(options.compareMillis());
+        nextSyncNanos = jitteredDeadline(options.minSyncIntervalMillis());
         sendView(other, true);
     }
 
     private void sendView(HostId to, boolean wantReply) {
-        List<Rumor> all = view.all();
+        List<Rumor> all = view.toRumors();
         for (int start = 0; start < all.size(); start += RUMORS_PER_VIEW_PART) {
             int end = Math.min(all.size(), start + RUMORS_PER_VIEW_PART);
             boolean last = end == all.size();
@@ -357,25 +364,26 @@
     private MembershipMessage ping(HostId target, long sequence) {
         List<Rumor> rumors = new ArrayList<>();
         rumors.add(ownRumor());
-        rumors.addAll(newsFor(target));
+        rumors.addAll(rumorsFor(target));
         return new MembershipMessage.Ping(sequence, view.digest(), rumors);
     }
 
-    /** Returns news, and what is wrongly held of the receiver, so that it can refute that. */
-    private List<Rumor> newsFor(HostId receiver) {
+    /** Returns rumors, and the receiver's own record unless alive, so that it can refute it. */
+    private List<Rumor> rumorsFor(HostId receiver) {
         Member member = view.get(receiver);
         if (member == null || member.health() == Member.Health.ALIVE) {
-            return takeNews();
+            return takeRumors();
         }
-        List<Rumor> rumors = new ArrayList<>(takeNews());
+        List<Rumor> rumors = new ArrayList<>(takeRumors());
         rumors.add(new Rumor.OfHost(member));
         return rumors;
     }
 
-    private void tellOfItself(HostId id) {
+    /** Sends a host its own record unless alive, so that it can refute it. */
+    private void sendRecordToSubject(HostId id) {
         Member member = view.get(id);
         if (member != null && member.health() != Member.Health.ALIVE) {
-            send(id, new MembershipMessage.News(List.of(new Rumor.OfHost(member))));
+            send(id, new MembershipMessage.Update(List.of(new Rumor.OfHost(member))));
         }
     }
 
@@ -383,16 +391,16 @@
         return new Rumor.OfHost(view.get(self));
     }
 
-    private List<Rumor> takeNews() {
+    private List<Rumor> takeRumors() {
         int doublings = Integer.SIZE - Integer.numberOfLeadingZeros(reachable.size() + 1);
-        return news.take(RUMORS_PER_MESSAGE, TOLD_PER_DOUBLING * doublings);
+        return rumorQueue.take(RUMORS_PER_MESSAGE, SENDS_PER_DOUBLING * doublings);
     }
 
-    /** Returns a few other hosts at random, without {@code excluded}. */
-    private List<HostId> chooseOthers(HostId excluded) {
+    /** Returns up to {@code fanout} reachable hosts at random, without {@code excluded}. */
+    private List<HostId> randomPeers(HostId excluded) {
         List<HostId> chosen = new ArrayList<>();
-        int tries = 2 * options.fanout();
-        while (!reachable.isEmpty() && chosen.size() < options.fanout() && tries-- > 0) {
+        int attempts = 2 * options.fanout();
+        while (!reachable.isEmpty() && chosen.size() < options.fanout() && attempts-- > 0) {
             HostId other = reachable.get(random.nextInt(reachable.size()));
             if (!other.equals(excluded) && !chosen.contains(other)) {
                 chosen.add(other);
@@ -401,7 +409,8 @@
         return chosen;
     }
 
-    private long after(long millis) {
+    /** Returns the time {@code millis} from now, with a jitter of five percent either way. */
+    private long jitteredDeadline(long millis) {
         long nanos = millis * NANOS_PER_MILLI;
         return nowNanos + nanos - nanos / 20 + random.nextLong(nanos / 10);
     }
--- a/src/main/java/org/orioleshed/membership/MembershipCodec.java
+++ b/src/main/java/org/orioleshed/membership/MembershipCodec.java
@@ -13,7 +13,7 @@
 import org.orioleshed.peer.MessageCodec;
 import org.orioleshed.wire.MembershipWire;
 
-/** Writes membership messages as protobuf. */
+/** Encodes membership messages as protobuf and decodes them. */
 public final class MembershipCodec implements MessageCodec<MembershipMessage> {
     private static final int MAX_PORT = 65_535;
 
@@ -33,13 +33,13 @@
                         .setViewDigest(ack.viewDigest());
                 addRumors(wire, ack.rumors());
             }
-            case MembershipMessage.PingWanted wanted ->
+            case MembershipMessage.PingRequest request ->
                     wire.setKind(MembershipWire.Membership.Kind.PING_WANTED)
-                            .setSequence(wanted.sequence())
-                            .setTarget(wanted.target().value());
-            case MembershipMessage.News news -> {
+                            .setSequence(request.sequence())
+                            .setTarget(request.target().value());
+            case MembershipMessage.Update update -> {
                 wire.setKind(MembershipWire.Membership.Kind.NEWS);
-                addRumors(wire, news.rumors());
+                addRumors(wire, update.rumors());
             }
             case MembershipMessage.View view -> {
                 wire.setKind(MembershipWire.Membership.Kind.VIEW).setWantReply(view.wantReply());
@@ -68,14 +68,14 @@
 
     private static MembershipWire.Membership.Host write(Member member, List<String> domains) {
         String domain = member.domain().value();
-        int place = domains.indexOf(domain);
-        if (place < 0) {
-            place = domains.size();
+        int index = domains.indexOf(domain);
+        if (index < 0) {
+            index = domains.size();
             domains.add(domain);
         }
         return MembershipWire.Membership.Host.newBuilder()
                 .setId(member.id().value())
-                .setDomain(place)
+                .setDomain(index)
                 .setAddress(ByteString.copyFrom(member.address().getAddress().getAddress()))
                 .setPort(member.address().getPort())
                 .setIncarnation(member.incarnation())
@@ -92,7 +92,7 @@
         } catch (InvalidProtocolBufferException
                 | IllegalArgumentException
                 | UnknownHostException e) {
-            throw new BadMessageException("not a membership message", e);
+            throw new BadMessageException("bytes are not a valid membership message", e);
         }
     }
 
@@ -110,12 +110,13 @@
                     new MembershipMessage.Ping(wire.getSequence(), wire.getViewDigest(), rumors);
             case ACK -> new MembershipMessage.Ack(wire.getSequence(), wire.getViewDigest(), rumors);
             case PING_WANTED ->
-                    new MembershipMessage.PingWanted(
+                    new MembershipMessage.PingRequest(
                             wire.getSequence(), new HostId(wire.getTarget()));
-            case NEWS -> new MembershipMessage.News(rumors);
+            case NEWS -> new MembershipMessage.Update(rumors);
             case VIEW -> new MembershipMessage.View(rumors, wire.getWantReply());
             case UNKNOWN, UNRECOGNIZED ->
-                    throw new BadMessageException("unknown kind " + wire.getKindValue());
+                    throw new BadMessageException(
+                            "unknown membership message kind " + wire.getKindValue());
         };
     }
 
@@ -126,7 +127,17 @@
                         && Integer.compareUnsigned(host.getPort(), MAX_PORT) <= 0
                         && host.getVersion() >= 0;
         if (!inRange) {
-            throw new BadMessageException("a host's entry is out of range");
+            throw new BadMessageException(
+                    "host record out of range: domain index must be below "
+                            + wire.getDomainsCount()
+                            + ", port at most "
+                            + MAX_PORT
+                            + " and version at least 0, found domain index "
+                            + Integer.toUnsignedString(host.getDomain())
+                            + ", port "
+                            + Integer.toUnsignedString(host.getPort())
+                            + ", version "
+                            + host.getVersion());
         }
         InetAddress address = InetAddress.getByAddress(host.getAddress().toByteArray());
         return new Member(
@@ -158,7 +169,7 @@
             case ALIVE -> Member.Health.ALIVE;
             case SUSPECT -> Member.Health.SUSPECT;
             case DEAD -> Member.Health.DEAD;
-            case UNRECOGNIZED -> throw new BadMessageException("unknown health");
+            case UNRECOGNIZED -> throw new BadMessageException("unknown health in a host record");
         };
     }
 }
--- a/src/main/java/org/orioleshed/membership/MembershipEvent.java
+++ b/src/main/java/org/orioleshed/membership/MembershipEvent.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import org.orioleshed.model.HostId;
 
-/** What can happen to a host's view of the fleet. */
+/** Input events of the membership state machine. */
 public sealed interface MembershipEvent {
-    /** Time passed; comes at least every 100 ms. */
+    /** A timer tick; must come at least every 100 ms. */
     record Tick() implements MembershipEvent {}
 
     /** A message from another host. */
     record Received(HostId from, MembershipMessage message) implements MembershipEvent {}
 
-    /** Hosts that may be asked for the fleet; replaces what was said before. */
+    /** The seed hosts to contact for the membership view; replaces the previous list. */
     record Seeded(List<Seed> seeds) implements MembershipEvent {
         /** Copies the list. */
         public Seeded {
@@ -20,12 +20,12 @@
         }
     }
 
-    /** A host that may be asked for the fleet. */
+    /** A seed host and the address where it accepts peer connections. */
     record Seed(HostId id, InetSocketAddress address) {}
 
-    /** A list of the platform says something of a host or server. */
+    /** An entry of the platform's host or server list. */
     record Marked(PlatformMark mark) implements MembershipEvent {}
 
-    /** This host is about to stop. */
-    record LeaveAsked() implements MembershipEvent {}
+    /** This host is about to stop and must be marked as leaving. */
+    record LeaveRequested() implements MembershipEvent {}
 }
--- a/src/main/java/org/orioleshed/membership/MembershipMessage.java
+++ b/src/main/java/org/orioleshed/membership/MembershipMessage.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import org.orioleshed.model.HostId;
 
-/** What entry hosts say to each other to keep their views. */
+/** Messages between entry hosts that keep their membership views in sync. */
 public sealed interface MembershipMessage {
     /**
-     * Are you there?
+     * A ping that the receiver must acknowledge.
      *
-     * @param sequence the sender's number for the answer
+     * @param sequence the sender's sequence number, repeated in the acknowledgement
      * @param viewDigest a digest of the sender's view
-     * @param rumors news, the sender's own entry first
+     * @param rumors recent changes, the sender's own record first
      */
     record Ping(long sequence, long viewDigest, List<Rumor> rumors) implements MembershipMessage {
         /** Copies the list. */
@@ -20,11 +20,11 @@
     }
 
     /**
-     * The answer to a ping, or to a ping asked for.
+     * The acknowledgement of a ping or of a ping request.
      *
-     * @param sequence the number of the ping
+     * @param sequence the sequence number of the ping or ping request
      * @param viewDigest a digest of the sender's view
-     * @param rumors news
+     * @param rumors recent changes
      */
     record Ack(long sequence, long viewDigest, List<Rumor> rumors) implements MembershipMessage {
         /** Copies the list. */
@@ -34,21 +34,21 @@
     }
 
     /**
-     * Ping another host for me, since I can't reach it.
+     * Requests an indirect ping of a host that did not acknowledge the sender's ping.
      *
-     * @param sequence the sender's number for the answer
-     * @param target whom to ping
+     * @param sequence the sender's sequence number, repeated in the acknowledgement
+     * @param target the host to ping
      */
-    record PingWanted(long sequence, HostId target) implements MembershipMessage {}
+    record PingRequest(long sequence, HostId target) implements MembershipMessage {}
 
     /**
-     * News handed on at once.
+     * Changes that are gossiped at once.
      *
-     * @param rumors the news
+     * @param rumors the changes
      */
-    record News(List<Rumor> rumors) implements MembershipMessage {
+    record Update(List<Rumor> rumors) implements MembershipMessage {
         /** Copies the list. */
-        public News {
+        public Update {
             rumors = List.copyOf(rumors);
         }
     }
@@ -56,8 +56,8 @@
     /**
      * A part of the sender's whole view.
      *
-     * @param rumors a part of it
-     * @param wantReply whether the sender wants the receiver's view in return
+     * @param rumors the records in this part
+     * @param wantReply whether the receiver must send its own view in return
      */
     record View(List<Rumor> rumors, boolean wantReply) implements MembershipMessage {
         /** Copies the list. */
--- a/src/main/java/org/orioleshed/membership/MembershipOptions.java
+++ b/src/main/java/org/orioleshed/membership/MembershipOptions.java
@@ -1,31 +1,34 @@
 package org.orioleshed.membership;
 
 /**
- * Times and bounds of membership.
+ * Intervals, timeouts and bounds of membership.
  *
- * @param probeMillis how often a host pings another
- * @param ackMillis how long an answer may take before others are asked to ping
- * @param suspicionMillis how long a suspect may refute before it is declared dead
- * @param newsMillis the time between two rounds in which news is handed on
- * @param newsRounds how many rounds follow a change
- * @param newsAgeMillis how long news rides on other messages
- * @param fanout how many hosts hear of it in each round, and how many are asked to ping
- * @param seedMillis how often one host that is not in the view is tried
- * @param compareMillis the least time between two exchanges of whole views
- * @param forgetMillis how long the dead are remembered
+ * @param probeIntervalMillis the time between two pings that a host sends, in milliseconds
+ * @param ackTimeoutMillis the time without an acknowledgement after which indirect pings are
+ *     requested, in milliseconds
+ * @param suspicionTimeoutMillis the time a suspect has to refute before it is declared dead, in
+ *     milliseconds
+ * @param gossipIntervalMillis the time between two gossip rounds, in milliseconds
+ * @param gossipRounds the number of gossip rounds after a change
+ * @param maxRumorAgeMillis how long a rumor is sent along with messages, in milliseconds
+ * @param fanout the number of receivers per gossip round, and of indirect ping requests
+ * @param seedIntervalMillis the time between two attempts to contact a host that is not in the
+ *     view, in milliseconds
+ * @param minSyncIntervalMillis the least time between two exchanges of whole views, in milliseconds
+ * @param deadRetentionMillis how long records of dead hosts are kept, in milliseconds
  */
 public record MembershipOptions(
-        long probeMillis,
-        long ackMillis,
-        long suspicionMillis,
-        long newsMillis,
-        int newsRounds,
-        long newsAgeMillis,
+        long probeIntervalMillis,
+        long ackTimeoutMillis,
+        long suspicionTimeoutMillis,
+        long gossipIntervalMillis,
+        int gossipRounds,
+        long maxRumorAgeMillis,
         int fanout,
-        long seedMillis,
-        long compareMillis,
-        long forgetMillis) {
-    /** The times of an entry host. */
+        long seedIntervalMillis,
+        long minSyncIntervalMillis,
+        long deadRetentionMillis) {
+    /** The options of an entry host. */
     public static final MembershipOptions DEFAULT =
             new MembershipOptions(500, 200, 2_500, 200, 3, 5_000, 3, 1_000, 10_000, 60_000);
 }
--- a/src/main/java/org/orioleshed/membership/MembershipView.java
+++ b/src/main/java/org/orioleshed/membership/MembershipView.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.orioleshed.model.HostId;
 
-/** All that one host holds true of the fleet, and a digest of it kept up to date. */
+/** One host's records of the fleet, with an incrementally updated digest. */
 final class MembershipView {
     private final Map<HostId, Member> members = new LinkedHashMap<>();
     private final Map<PlatformMark.Subject, PlatformMark> marks = new LinkedHashMap<>();
@@ -30,42 +30,42 @@
     }
 
     void put(Member member) {
-        Member before = members.put(member.id(), member);
-        digest ^= (before == null ? 0 : before.digest()) ^ member.digest();
+        Member previous = members.put(member.id(), member);
+        digest ^= (previous == null ? 0 : previous.digest()) ^ member.digest();
     }
 
-    void forget(HostId id) {
-        Member before = members.remove(id);
-        digest ^= before == null ? 0 : before.digest();
+    void remove(HostId id) {
+        Member previous = members.remove(id);
+        digest ^= previous == null ? 0 : previous.digest();
     }
 
     /**
-     * Takes a mark unless a later one is known; returns whether it was new. That a host or server
-     * is not leaving is kept only to end an earlier mark.
+     * Stores a mark unless one of the same or a higher revision is stored; returns whether it was
+     * stored. A mark that is not leaving is stored only to replace an earlier one.
      */
-    boolean putIfLater(PlatformMark mark) {
-        PlatformMark before = marks.get(mark.subject());
-        if (before == null ? !mark.leaving() : before.revision() >= mark.revision()) {
+    boolean putIfNewer(PlatformMark mark) {
+        PlatformMark previous = marks.get(mark.subject());
+        if (previous == null ? !mark.leaving() : previous.revision() >= mark.revision()) {
             return false;
         }
         marks.put(mark.subject(), mark);
-        digest ^= (before == null ? 0 : before.digest()) ^ mark.digest();
+        digest ^= (previous == null ? 0 : previous.digest()) ^ mark.digest();
         return true;
     }
 
-    /** Returns whether the platform says that a host is leaving. */
+    /** Returns whether the platform marks a host as leaving. */
     boolean isMarkedLeaving(HostId id) {
         PlatformMark mark = marks.get(new PlatformMark.Subject(PlatformMark.Kind.HOST, id.value()));
         return mark != null && mark.leaving();
     }
 
-    /** Returns the whole view as news, the dead that are remembered included. */
-    List<Rumor> all() {
-        List<Rumor> all = new ArrayList<>(members.size() + marks.size());
+    /** Returns the whole view as rumors, including retained dead hosts. */
+    List<Rumor> toRumors() {
+        List<Rumor> rumors = new ArrayList<>(members.size() + marks.size());
         for (Member member : members.values()) {
-            all.add(new Rumor.OfHost(member));
+            rumors.add(new Rumor.OfHost(member));
         }
-        marks.values().forEach(mark -> all.add(new Rumor.OfMark(mark)));
-        return all;
+        marks.values().forEach(mark -> rumors.add(new Rumor.OfMark(mark)));
+        return rumors;
     }
 }
--- a/src/main/java/org/orioleshed/membership/PlatformMark.java
+++ b/src/main/java/org/orioleshed/membership/PlatformMark.java
@@ -3,12 +3,12 @@
 import com.google.common.hash.Hashing;
 
 /**
- * What the platform's list says of an entry host or a backend server.
+ * An entry of the platform's lists: whether an entry host or a backend server is leaving.
  *
- * @param kind what the list is of
- * @param id the host's or server's id
- * @param leaving whether it must get no new work
- * @param revision the store's revision of the list's entry; the highest wins
+ * @param kind which of the lists the entry is from
+ * @param id the id of the host or server
+ * @param leaving whether it must receive no new work
+ * @param revision the store's revision of the list's entry; the highest revision wins
  */
 public record PlatformMark(Kind kind, String id, boolean leaving, long revision) {
     /** The platform's two lists. */
@@ -19,13 +19,17 @@
         SERVER
     }
 
-    /** What a mark is about. */
+    /** The host or server that a mark refers to. */
     record Subject(Kind kind, String id) {}
 
-    /** Checks the arguments. */
+    /**
+     * Checks the id.
+     *
+     * @throws IllegalArgumentException if {@code id} is blank
+     */
     public PlatformMark {
         if (id.isBlank()) {
-            throw new IllegalArgumentException("id must not be blank");
+            throw new IllegalArgumentException("id of a " + kind + " mark must not be blank");
         }
     }
 
--- a/src/main/java/org/orioleshed/membership/Prober.java
+++ b/src/main/java/org/orioleshed/membership/Prober.java
@@ -9,13 +9,13 @@
 import java.util.random.RandomGenerator;
 import org.orioleshed.model.HostId;
 
-/** Keeps the order in which a host pings others, and the pings that wait for an answer. */
+/** The order in which a host pings others, and the pings that are not acknowledged yet. */
 final class Prober {
-    /** A ping of this host's own. */
+    /** A direct ping that this host sent. */
     static final class Probe {
         final HostId target;
         final long sentNanos;
-        boolean indirect;
+        boolean indirectRequested;
 
         Probe(HostId target, long sentNanos) {
             this.target = target;
@@ -23,8 +23,8 @@
         }
     }
 
-    /** A ping made for another host. */
-    record Relay(HostId asker, long sequence, long sentNanos) {}
+    /** A ping sent at the request of another host. */
+    record Relay(HostId requester, long sequence, long sentNanos) {}
 
     private final Random random;
     private final List<HostId> order = new ArrayList<>();
@@ -36,7 +36,7 @@
         this.random = Random.from(random);
     }
 
-    /** Returns the next host to ping, each once before any twice; null when there is none. */
+    /** Returns the next host to ping, in shuffled rounds; null when there is no candidate. */
     HostId next(List<HostId> candidates) {
         while (!order.isEmpty()) {
             HostId next = order.removeLast();
@@ -57,8 +57,8 @@
         return sequence;
     }
 
-    long startRelay(HostId asker, long askersSequence, long nowNanos) {
-        relays.put(++sequence, new Relay(asker, askersSequence, nowNanos));
+    long startRelay(HostId requester, long requesterSequence, long nowNanos) {
+        relays.put(++sequence, new Relay(requester, requesterSequence, nowNanos));
         return sequence;
     }
 
@@ -66,23 +66,23 @@
         return probes;
     }
 
-    /** Ends the probe that an answer belongs to. */
-    void answered(long answered) {
-        probes.remove(answered);
+    /** Removes the probe that an acknowledgement belongs to. */
+    void completeProbe(long ackedSequence) {
+        probes.remove(ackedSequence);
     }
 
-    /** Ends the relay that an answer belongs to; null when there is none. */
-    Relay takeRelay(long answered) {
-        return relays.remove(answered);
+    /** Removes and returns the relay that an acknowledgement belongs to; null if there is none. */
+    Relay removeRelay(long ackedSequence) {
+        return relays.remove(ackedSequence);
     }
 
-    /** Forgets relays made before {@code beforeNanos}. */
-    void dropRelays(long beforeNanos) {
+    /** Removes relays sent before {@code beforeNanos}. */
+    void removeRelaysBefore(long beforeNanos) {
         relays.values().removeIf(relay -> relay.sentNanos() < beforeNanos);
     }
 
-    /** Forgets all pings that wait, after this host itself was paused. */
-    void forgetAll() {
+    /** Removes all pings that are not acknowledged, after a pause of this process. */
+    void clear() {
         probes.clear();
         relays.clear();
     }
--- a/src/main/java/org/orioleshed/membership/Rumor.java
+++ b/src/main/java/org/orioleshed/membership/Rumor.java
@@ -1,10 +1,10 @@
 package org.orioleshed.membership;
 
-/** A piece of news that hosts hand on. */
+/** A change that hosts propagate by gossip. */
 public sealed interface Rumor {
-    /** News of an entry host. */
+    /** The record of an entry host. */
     record OfHost(Member member) implements Rumor {}
 
-    /** News of the platform's lists. */
+    /** An entry of the platform's lists. */
     record OfMark(PlatformMark mark) implements Rumor {}
 }
--- a/src/main/java/org/orioleshed/membership/RumorQueue.java
+++ b/src/main/java/org/orioleshed/membership/RumorQueue.java
@@ -7,73 +7,73 @@
 import java.util.PriorityQueue;
 
 /**
- * News still to be handed on, what was told least often first. News grows old: what it has not
- * reached by then, the comparison of whole views mends.
+ * Rumors still to be sent, those sent least often first. Rumors expire; hosts that a rumor did not
+ * reach in time get the change when whole views are compared.
  */
 final class RumorQueue {
-    private static final int MAX_WAITING = 2_000;
+    private static final int MAX_ENTRIES = 2_000;
 
-    private static final class Waiting {
+    private static final class Entry {
         private final Object subject;
         private final Rumor rumor;
-        private final long learnedNanos;
-        private int told;
+        private final long addedNanos;
+        private int sendCount;
 
-        Waiting(Object subject, Rumor rumor, long learnedNanos) {
+        Entry(Object subject, Rumor rumor, long addedNanos) {
             this.subject = subject;
             this.rumor = rumor;
-            this.learnedNanos = learnedNanos;
+            this.addedNanos = addedNanos;
         }
 
-        private static int mostToldFirst(Waiting a, Waiting b) {
-            return a.told != b.told
-                    ? Integer.compare(b.told, a.told)
-                    : Long.compare(a.learnedNanos, b.learnedNanos);
+        private static int mostSentFirst(Entry a, Entry b) {
+            return a.sendCount != b.sendCount
+                    ? Integer.compare(b.sendCount, a.sendCount)
+                    : Long.compare(a.addedNanos, b.addedNanos);
         }
     }
 
-    private final Map<Object, Waiting> waitingBySubject = new LinkedHashMap<>();
+    private final Map<Object, Entry> entryBySubject = new LinkedHashMap<>();
 
-    /** Adds news; earlier news of the same subject is dropped. */
+    /** Adds a rumor, replacing one on the same subject; drops the oldest if the queue is full. */
     void add(Rumor rumor, long nowNanos) {
         Object subject = subject(rumor);
-        waitingBySubject.remove(subject);
-        if (waitingBySubject.size() >= MAX_WAITING) {
-            waitingBySubject.remove(waitingBySubject.keySet().iterator().next());
+        entryBySubject.remove(subject);
+        if (entryBySubject.size() >= MAX_ENTRIES) {
+            entryBySubject.remove(entryBySubject.keySet().iterator().next());
         }
-        waitingBySubject.put(subject, new Waiting(subject, rumor, nowNanos));
+        entryBySubject.put(subject, new Entry(subject, rumor, nowNanos));
     }
 
-    /** Drops news learned before {@code beforeNanos}. */
-    void dropOld(long beforeNanos) {
-        waitingBySubject.values().removeIf(waiting -> waiting.learnedNanos < beforeNanos);
+    /** Removes rumors added before {@code beforeNanos}. */
+    void removeAddedBefore(long beforeNanos) {
+        entryBySubject.values().removeIf(entry -> entry.addedNanos < beforeNanos);
     }
 
     boolean isEmpty() {
-        return waitingBySubject.isEmpty();
+        return entryBySubject.isEmpty();
     }
 
     /**
-     * Returns at most {@code count} pieces of news and counts them as told once more; those told
-     * {@code maxTold} times are dropped.
+     * Returns the {@code count} rumors sent least often and counts one more send of each; removes
+     * those sent {@code maxSends} times.
      */
-    List<Rumor> take(int count, int maxTold) {
-        if (waitingBySubject.isEmpty() || count <= 0) {
+    List<Rumor> take(int count, int maxSends) {
+        if (entryBySubject.isEmpty() || count <= 0) {
             return List.of();
         }
-        PriorityQueue<Waiting> mostTold = new PriorityQueue<>(Waiting::mostToldFirst);
-        for (Waiting waiting : waitingBySubject.values()) {
-            mostTold.add(waiting);
-            if (mostTold.size() > count) {
-                mostTold.poll();
+        PriorityQueue<Entry> leastSent = new PriorityQueue<>(Entry::mostSentFirst);
+        for (Entry entry : entryBySubject.values()) {
+            leastSent.add(entry);
+            if (leastSent.size() > count) {
+                leastSent.poll();
             }
         }
-        List<Rumor> taken = new ArrayList<>(mostTold.size());
-        for (Waiting waiting : mostTold) {
-            taken.add(waiting.rumor);
-            waiting.told++;
-            if (waiting.told >= maxTold) {
-                waitingBySubject.remove(waiting.subject);
+        List<Rumor> taken = new ArrayList<>(leastSent.size());
+        for (Entry entry : leastSent) {
+            taken.add(entry.rumor);
+            entry.sendCount++;
+            if (entry.sendCount >= maxSends) {
+                entryBySubject.remove(entry.subject);
             }
         }
         return taken;
--- a/src/main/java/org/orioleshed/membership/package-info.java
+++ b/src/main/java/org/orioleshed/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which entry hosts are alive: heartbeats at constant cost per host, suspicion before removal,
- * rumours that spread a change in a second or two.
+ * Membership of entry hosts: failure detection at constant cost per host, suspicion before removal,
+ * and gossip that propagates a change in one or two seconds.
  */
 package org.orioleshed.membership;
--- a/src/test/java/org/orioleshed/membership/MembershipCodecProperties.java
+++ b/src/test/java/org/orioleshed/membership/MembershipCodecProperties.java
@@ -15,7 +15,7 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of {@link MembershipCodec} and of how two words on a host are merged. */
+/** Properties of {@link MembershipCodec} and {@link Member#merge}. */
 class MembershipCodecProperties {
     private static final HostId HOST = new HostId("entry-1");
 
@@ -45,7 +45,7 @@
     }
 
     @Provide
-    Arbitrary<Member> wordsOnOneHost() {
+    Arbitrary<Member> recordsOfOneHost() {
         return Combinators.combine(
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.integers().between(0, 3),
@@ -77,30 +77,30 @@
         Arbitrary<List<Rumor>> hosts = host.list().ofMaxSize(4);
         Arbitrary<List<Rumor>> rumors =
                 Combinators.combine(hosts, mark.list().ofMaxSize(2))
-                        .as(MembershipCodecProperties::joined);
+                        .as(MembershipCodecProperties::concat);
         Arbitrary<Long> number = Arbitraries.longs();
         return Arbitraries.oneOf(
                 Combinators.combine(number, number, rumors).as(MembershipMessage.Ping::new),
                 Combinators.combine(number, number, rumors).as(MembershipMessage.Ack::new),
                 Combinators.combine(number, Arbitraries.of("a", "b").map(HostId::new))
-                        .as(MembershipMessage.PingWanted::new),
-                rumors.map(MembershipMessage.News::new),
+                        .as(MembershipMessage.PingRequest::new),
+                rumors.map(MembershipMessage.Update::new),
                 Combinators.combine(rumors, Arbitraries.of(true, false))
                         .as(MembershipMessage.View::new));
     }
 
-    private static List<Rumor> joined(List<Rumor> first, List<Rumor> second) {
+    private static List<Rumor> concat(List<Rumor> first, List<Rumor> second) {
         return java.util.stream.Stream.concat(first.stream(), second.stream()).toList();
     }
 
     @Property(seed = "1")
-    void aMessageComesBackAsItWas(@ForAll("messages") MembershipMessage message)
+    void encodedMessageDecodesToAnEqualMessage(@ForAll("messages") MembershipMessage message)
             throws BadMessageException {
         assertEquals(codec.decode(codec.encode(message)), message);
     }
 
     @Property(seed = "2")
-    void anyBytesGiveAMessageOrATypedError(@ForAll byte[] bytes) {
+    void arbitraryBytesDecodeOrThrowBadMessageException(@ForAll byte[] bytes) {
         try {
             codec.decode(bytes);
         } catch (BadMessageException e) {
@@ -109,10 +109,10 @@
     }
 
     @Property(seed = "3")
-    void theOrderInWhichWordsArriveDoesNotMatter(
-            @ForAll("wordsOnOneHost") Member a,
-            @ForAll("wordsOnOneHost") Member b,
-            @ForAll("wordsOnOneHost") Member c) {
+    void mergeIsCommutativeAssociativeAndIdempotent(
+            @ForAll("recordsOfOneHost") Member a,
+            @ForAll("recordsOfOneHost") Member b,
+            @ForAll("recordsOfOneHost") Member c) {
         assertEquals(a.merge(b), b.merge(a));
         assertEquals(a.merge(b).merge(c), a.merge(b.merge(c)));
         assertEquals(a.merge(a), a);
--- a/src/test/java/org/orioleshed/membership/SteppedFleet.java
+++ b/src/test/java/org/orioleshed/membership/SteppedFleet.java
@@ -16,7 +16,7 @@
 import org.orioleshed.model.Payload;
 import org.orioleshed.peer.BadMessageException;
 
-/** Membership machines joined by lossy links, on a clock that the test steps. */
+/** A simulated fleet of {@link Membership} instances with lossy links and a stepped clock. */
 final class SteppedFleet {
     static final long STEP_MILLIS = 10;
     private static final long STEP_NANOS = STEP_MILLIS * 1_000_000;
@@ -24,18 +24,18 @@
     private static final int STEPS_PER_CHECK = 5;
     private static final int FRAME_BYTES = 40;
 
-    private record Letter(HostId from, HostId to, Payload body) {}
+    private record Envelope(HostId from, HostId to, Payload body) {}
 
     final Map<HostId, Membership> hosts = new LinkedHashMap<>();
     final Set<HostId> stopped = new HashSet<>();
     final Map<HostId, Long> bytesSent = new LinkedHashMap<>();
     int deaths;
-    double loss;
-    BiPredicate<HostId, HostId> cut = (from, to) -> false;
+    double lossProbability;
+    BiPredicate<HostId, HostId> isPartitioned = (from, to) -> false;
     private final List<MembershipEvent.Seed> seeds = new ArrayList<>();
     private final MembershipCodec codec = new MembershipCodec();
     private final Random random;
-    private List<Letter> letters = new ArrayList<>();
+    private List<Envelope> inFlight = new ArrayList<>();
     private long step;
 
     SteppedFleet(int size, long seed) {
@@ -56,7 +56,7 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), 10_000 + i);
     }
 
-    /** Starts a host anew. */
+    /** Starts or restarts a host. */
     void start(int i, long incarnation) {
         FailureDomain domain = new FailureDomain("domain-" + i % 4);
         Member self =
@@ -64,13 +64,13 @@
         RandomGenerator hostRandom = new Random(random.nextLong());
         hosts.put(id(i), new Membership(self, MembershipOptions.DEFAULT, hostRandom));
         stopped.remove(id(i));
-        act(id(i), new MembershipEvent.Seeded(seeds));
+        apply(id(i), new MembershipEvent.Seeded(seeds));
     }
 
-    void act(HostId host, MembershipEvent event) {
+    void apply(HostId host, MembershipEvent event) {
         for (MembershipAction action : hosts.get(host).on(nowNanos(), event)) {
             switch (action) {
-                case MembershipAction.Send send -> post(host, send);
+                case MembershipAction.Send send -> transmit(host, send);
                 case MembershipAction.Died died -> deaths++;
                 case MembershipAction.Locate locate -> {}
                 case MembershipAction.ViewChanged changed -> {}
@@ -78,11 +78,11 @@
         }
     }
 
-    private void post(HostId from, MembershipAction.Send send) {
+    private void transmit(HostId from, MembershipAction.Send send) {
         byte[] body = codec.encode(send.message());
         bytesSent.merge(from, (long) body.length + FRAME_BYTES, Long::sum);
-        if (random.nextDouble() >= loss && !cut.test(from, send.to())) {
-            letters.add(new Letter(from, send.to(), Payload.of(body)));
+        if (random.nextDouble() >= lossProbability && !isPartitioned.test(from, send.to())) {
+            inFlight.add(new Envelope(from, send.to(), Payload.of(body)));
         }
     }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Steps until {@code done}, and returns the time that took, in milliseconds. */
+    /** Steps until {@code done} or the limit; returns the simulated time taken, in milliseconds. */
     long runUntil(java.util.function.BooleanSupplier done, long limitMillis) {
         long start = nowMillis();
         while (nowMillis() - start < limitMillis) {
@@ -115,30 +115,32 @@
 
     private void step() {
         step++;
-        List<Letter> arriving = letters;
-        letters = new ArrayList<>();
-        for (Letter letter : arriving) {
-            if (hosts.containsKey(letter.to()) && !stopped.contains(letter.to())) {
-                act(letter.to(), new MembershipEvent.Received(letter.from(), decode(letter)));
+        List<Envelope> arrived = inFlight;
+        inFlight = new ArrayList<>();
+        for (Envelope envelope : arrived) {
+            if (hosts.containsKey(envelope.to()) && !stopped.contains(envelope.to())) {
+                apply(
+                        envelope.to(),
+                        new MembershipEvent.Received(envelope.from(), decode(envelope)));
             }
         }
-        int place = 0;
+        int index = 0;
         for (HostId host : List.copyOf(hosts.keySet())) {
-            if (step % STEPS_PER_TICK == place++ % STEPS_PER_TICK && !stopped.contains(host)) {
-                act(host, new MembershipEvent.Tick());
+            if (step % STEPS_PER_TICK == index++ % STEPS_PER_TICK && !stopped.contains(host)) {
+                apply(host, new MembershipEvent.Tick());
             }
         }
     }
 
-    private MembershipMessage decode(Letter letter) {
+    private MembershipMessage decode(Envelope envelope) {
         try {
-            return codec.decode(letter.body().toBytes());
+            return codec.decode(envelope.body().toBytes());
         } catch (BadMessageException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Returns whether every running host holds {@code count} hosts to be in the fleet. */
+    /** Returns whether the view of every running host contains {@code count} hosts. */
     boolean allSee(int count) {
         for (Map.Entry<HostId, Membership> host : hosts.entrySet()) {
             if (!stopped.contains(host.getKey()) && host.getValue().members().size() != count) {
@@ -148,7 +150,7 @@
         return true;
     }
 
-    /** Returns whether every running host holds {@code id} to be leaving, or gone. */
+    /** Returns whether every host sees {@code id} as leaving or not at all. */
     boolean allSeeLeaving(HostId id) {
         for (Membership host : hosts.values()) {
             for (Member member : host.members()) {
