--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -227,7 +227,8 @@
                                 send.to(),
                                 MessageKind.MEMBERSHIP,
                                 membershipCodec.encode(send.message()));
-                case MembershipAction.Locate locate -> peers.know(locate.host(), locate.address());
+                case MembershipAction.Locate locate ->
+                        peers.setAddress(locate.host(), locate.address());
                 case MembershipAction.Died died ->
                         logger.atWarning().log("event=host_dead host=%s", died.host());
                 case MembershipAction.ViewChanged changed -> viewChanged();
--- a/src/main/java/org/orioleshed/gateway/FleetView.java
+++ b/src/main/java/org/orioleshed/gateway/FleetView.java
@@ -110,7 +110,8 @@
             switch (action) {
                 case MembershipAction.Send send ->
                         peers.send(send.to(), MessageKind.MEMBERSHIP, codec.encode(send.message()));
-                case MembershipAction.Locate locate -> peers.know(locate.host(), locate.address());
+                case MembershipAction.Locate locate ->
+                        peers.setAddress(locate.host(), locate.address());
                 case MembershipAction.Died died -> {
                     changed = true;
                     vanishedNanos.put(died.host(), clock.getAsLong());
--- a/src/main/java/org/orioleshed/peer/AcceptHandler.java
+++ b/src/main/java/org/orioleshed/peer/AcceptHandler.java
@@ -5,7 +5,7 @@
 import org.orioleshed.wire.PeerWire.Frame;
 import org.orioleshed.wire.PeerWire.Hello;
 
-/** The answering side of one connection: passes new frames on and acknowledges all. */
+/** The accepting side of one connection: delivers new frames and acknowledges all frames. */
 final class AcceptHandler extends FrameHandler {
     private final long incarnation;
     private final ReceiveWindows windows;
@@ -14,7 +14,7 @@
     private Hello hello;
     private HostId from;
     private ReceiveWindow window;
-    private int unacknowledged;
+    private int unacknowledgedFrames;
 
     AcceptHandler(
             long incarnation,
@@ -36,26 +36,28 @@
         }
     }
 
-    private void open(Channel channel, Hello said) {
-        if (hello != null || said.getProtocol() != PeerLane.PROTOCOL || said.getHost().isBlank()) {
+    private void open(Channel channel, Hello received) {
+        if (hello != null
+                || received.getProtocol() != PeerLane.PROTOCOL
+                || received.getHost().isBlank()) {
             channel.close();
             return;
         }
-        hello = said;
-        from = new HostId(said.getHost());
-        window = windows.of(from, said.getLane());
-        long received = window.open(said.getIncarnation());
-        if (received == ReceiveWindow.STALE) {
+        hello = received;
+        from = new HostId(received.getHost());
+        window = windows.of(from, received.getLane());
+        long lastSequence = window.open(received.getIncarnation());
+        if (lastSequence == ReceiveWindow.STALE) {
             channel.close();
             return;
         }
-        Hello answer =
+        Hello reply =
                 Hello.newBuilder()
                         .setProtocol(PeerLane.PROTOCOL)
                         .setIncarnation(incarnation)
-                        .setReceived(received)
+                        .setReceived(lastSequence)
                         .build();
-        write(channel, Frame.newBuilder().setKind(Frame.Kind.HELLO).setHello(answer).build());
+        write(channel, Frame.newBuilder().setKind(Frame.Kind.HELLO).setHello(reply).build());
     }
 
     private void deliver(Channel channel, Frame frame) {
@@ -67,8 +69,8 @@
         if (window.accept(hello.getIncarnation(), frame.getSequence())) {
             listener.received(from, kind, frame.getBody().toByteArray());
         }
-        unacknowledged++;
-        if (unacknowledged >= acknowledgeEveryFrames) {
+        unacknowledgedFrames++;
+        if (unacknowledgedFrames >= acknowledgeEveryFrames) {
             acknowledge(channel);
         }
     }
@@ -77,10 +79,10 @@
         if (window == null) {
             return;
         }
-        unacknowledged = 0;
-        long received = window.lastSequence();
+        unacknowledgedFrames = 0;
+        long lastSequence = window.lastSequence();
         write(
                 channel,
-                Frame.newBuilder().setKind(Frame.Kind.ALIVE).setAcknowledged(received).build());
+                Frame.newBuilder().setKind(Frame.Kind.ALIVE).setAcknowledged(lastSequence).build());
     }
 }
--- a/src/main/java/org/orioleshed/peer/BadMessageException.java
+++ b/src/main/java/org/orioleshed/peer/BadMessageException.java
@@ -1,17 +1,24 @@
 package org.orioleshed.peer;
 
-/**
- * Thrown for bytes from a peer that are no valid message. The link drops the message and counts it.
- */
+/** Thrown when bytes from a peer are not a valid message. The link drops and counts the message. */
 public final class BadMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one with a sentence on what is wrong. */
+    /**
+     * Creates an exception.
+     *
+     * @param message what is wrong with the bytes
+     */
     public BadMessageException(String message) {
         super(message);
     }
 
-    /** Makes one for an error of the codec library. */
+    /**
+     * Creates an exception for an error of the codec library.
+     *
+     * @param message what is wrong with the bytes
+     * @param cause the error
+     */
     public BadMessageException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/org/orioleshed/peer/FrameHandler.java
+++ b/src/main/java/org/orioleshed/peer/FrameHandler.java
@@ -12,29 +12,29 @@
 import io.netty.handler.flush.FlushConsolidationHandler;
 import org.orioleshed.wire.PeerWire.Frame;
 
-/** Turns a connection's bytes into frames; closes it at the first that is none. */
+/** Decodes the frames of a connection; closes the connection at the first invalid frame. */
 abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final int LENGTH_BYTES = 4;
 
-    /** Frames that wait on a busy connection are sent in one system call, up to this many. */
-    private static final int FLUSHES_AT_ONCE = 256;
+    /** Up to this many frames queued on a busy connection are flushed in one system call. */
+    private static final int MAX_CONSOLIDATED_FLUSHES = 256;
 
-    /** Sets up a channel with length-limited frames and {@code handler} behind them. */
+    /** Installs length-prefixed framing with a size limit on a channel, followed by a handler. */
     static void install(Channel channel, int maxFrameBytes, FrameHandler handler) {
         ChannelPipeline pipeline = channel.pipeline();
-        pipeline.addLast(new FlushConsolidationHandler(FLUSHES_AT_ONCE, true));
+        pipeline.addLast(new FlushConsolidationHandler(MAX_CONSOLIDATED_FLUSHES, true));
         pipeline.addLast(
                 new LengthFieldBasedFrameDecoder(maxFrameBytes, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
         pipeline.addLast(handler);
     }
 
-    /** Writes a frame; the channel's own thread sends it. */
+    /** Writes and flushes a frame on the channel's event loop; does not block. */
     static void write(Channel channel, Frame frame) {
         channel.writeAndFlush(Unpooled.wrappedBuffer(frame.toByteArray()), channel.voidPromise());
     }
 
-    /** Takes a frame. */
+    /** Handles a received frame. */
     abstract void onFrame(Channel channel, Frame frame);
 
     @Override
--- a/src/main/java/org/orioleshed/peer/FrameKinds.java
+++ b/src/main/java/org/orioleshed/peer/FrameKinds.java
@@ -2,7 +2,7 @@
 
 import org.orioleshed.wire.PeerWire.Frame;
 
-/** Maps message kinds to the numbers on the wire. */
+/** Maps message kinds to frame kinds on the wire. */
 final class FrameKinds {
     private FrameKinds() {}
 
@@ -18,7 +18,7 @@
         };
     }
 
-    /** Returns the kind, or null for a frame that carries no message. */
+    /** Returns the message kind, or null for a frame that carries no message. */
     static MessageKind kind(Frame.Kind wire) {
         return switch (wire) {
             case ROUTING -> MessageKind.ROUTING;
--- a/src/main/java/org/orioleshed/peer/MessageCodec.java
+++ b/src/main/java/org/orioleshed/peer/MessageCodec.java
@@ -1,18 +1,18 @@
 package org.orioleshed.peer;
 
 /**
- * Turns one family of messages into bytes and back.
+ * Encodes one family of messages as bytes and decodes them.
  *
  * @param <T> the sealed type of the messages
  */
 public interface MessageCodec<T> {
-    /** Returns the bytes of {@code message}. */
+    /** Returns the encoded form of {@code message}. */
     byte[] encode(T message);
 
     /**
-     * Returns the message in {@code bytes}.
+     * Returns the message that {@code bytes} encode.
      *
-     * @throws BadMessageException when the bytes are no such message
+     * @throws BadMessageException if the bytes are not a valid message of this family
      */
     T decode(byte[] bytes) throws BadMessageException;
 }
--- a/src/main/java/org/orioleshed/peer/MessageKind.java
+++ b/src/main/java/org/orioleshed/peer/MessageKind.java
@@ -10,7 +10,7 @@
     MEMBERSHIP,
     /** Settings and their revisions. */
     SETTINGS,
-    /** Evidence and fuses of moves. */
+    /** Evidence and circuit breakers of rollouts. */
     MOVE,
     /** {@link org.orioleshed.dispatch.DispatchMessage}. */
     DISPATCH,
--- a/src/main/java/org/orioleshed/peer/PeerLane.java
+++ b/src/main/java/org/orioleshed/peer/PeerLane.java
@@ -10,8 +10,8 @@
 import org.orioleshed.wire.PeerWire.Hello;
 
 /**
- * One lane of a link to a peer: dials, repeats after a break what was not acknowledged, and
- * replaces a connection that went silent. All methods may be called from any thread.
+ * One lane of a link to a peer: connects, resends unacknowledged frames after a connection loss,
+ * and replaces a silent connection. Thread-safe.
  */
 final class PeerLane {
     /** The version of the protocol between entry hosts. */
@@ -23,22 +23,22 @@
     private final SendWindow window;
     private InetSocketAddress address;
     private Channel channel;
-    private boolean dialling;
+    private boolean connecting;
     private boolean open;
-    private long lastHeardNanos;
+    private long lastReceivedNanos;
     private long lastUsedNanos;
 
-    /** When frames began to wait for their acknowledgement after none did. */
-    private long waitingSinceNanos;
+    /** The time when a frame was sent while no other frame was unacknowledged. */
+    private long unacknowledgedSinceNanos;
 
     private long downSinceNanos;
-    private long nextDialNanos;
+    private long nextConnectNanos;
 
-    /** The incarnation of the process that answered last; zero when none did. */
-    private long receiver;
+    /** The incarnation of the process that replied last; zero before the first reply. */
+    private long receiverIncarnation;
 
-    /** The highest number written to that process. */
-    private long writtenSequence;
+    /** The highest sequence number written to that process. */
+    private long lastWrittenSequence;
 
     PeerLane(
             Hello hello,
@@ -52,14 +52,14 @@
         this.address = address;
         this.window = new SendWindow(limits.maxPendingBytes());
         this.downSinceNanos = nowNanos;
-        this.nextDialNanos = nowNanos;
+        this.nextConnectNanos = nowNanos;
     }
 
-    /** Sends a message or keeps it for the connection under way; false when it is dropped. */
+    /** Sends a message, or queues it until connected; returns false if it is dropped. */
     synchronized boolean send(Frame.Kind kind, byte[] body, long nowNanos) {
         if (!open
                 && !window.isEmpty()
-                && millis(nowNanos - downSinceNanos) > limits.giveUpMillis()) {
+                && millis(nowNanos - downSinceNanos) > limits.maxDownMillis()) {
             return false;
         }
         boolean first = window.isEmpty();
@@ -68,57 +68,58 @@
             return false;
         }
         if (first) {
-            waitingSinceNanos = nowNanos;
+            unacknowledgedSinceNanos = nowNanos;
         }
         lastUsedNanos = nowNanos;
         if (open) {
-            writtenSequence = frame.getSequence();
+            lastWrittenSequence = frame.getSequence();
             FrameHandler.write(channel, frame);
         } else {
-            dial(nowNanos);
+            connect(nowNanos);
         }
         return true;
     }
 
-    /** Takes the peer's present address. */
-    synchronized void moveTo(InetSocketAddress newAddress) {
+    /** Sets the peer's address; a new address closes the connection to the old one. */
+    synchronized void setAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             address = newAddress;
-            drop(System.nanoTime());
+            disconnect(System.nanoTime());
         }
     }
 
     /**
-     * Asks for what is not acknowledged, gives up a connection that stays silent to that, redials;
-     * to be called at the alive interval. A connection on which nothing waits costs nothing.
+     * Requests outstanding acknowledgements, closes a silent or idle connection and reconnects.
+     * Must be called at the acknowledgement request interval. Sends nothing if no frames are
+     * pending.
      */
     synchronized void tick(long nowNanos) {
         if (open && isSilent(nowNanos)) {
-            drop(nowNanos);
+            disconnect(nowNanos);
         }
-        if (open && millis(nowNanos - lastUsedNanos) > limits.idleMillis()) {
-            drop(nowNanos);
+        if (open && millis(nowNanos - lastUsedNanos) > limits.idleTimeoutMillis()) {
+            disconnect(nowNanos);
         }
         if (open) {
-            askForAcknowledgement();
+            requestAcknowledgement();
             return;
         }
         if (window.isEmpty()) {
             downSinceNanos = nowNanos;
             return;
         }
-        if (millis(nowNanos - downSinceNanos) > limits.giveUpMillis()) {
+        if (millis(nowNanos - downSinceNanos) > limits.maxDownMillis()) {
             window.clear();
         }
-        dial(nowNanos);
+        connect(nowNanos);
     }
 
     private boolean isSilent(long nowNanos) {
-        long sinceNanos = nowNanos - Math.max(lastHeardNanos, waitingSinceNanos);
-        return !window.isEmpty() && millis(sinceNanos) > limits.silenceMillis();
+        long sinceNanos = nowNanos - Math.max(lastReceivedNanos, unacknowledgedSinceNanos);
+        return !window.isEmpty() && millis(sinceNanos) > limits.silenceTimeoutMillis();
     }
 
-    private void askForAcknowledgement() {
+    private void requestAcknowledgement() {
         if (!window.isEmpty()) {
             FrameHandler.write(channel, Frame.newBuilder().setKind(Frame.Kind.ALIVE).build());
         }
@@ -130,13 +131,13 @@
         }
     }
 
-    private void dial(long nowNanos) {
-        if (dialling || nowNanos < nextDialNanos) {
+    private void connect(long nowNanos) {
+        if (connecting || nowNanos < nextConnectNanos) {
             return;
         }
-        dialling = true;
-        nextDialNanos = nowNanos + limits.redialMillis() * 1_000_000L;
-        ChannelFuture connect =
+        connecting = true;
+        nextConnectNanos = nowNanos + limits.reconnectDelayMillis() * 1_000_000L;
+        ChannelFuture future =
                 bootstrap
                         .clone()
                         .handler(
@@ -144,64 +145,70 @@
                                     @Override
                                     protected void initChannel(SocketChannel socket) {
                                         FrameHandler.install(
-                                                socket, limits.maxFrameBytes(), new DialHandler());
+                                                socket,
+                                                limits.maxFrameBytes(),
+                                                new ConnectHandler());
                                     }
                                 })
                         .connect(address);
-        connect.addListener(done -> connected(connect));
+        future.addListener(completed -> onConnected(future));
     }
 
-    private synchronized void connected(ChannelFuture connect) {
-        dialling = false;
-        if (!connect.isSuccess()) {
+    private synchronized void onConnected(ChannelFuture future) {
+        connecting = false;
+        if (!future.isSuccess()) {
             return;
         }
         if (channel != null) {
             channel.close();
         }
-        channel = connect.channel();
-        lastHeardNanos = System.nanoTime();
+        channel = future.channel();
+        lastReceivedNanos = System.nanoTime();
         FrameHandler.write(
                 channel, Frame.newBuilder().setKind(Frame.Kind.HELLO).setHello(hello).build());
     }
 
-    private synchronized void heard(Channel from, Frame frame) {
+    private synchronized void onFrameReceived(Channel from, Frame frame) {
         if (from != channel) {
             return;
         }
-        lastHeardNanos = System.nanoTime();
+        lastReceivedNanos = System.nanoTime();
         if (frame.getKind() == Frame.Kind.HELLO) {
             window.acknowledge(frame.getHello().getReceived());
-            meet(frame.getHello().getIncarnation());
+            onHello(frame.getHello().getIncarnation());
             open = true;
-            writtenSequence = window.lastSequence();
+            lastWrittenSequence = window.lastSequence();
             window.unacknowledged().forEach(pending -> FrameHandler.write(channel, pending));
             return;
         }
         window.acknowledge(frame.getAcknowledged());
     }
 
-    /** What was written to a process on runs and places means nothing to the one after it. */
-    private void meet(long answering) {
-        if (receiver != 0 && answering != receiver) {
-            window.forget(writtenSequence, FrameKinds.wire(MessageKind.ROUTING));
+    /**
+     * Records the incarnation of the peer process. Routing messages written to a previous process
+     * are about its runs and slots, and are not resent to its successor.
+     */
+    private void onHello(long incarnation) {
+        if (receiverIncarnation != 0 && incarnation != receiverIncarnation) {
+            window.remove(lastWrittenSequence, FrameKinds.wire(MessageKind.ROUTING));
         }
-        receiver = answering;
+        receiverIncarnation = incarnation;
     }
 
-    private synchronized void closed(Channel which) {
-        if (which != channel) {
+    private synchronized void onClosed(Channel closed) {
+        if (closed != channel) {
             return;
         }
         long nowNanos = System.nanoTime();
-        drop(nowNanos);
+        disconnect(nowNanos);
         if (!window.isEmpty()) {
-            // The peer may be back already; what waits should not wait for the next tick.
-            dial(nowNanos);
+            // Reconnects without waiting for the next tick, as the peer may accept connections
+            // already.
+            connect(nowNanos);
         }
     }
 
-    private void drop(long nowNanos) {
+    private void disconnect(long nowNanos) {
         Channel old = channel;
         channel = null;
         if (open) {
@@ -217,15 +224,15 @@
         return nanos / 1_000_000;
     }
 
-    private final class DialHandler extends FrameHandler {
+    private final class ConnectHandler extends FrameHandler {
         @Override
         void onFrame(Channel from, Frame frame) {
-            heard(from, frame);
+            onFrameReceived(from, frame);
         }
 
         @Override
         public void channelInactive(io.netty.channel.ChannelHandlerContext context) {
-            closed(context.channel());
+            onClosed(context.channel());
         }
     }
 }
--- a/src/main/java/org/orioleshed/peer/PeerNetwork.java
+++ b/src/main/java/org/orioleshed/peer/PeerNetwork.java
@@ -20,8 +20,8 @@
 import org.orioleshed.wire.PeerWire.Hello;
 
 /**
- * Links to all peers: small messages on one connection, large ones on another, so that neither
- * holds up the other.
+ * Links to all peers. Small and large messages use separate connections, so that neither delays the
+ * other.
  */
 public final class PeerNetwork implements PeerPort, AutoCloseable {
     private static final int SMALL_LANE = 0;
@@ -34,7 +34,7 @@
     private final long incarnation;
     private final PeerLimits limits;
     private final EventLoopGroup group;
-    private final Bootstrap dialler;
+    private final Bootstrap clientBootstrap;
     private final Channel server;
     private final Map<HostId, Link> links = new ConcurrentHashMap<>();
     private final LongAdder sentBytes = new LongAdder();
@@ -49,7 +49,7 @@
     /**
      * Listens on {@code listen} and passes messages to {@code listener}.
      *
-     * @throws IllegalStateException when the address can't be listened on
+     * @throws IllegalStateException if the address cannot be bound
      */
     public PeerNetwork(
             HostId self,
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Listens on {@code listen}, works on the threads of {@code group}, and shuts them down when it
-     * is closed.
+     * Listens on {@code listen}, using the threads of {@code group}, and shuts the group down on
+     * {@link #close}.
      *
-     * @throws IllegalStateException when the address can't be listened on
+     * @throws IllegalStateException if the address cannot be bound
      */
     public PeerNetwork(
             HostId self,
@@ -83,7 +83,7 @@
         this.self = self;
         this.incarnation = incarnation;
         this.limits = limits;
-        this.dialler =
+        this.clientBootstrap =
                 new Bootstrap()
                         .group(group)
                         .channel(NioSocketChannel.class)
@@ -93,8 +93,8 @@
         var unused =
                 group.scheduleWithFixedDelay(
                         this::tick,
-                        limits.aliveIntervalMillis(),
-                        limits.aliveIntervalMillis(),
+                        limits.ackRequestIntervalMillis(),
+                        limits.ackRequestIntervalMillis(),
                         TimeUnit.MILLISECONDS);
     }
 
@@ -129,15 +129,15 @@
     }
 
     @Override
-    public void know(HostId host, InetSocketAddress address) {
+    public void setAddress(HostId host, InetSocketAddress address) {
         if (host.equals(self)) {
             return;
         }
         Link link =
                 links.computeIfAbsent(
                         host, key -> new Link(lane(SMALL_LANE, address), lane(BULK_LANE, address)));
-        link.small().moveTo(address);
-        link.bulk().moveTo(address);
+        link.small().setAddress(address);
+        link.bulk().setAddress(address);
     }
 
     private PeerLane lane(int number, InetSocketAddress address) {
@@ -148,31 +148,31 @@
                         .setIncarnation(incarnation)
                         .setLane(number)
                         .build();
-        return new PeerLane(hello, limits, dialler, address, System.nanoTime());
+        return new PeerLane(hello, limits, clientBootstrap, address, System.nanoTime());
     }
 
     @Override
     public boolean send(HostId to, MessageKind kind, byte[] body) {
         Link link = links.get(to);
-        boolean taken =
+        boolean accepted =
                 link != null
                         && body.length < limits.maxFrameBytes() / 2
                         && link.lane(body.length, limits.bulkBytes())
                                 .send(FrameKinds.wire(kind), body, System.nanoTime());
-        if (taken) {
+        if (accepted) {
             sentBytes.add(body.length);
         } else {
             droppedMessages.increment();
         }
-        return taken;
+        return accepted;
     }
 
-    /** Returns the bytes of messages sent since the start. */
+    /** Returns the total size of the messages accepted for sending since the start, in bytes. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
-    /** Returns the messages dropped since the start. */
+    /** Returns the number of messages that {@link #send} dropped since the start. */
     public long droppedMessages() {
         return droppedMessages.sum();
     }
--- a/src/main/java/org/orioleshed/peer/PeerPort.java
+++ b/src/main/java/org/orioleshed/peer/PeerPort.java
@@ -8,14 +8,14 @@
  * blocks.
  */
 public interface PeerPort {
-    /** States where a host takes peer connections. A later word replaces an earlier one. */
-    void know(HostId host, InetSocketAddress address);
+    /** Sets the address where a host accepts peer connections; replaces an earlier address. */
+    void setAddress(HostId host, InetSocketAddress address);
 
     /**
      * Sends a message.
      *
-     * @return false when the message was dropped at once: host unknown, link down or link's queue
-     *     full
+     * @return false if the message was dropped at once: the host is unknown, the link is down, the
+     *     link's window is full or the message is too large
      */
     boolean send(HostId to, MessageKind kind, byte[] body);
 }
--- a/src/main/java/org/orioleshed/peer/ReceiveWindow.java
+++ b/src/main/java/org/orioleshed/peer/ReceiveWindow.java
@@ -1,8 +1,8 @@
 package org.orioleshed.peer;
 
-/** Tells new frames of one lane from repeated ones. */
+/** Filters out repeated frames of one lane. */
 final class ReceiveWindow {
-    /** The answer to a sender that has been replaced. */
+    /** Returned to a sender whose incarnation has been superseded. */
     static final long STALE = -1;
 
     private long incarnation;
@@ -11,8 +11,8 @@
     /**
      * Opens the window for a connection of the sender's {@code incarnation}.
      *
-     * @return the highest number received from that incarnation, or -1 when a later one is known
-     *     already
+     * @return the highest sequence number received from that incarnation, or {@link #STALE} if a
+     *     later incarnation has connected
      */
     synchronized long open(long senderIncarnation) {
         if (senderIncarnation < incarnation) {
@@ -25,7 +25,7 @@
         return lastSequence;
     }
 
-    /** Returns whether the frame is new; a repeated one is false. */
+    /** Records a frame and returns true if it is new; false if it is repeated or stale. */
     synchronized boolean accept(long senderIncarnation, long sequence) {
         if (senderIncarnation != incarnation || sequence <= lastSequence) {
             return false;
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** Returns the highest number received. */
+    /** Returns the highest sequence number received. */
     synchronized long lastSequence() {
         return lastSequence;
     }
--- a/src/main/java/org/orioleshed/peer/ReceiveWindows.java
+++ b/src/main/java/org/orioleshed/peer/ReceiveWindows.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.orioleshed.model.HostId;
 
-/** The receive windows of all peers, which outlive their connections. */
+/** The receive windows of all peers and lanes; they outlive connections. */
 final class ReceiveWindows {
     private final Map<Key, ReceiveWindow> windows = new ConcurrentHashMap<>();
 
--- a/src/main/java/org/orioleshed/peer/SendWindow.java
+++ b/src/main/java/org/orioleshed/peer/SendWindow.java
@@ -7,10 +7,7 @@
 import java.util.List;
 import org.orioleshed.wire.PeerWire.Frame;
 
-/**
- * The frames of one lane that the other side has not acknowledged yet, so that a new connection can
- * repeat them.
- */
+/** The unacknowledged frames of one lane, kept so that a new connection can resend them. */
 final class SendWindow {
     private final int maxPendingBytes;
     private final Deque<Frame> pending = new ArrayDeque<>();
@@ -21,7 +18,7 @@
         this.maxPendingBytes = maxPendingBytes;
     }
 
-    /** Returns the numbered frame to send, or null when the window is full. */
+    /** Returns the frame to send, with its sequence number, or null if the window is full. */
     Frame add(Frame.Kind kind, byte[] body) {
         if (pendingBytes + body.length > maxPendingBytes) {
             return null;
@@ -38,15 +35,15 @@
         return frame;
     }
 
-    /** Forgets the frames up to {@code sequence}. */
+    /** Removes the frames up to {@code sequence}. */
     void acknowledge(long sequence) {
         while (!pending.isEmpty() && pending.peekFirst().getSequence() <= sequence) {
             pendingBytes -= pending.removeFirst().getBody().size();
         }
     }
 
-    /** Forgets the frames of one kind up to {@code sequence}. */
-    void forget(long sequence, Frame.Kind kind) {
+    /** Removes the frames of one kind up to {@code sequence}. */
+    void remove(long sequence, Frame.Kind kind) {
         Iterator<Frame> frames = pending.iterator();
         while (frames.hasNext()) {
             Frame frame = frames.next();
@@ -57,17 +54,17 @@
         }
     }
 
-    /** Returns the highest number given to a frame. */
+    /** Returns the highest sequence number assigned to a frame. */
     long lastSequence() {
         return lastSequence;
     }
 
-    /** Returns the frames to repeat on a new connection, in order. */
+    /** Returns the frames to resend on a new connection, in order. */
     List<Frame> unacknowledged() {
         return List.copyOf(pending);
     }
 
-    /** Drops all that waits and returns how many frames that were. */
+    /** Drops all pending frames and returns their number. */
     int clear() {
         int dropped = pending.size();
         pending.clear();
--- a/src/main/java/org/orioleshed/peer/package-info.java
+++ b/src/main/java/org/orioleshed/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between entry hosts: framed protobuf messages over Netty, one codec for each kind of
+ * Links between entry hosts: framed protobuf messages over Netty, with one codec for each kind of
  * message.
  */
 package org.orioleshed.peer;
--- a/src/test/java/org/orioleshed/control/ControlDutyTest.java
+++ b/src/test/java/org/orioleshed/control/ControlDutyTest.java
@@ -75,7 +75,7 @@
 
     private record Link(HostId self, Map<HostId, ControlDuty> duties) implements PeerPort {
         @Override
-        public void know(HostId host, InetSocketAddress address) {}
+        public void setAddress(HostId host, InetSocketAddress address) {}
 
         @Override
         public boolean send(HostId to, MessageKind kind, byte[] body) {
--- a/src/test/java/org/orioleshed/control/ControlFleet.java
+++ b/src/test/java/org/orioleshed/control/ControlFleet.java
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public void know(HostId host, InetSocketAddress address) {}
+        public void setAddress(HostId host, InetSocketAddress address) {}
 
         @Override
         public boolean send(HostId to, MessageKind kind, byte[] body) {
--- a/src/test/java/org/orioleshed/gateway/SteppedHost.java
+++ b/src/test/java/org/orioleshed/gateway/SteppedHost.java
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void know(HostId host, InetSocketAddress where) {}
+    public void setAddress(HostId host, InetSocketAddress where) {}
 
     @Override
     public boolean send(HostId to, MessageKind kind, byte[] body) {
--- a/src/test/java/org/orioleshed/peer/PeerNetworkTest.java
+++ b/src/test/java/org/orioleshed/peer/PeerNetworkTest.java
@@ -24,11 +24,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PeerNetwork} over loopback sockets. */
+/**
+ * Tests of {@link PeerNetwork} over loopback sockets: lost, repeated or delayed messages after
+ * silent connections, peer restarts and invalid bytes.
+ */
 public class PeerNetworkTest {
     private static final HostId A = new HostId("a");
     private static final HostId B = new HostId("b");
-    private static final long PATIENCE_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
 
     @DataProvider
     Object[][] sizes() {
@@ -43,65 +46,63 @@
         InetSocketAddress address = freeAddress();
         try (PeerNetwork b = network(B, address, received);
                 PeerNetwork a = network(A, freeAddress(), new LinkedBlockingQueue<>())) {
-            a.know(B, address);
+            a.setAddress(B, address);
             a.send(B, MessageKind.ROUTING, message);
-            assertEquals(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), message);
+            assertEquals(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), message);
             assertEquals(b.droppedMessages(), 0);
         }
         assertEquals(received.size(), 0);
     }
 
     @Test
-    public void unknownHostDropsTheMessage() throws Exception {
+    public void messageToUnknownHostIsDropped() throws Exception {
         try (PeerNetwork a = network(A, freeAddress(), new LinkedBlockingQueue<>())) {
             assertFalse(a.send(B, MessageKind.ROUTING, new byte[1]));
             assertEquals(a.droppedMessages(), 1);
         }
     }
 
-    /** The first connection swallows all that is sent and stays open; a new one works. */
+    /** The first connection discards all bytes but stays open; a new connection works. */
     @Test
-    public void connectionGoneSilentIsReplacedAndNothingIsLost() throws Exception {
+    public void silentConnectionIsReplacedWithoutMessageLoss() throws Exception {
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         InetSocketAddress address = freeAddress();
         try (PeerNetwork b = network(B, address, received);
                 SilencingProxy proxy = new SilencingProxy(address);
                 PeerNetwork a = network(A, freeAddress(), new LinkedBlockingQueue<>())) {
-            a.know(B, proxy.address());
+            a.setAddress(B, proxy.address());
             a.send(B, MessageKind.ROUTING, new byte[] {1});
-            assertNotNull(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertNotNull(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
             proxy.silence();
             a.send(B, MessageKind.ROUTING, new byte[] {2});
-            assertEquals(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), new byte[] {2});
+            assertEquals(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), new byte[] {2});
             assertEquals(received.size(), 0);
             assertEquals(b.droppedMessages(), 0);
         }
     }
 
-    /**
-     * Hundreds of hosts keep hundreds of connections, most of them without a message for seconds.
-     */
+    /** A fleet of hundreds of hosts has hundreds of connections, most of them idle for seconds. */
     @Test
-    public void connectionOnWhichNothingWaitsIsQuietAndStaysOpen() throws Exception {
+    public void connectionWithoutPendingFramesSendsNothingAndStaysOpen() throws Exception {
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         InetSocketAddress address = freeAddress();
         try (PeerNetwork b = network(B, address, received);
                 SilencingProxy proxy = new SilencingProxy(address);
                 PeerNetwork a = network(A, freeAddress(), new LinkedBlockingQueue<>())) {
-            a.know(B, proxy.address());
+            a.setAddress(B, proxy.address());
             a.send(B, MessageKind.ROUTING, new byte[] {1});
-            assertNotNull(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            proxy.awaitQuiet(2L * PeerLimits.DEFAULT.silenceMillis());
+            assertNotNull(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            proxy.awaitQuiet(2L * PeerLimits.DEFAULT.silenceTimeoutMillis());
             a.send(B, MessageKind.ROUTING, new byte[] {2});
-            assertEquals(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), new byte[] {2});
+            assertEquals(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), new byte[] {2});
             assertEquals(proxy.connections(), 1);
             assertEquals(b.droppedMessages(), 0);
         }
     }
 
-    /** The first process got the message and had no time to confirm it. */
+    /** The first process receives the messages but may stop before it acknowledges them. */
     @Test
-    public void messageOnARunIsNotRepeatedToTheNextProcess() throws Exception {
+    public void routingMessageIsNotResentToARestartedPeer() throws Exception {
         LinkedBlockingQueue<byte[]> before = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<byte[]> after = new LinkedBlockingQueue<>();
         InetSocketAddress address = freeAddress();
@@ -109,24 +110,24 @@
         try (PeerNetwork first = network(B, 1, address, before);
                 PeerNetwork second = network(B, 2, next, after);
                 PeerNetwork a = network(A, freeAddress(), new LinkedBlockingQueue<>())) {
-            a.know(B, address);
+            a.setAddress(B, address);
             a.send(B, MessageKind.ROUTING, new byte[] {1});
             a.send(B, MessageKind.REQUEST, new byte[] {2});
-            assertNotNull(before.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            assertNotNull(before.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            a.know(B, next);
+            assertNotNull(before.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertNotNull(before.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            a.setAddress(B, next);
             a.send(B, MessageKind.ROUTING, new byte[] {3});
-            byte[] got = after.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-            if (Arrays.equals(got, new byte[] {2})) {
-                got = after.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            byte[] delivered = after.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            if (Arrays.equals(delivered, new byte[] {2})) {
+                delivered = after.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
-            assertEquals(got, new byte[] {3});
+            assertEquals(delivered, new byte[] {3});
             assertEquals(first.droppedMessages() + second.droppedMessages(), 0);
         }
     }
 
     @Test
-    public void randomBytesCloseOnlyTheirConnection() throws Exception {
+    public void randomBytesCloseOnlyTheConnectionTheyArriveOn() throws Exception {
         LinkedBlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         InetSocketAddress address = freeAddress();
         try (PeerNetwork b = network(B, address, received);
@@ -137,12 +138,12 @@
                 try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                     socket.getOutputStream().write(garbage);
                 } catch (IOException e) {
-                    // The other end may close first.
+                    // The peer may close the connection first.
                 }
             }
-            a.know(B, address);
+            a.setAddress(B, address);
             a.send(B, MessageKind.MOVE, new byte[] {3});
-            assertEquals(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), new byte[] {3});
+            assertEquals(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS), new byte[] {3});
             assertEquals(b.droppedMessages(), 0);
         }
     }
@@ -171,7 +172,7 @@
         }
     }
 
-    /** Passes bytes on until told to swallow those of the connections open by then. */
+    /** A proxy that can discard all further bytes of the connections open at that moment. */
     private static final class SilencingProxy implements AutoCloseable {
         private final ServerSocket server =
                 new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
@@ -200,12 +201,14 @@
             return connections.get();
         }
 
-        /** Waits until no byte was passed on for a time. */
+        /** Waits until no byte has been received for {@code millis}. */
         void awaitQuiet(long millis) throws InterruptedException {
             long quietNanos = TimeUnit.MILLISECONDS.toNanos(millis);
-            long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+            long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
             while (System.nanoTime() - lastByteNanos < quietNanos) {
-                assertTrue(System.nanoTime() < endNanos, "bytes go on passing");
+                assertTrue(
+                        System.nanoTime() < endNanos,
+                        "bytes were still received after " + TIMEOUT_SECONDS + " s");
                 Thread.sleep(20);
             }
         }
@@ -213,19 +216,19 @@
         private void accept() {
             try {
                 while (true) {
-                    Socket near = server.accept();
+                    Socket inbound = server.accept();
                     connections.incrementAndGet();
-                    Socket far = new Socket(target.getAddress(), target.getPort());
-                    AtomicBoolean mine = silent;
-                    threads.execute(() -> copy(near, far, mine));
-                    threads.execute(() -> copy(far, near, mine));
+                    Socket outbound = new Socket(target.getAddress(), target.getPort());
+                    AtomicBoolean connectionSilent = silent;
+                    threads.execute(() -> copy(inbound, outbound, connectionSilent));
+                    threads.execute(() -> copy(outbound, inbound, connectionSilent));
                 }
             } catch (IOException e) {
-                // Closed.
+                // The server socket was closed.
             }
         }
 
-        private void copy(Socket from, Socket to, AtomicBoolean mute) {
+        private void copy(Socket from, Socket to, AtomicBoolean discard) {
             try (from;
                     to) {
                 InputStream in = from.getInputStream();
@@ -234,13 +237,13 @@
                 int read = in.read(buffer);
                 while (read >= 0) {
                     lastByteNanos = System.nanoTime();
-                    if (!mute.get()) {
+                    if (!discard.get()) {
                         out.write(buffer, 0, read);
                     }
                     read = in.read(buffer);
                 }
             } catch (IOException e) {
-                // One end closed.
+                // One side closed the connection.
             }
         }
 
--- a/src/test/java/org/orioleshed/peer/PeerWindowProperties.java
+++ b/src/test/java/org/orioleshed/peer/PeerWindowProperties.java
@@ -11,13 +11,17 @@
 import org.orioleshed.wire.PeerWire.Frame;
 
 /**
- * Properties of {@link SendWindow} and {@link ReceiveWindow} together, over connections that break.
+ * Properties of {@link SendWindow} and {@link ReceiveWindow} together when connections break: no
+ * message is lost, repeated or reordered.
  */
 class PeerWindowProperties {
     private static final int MAX_BYTES = 1 << 16;
     private static final long INCARNATION = 7;
 
-    /** Each step sends one message; its value says how the connection fares after it. */
+    /**
+     * Each step sends one message. 0: delivered; 1: delivered and acknowledged; 2: connection
+     * broken, and the acknowledgement in the next hello lost; 3: connection broken.
+     */
     @Property(seed = "2026", tries = 500)
     void everyMessageArrivesOnceAndInOrder(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(max = 3) Integer> steps) {
@@ -45,8 +49,8 @@
     }
 
     /**
-     * A frame that arrives after a lost one can't be on the same connection, so the model never
-     * skips one there.
+     * Delivers a frame only if no earlier frame was lost: a connection never delivers a frame after
+     * a lost one.
      */
     private static void deliver(ReceiveWindow receiver, Frame frame, List<Integer> delivered) {
         if (frame.getSequence() == receiver.lastSequence() + 1
--- a/src/test/java/org/orioleshed/peer/PeerWindowTest.java
+++ b/src/test/java/org/orioleshed/peer/PeerWindowTest.java
@@ -12,7 +12,7 @@
 /** Tests of {@link SendWindow} and {@link ReceiveWindow}. */
 public class PeerWindowTest {
     @Test
-    public void fullWindowRefusesUntilAcknowledged() {
+    public void fullWindowRejectsFramesUntilAcknowledged() {
         SendWindow window = new SendWindow(10);
         assertNotNull(window.add(Frame.Kind.ROUTING, new byte[10]));
         assertNull(window.add(Frame.Kind.ROUTING, new byte[1]));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    public void restartedSenderStartsItsNumbersAgain() {
+    public void restartedSenderRestartsItsSequenceNumbers() {
         ReceiveWindow window = new ReceiveWindow();
         window.open(1);
         assertTrue(window.accept(1, 5));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void replacedSenderIsNotHeardAgain() {
+    public void framesOfASupersededIncarnationAreRejected() {
         ReceiveWindow window = new ReceiveWindow();
         window.open(2);
         assertEquals(window.open(1), ReceiveWindow.STALE);
