--- a/src/main/java/org/orioleshed/control/MoveDriver.java
+++ b/src/main/java/org/orioleshed/control/MoveDriver.java
@@ -226,7 +226,7 @@
                     new MoveEvent.SwapAnswer.Conflict(
                             conflict.present().map(Store.Entry::value),
                             conflict.present().map(Store.Entry::revision).orElse(0L));
-            case Store.Result.Away away -> new MoveEvent.SwapAnswer.Away(away.detail());
+            case Store.Result.Unavailable away -> new MoveEvent.SwapAnswer.Away(away.detail());
             case Store.Result.Unknown unknown -> new MoveEvent.SwapAnswer.Unknown(unknown.detail());
             case Store.Result.Entries entries -> new MoveEvent.SwapAnswer.Unknown("entries");
             case Store.Result.Lease lease -> new MoveEvent.SwapAnswer.Unknown("a lease");
--- a/src/main/java/org/orioleshed/control/MoveWrite.java
+++ b/src/main/java/org/orioleshed/control/MoveWrite.java
@@ -92,7 +92,7 @@
             case Store.Result.Conflict conflict -> judge(conflict.present());
             case Store.Result.Swapped swapped ->
                     settle(new MoveWriteResult.Written(wanted), swapped.revision());
-            case Store.Result.Away away when !mayBeWritten -> giveUp(away.detail());
+            case Store.Result.Unavailable away when !mayBeWritten -> giveUp(away.detail());
             default -> {
                 mayBeWritten |= wanted != null;
                 waiting = false;
--- a/src/main/java/org/orioleshed/entry/HostActions.java
+++ b/src/main/java/org/orioleshed/entry/HostActions.java
@@ -205,7 +205,7 @@
             case Store.Result.Conflict conflict -> conflict(conflict.present());
             case Store.Result.Lease lease -> new StoreAnswer.Unknown("unexpected answer");
             case Store.Result.Unknown unknown -> new StoreAnswer.Unknown(unknown.detail());
-            case Store.Result.Away away -> new StoreAnswer.Away(away.detail());
+            case Store.Result.Unavailable away -> new StoreAnswer.Away(away.detail());
         };
     }
 
--- a/src/main/java/org/orioleshed/settings/Proposal.java
+++ b/src/main/java/org/orioleshed/settings/Proposal.java
@@ -82,7 +82,7 @@
                 mayBeWritten |= !reading;
                 yield retry(nowNanos);
             }
-            case Store.Result.Away away when !mayBeWritten -> giveUp(away.detail());
+            case Store.Result.Unavailable away when !mayBeWritten -> giveUp(away.detail());
             default -> retry(nowNanos);
         };
     }
--- a/src/main/java/org/orioleshed/store/EtcdJson.java
+++ b/src/main/java/org/orioleshed/store/EtcdJson.java
@@ -13,20 +13,20 @@
 import java.util.function.BiFunction;
 import org.orioleshed.model.Payload;
 
-/** The bodies of etcd's v3 JSON gateway. */
+/** Encodes and decodes request and response bodies of etcd's v3 JSON gateway. */
 final class EtcdJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1000;
 
     /**
-     * One line of a watch.
+     * One line of a watch response.
      *
-     * @param cancelled whether the store ended the watch
-     * @param changes what changed, in order
+     * @param cancelled whether the store cancelled the watch
+     * @param changes the changed keys, in order
      */
     record WatchLine(boolean cancelled, List<Change> changes) {}
 
-    /** One changed key; no value when it was deleted. */
+    /** One changed key; the value is empty if the key was deleted. */
     record Change(String key, Optional<Payload> value, long revision) {}
 
     private EtcdJson() {}
@@ -97,9 +97,9 @@
                     if (body.path("succeeded").asBoolean()) {
                         return new Store.Result.Swapped(revision);
                     }
-                    List<Store.Entry> present =
+                    List<Store.Entry> current =
                             entries(body.path("responses").path(0).path("response_range"));
-                    return new Store.Result.Conflict(present.stream().findFirst());
+                    return new Store.Result.Conflict(current.stream().findFirst());
                 });
     }
 
@@ -114,7 +114,7 @@
                 });
     }
 
-    /** Returns one line of a watch; empty when it is not JSON. */
+    /** Decodes one line of a watch; empty if the line is not valid. */
     static Optional<WatchLine> readWatchLine(String text) {
         try {
             JsonNode body = MAPPER.readTree(text);
@@ -146,7 +146,7 @@
             header = header.isMissingNode() ? body.path("header") : header;
             return reader.apply(body, header.path("revision").asLong());
         } catch (JsonProcessingException | IllegalArgumentException e) {
-            return new Store.Result.Unknown("the store's answer can't be read: " + e.getMessage());
+            return new Store.Result.Unknown("store response cannot be decoded: " + e.getMessage());
         }
     }
 
@@ -170,7 +170,7 @@
         return Base64.getEncoder().encodeToString(key.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Encodes the first key after all that start with {@code prefix}. */
+    /** Returns the encoded exclusive end of the range of keys that start with {@code prefix}. */
     private static String encodeEnd(String prefix) {
         byte[] end = prefix.getBytes(StandardCharsets.UTF_8);
         for (int i = end.length - 1; i >= 0; i--) {
--- a/src/main/java/org/orioleshed/store/EtcdStore.java
+++ b/src/main/java/org/orioleshed/store/EtcdStore.java
@@ -22,19 +22,20 @@
 import org.orioleshed.model.Payload;
 
 /**
- * The platform's key-value service over etcd's v3 JSON gateway. Never repeats a write by itself: a
- * call moves on to the next address only when the connection could not be made.
+ * A client of the platform's key-value service over etcd's v3 JSON gateway. Calls are never
+ * repeated after they may have been sent: the next address is tried only if connecting failed.
  */
 public final class EtcdStore implements Store {
     /**
-     * Bounds on what the client asks of the store.
+     * Limits of the client.
      *
-     * @param callsPerSecond the lasting rate of calls, a watch counted as one
-     * @param burst how many calls may be made at once after a quiet time
-     * @param watchSilenceMillis a watch that says nothing for so long is broken off
+     * @param callsPerSecond the sustained rate of calls; opening a watch counts as one call
+     * @param burst the number of calls that may be made at once after an idle time
+     * @param watchIdleTimeoutMillis the time without a line after which a watch is ended, in
+     *     milliseconds
      */
-    public record Options(int callsPerSecond, int burst, long watchSilenceMillis) {
-        /** The bounds of an entry host. */
+    public record Options(int callsPerSecond, int burst, long watchIdleTimeoutMillis) {
+        /** The limits of an entry host. */
         public static final Options DEFAULT = new Options(100, 200, 15_000);
     }
 
@@ -44,7 +45,7 @@
     }
 
     private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
-    private static final long SILENCE_CHECK_MILLIS = 1_000;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 1_000;
     private static final int HTTP_OK = 200;
     private static final int HTTP_SERVER_ERROR = 500;
 
@@ -55,25 +56,27 @@
             Executors.newSingleThreadScheduledExecutor(
                     Thread.ofPlatform().name("store-watch-timer").daemon().factory());
     private final HttpClient client;
-    private final CallBudget budget;
-    private final SharedReads reads = new SharedReads();
+    private final TokenBucket rateLimiter;
+    private final ReadCoalescer reads = new ReadCoalescer();
     private final Set<EtcdWatch> watches = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger preferred = new AtomicInteger();
+    private final AtomicInteger preferredIndex = new AtomicInteger();
     private volatile boolean closed;
 
     /**
-     * Makes a client; connects only when called.
+     * Creates a client, which connects at its first call.
      *
-     * @param addresses base addresses, tried one after another
-     * @param options bounds on calls
+     * @param addresses base addresses; the next one is tried if connecting to one fails
+     * @param options limits of the client
+     * @throws IllegalArgumentException if {@code addresses} is empty
      */
     public EtcdStore(List<URI> addresses, Options options) {
         if (addresses.isEmpty()) {
-            throw new IllegalArgumentException("at least one address must be given");
+            throw new IllegalArgumentException("addresses of the store must not be empty");
         }
         this.addresses = List.copyOf(addresses);
         this.options = options;
-        this.budget = new CallBudget(options.callsPerSecond(), options.burst(), System.nanoTime());
+        this.rateLimiter =
+                new TokenBucket(options.callsPerSecond(), options.burst(), System.nanoTime());
         this.client =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
@@ -83,9 +86,9 @@
                         .build();
         var unused =
                 timer.scheduleAtFixedRate(
-                        this::checkSilence,
-                        SILENCE_CHECK_MILLIS,
-                        SILENCE_CHECK_MILLIS,
+                        this::checkIdleWatches,
+                        IDLE_CHECK_INTERVAL_MILLIS,
+                        IDLE_CHECK_INTERVAL_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
@@ -130,19 +133,19 @@
         EtcdWatch watch = new EtcdWatch(watcher, () -> watches.remove(self[0]), System.nanoTime());
         self[0] = watch;
         watches.add(watch);
-        if (!takeCall()) {
-            watch.breakOff("call budget spent");
+        if (!tryTakeCall()) {
+            watch.fail("call rate limit exceeded");
             return watch;
         }
         HttpRequest request =
-                HttpRequest.newBuilder(address(preferred.get()).resolve("/v3/watch"))
+                HttpRequest.newBuilder(address(preferredIndex.get()).resolve("/v3/watch"))
                         .POST(
                                 HttpRequest.BodyPublishers.ofString(
                                         EtcdJson.watch(prefix, fromRevision)))
                         .build();
         var unused =
                 client.sendAsync(request, HttpResponse.BodyHandlers.fromLineSubscriber(watch))
-                        .whenComplete((response, problem) -> watchEnded(watch, problem));
+                        .whenComplete((response, error) -> onWatchEnded(watch, error));
         return watch;
     }
 
@@ -155,23 +158,23 @@
         executor.shutdown();
     }
 
-    private void watchEnded(EtcdWatch watch, Throwable problem) {
-        if (problem != null && cause(problem) instanceof ConnectException) {
-            preferNext(preferred.get());
+    private void onWatchEnded(EtcdWatch watch, Throwable error) {
+        if (error != null && cause(error) instanceof ConnectException) {
+            preferNextAddress(preferredIndex.get());
         }
-        watch.breakOff(problem == null ? "closed by the store" : String.valueOf(problem));
+        watch.fail(error == null ? "closed by the store" : String.valueOf(error));
     }
 
-    private void checkSilence() {
-        long silenceNanos = TimeUnit.MILLISECONDS.toNanos(options.watchSilenceMillis());
+    private void checkIdleWatches() {
+        long idleTimeoutNanos = TimeUnit.MILLISECONDS.toNanos(options.watchIdleTimeoutMillis());
         long nowNanos = System.nanoTime();
-        List.copyOf(watches).forEach(watch -> watch.checkSilence(nowNanos, silenceNanos));
+        List.copyOf(watches).forEach(watch -> watch.checkIdle(nowNanos, idleTimeoutNanos));
     }
 
     private CompletableFuture<Result> read(
-            String shareKey, java.util.function.Supplier<String> body, long timeoutMillis) {
+            String coalescingKey, java.util.function.Supplier<String> body, long timeoutMillis) {
         return reads.read(
-                        shareKey,
+                        coalescingKey,
                         () ->
                                 call(
                                         "/v3/kv/range",
@@ -180,7 +183,7 @@
                                         Kind.READ,
                                         EtcdJson::readEntries))
                 .completeOnTimeout(
-                        new Result.Unknown("no answer in time"),
+                        new Result.Unknown("no response before the timeout"),
                         timeoutMillis,
                         TimeUnit.MILLISECONDS);
     }
@@ -192,13 +195,14 @@
             Kind kind,
             Function<String, Result> reader) {
         if (closed) {
-            return CompletableFuture.completedFuture(new Result.Away("closed"));
+            return CompletableFuture.completedFuture(new Result.Unavailable("closed"));
         }
-        if (!takeCall()) {
-            return CompletableFuture.completedFuture(new Result.Away("call budget spent"));
+        if (!tryTakeCall()) {
+            return CompletableFuture.completedFuture(
+                    new Result.Unavailable("call rate limit exceeded"));
         }
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        return attempt(new Call(path, body, deadlineNanos, kind, reader), preferred.get(), 0);
+        return attempt(new Call(path, body, deadlineNanos, kind, reader), preferredIndex.get(), 0);
     }
 
     private record Call(
@@ -208,37 +212,39 @@
             Kind kind,
             Function<String, Result> reader) {}
 
-    private record Reply(HttpResponse<String> response, Throwable problem) {}
+    private record Reply(HttpResponse<String> response, Throwable error) {}
 
-    private CompletableFuture<Result> attempt(Call call, int index, int tried) {
-        long leftNanos = call.deadlineNanos() - System.nanoTime();
-        if (leftNanos <= 0) {
-            return CompletableFuture.completedFuture(new Result.Away("no connection in time"));
+    private CompletableFuture<Result> attempt(Call call, int index, int previousAttempts) {
+        long remainingNanos = call.deadlineNanos() - System.nanoTime();
+        if (remainingNanos <= 0) {
+            return CompletableFuture.completedFuture(
+                    new Result.Unavailable("not connected before the timeout"));
         }
         HttpRequest request =
                 HttpRequest.newBuilder(address(index).resolve(call.path()))
-                        .timeout(Duration.ofNanos(leftNanos))
+                        .timeout(Duration.ofNanos(remainingNanos))
                         .header("Content-Type", "application/json")
                         .POST(HttpRequest.BodyPublishers.ofString(call.body()))
                         .build();
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
                 .handle(Reply::new)
-                .thenCompose(reply -> settle(call, index, tried, reply));
+                .thenCompose(reply -> onReply(call, index, previousAttempts, reply));
     }
 
-    private CompletableFuture<Result> settle(Call call, int index, int tried, Reply reply) {
-        if (reply.problem() == null) {
+    private CompletableFuture<Result> onReply(
+            Call call, int index, int previousAttempts, Reply reply) {
+        if (reply.error() == null) {
             return CompletableFuture.completedFuture(read(call, reply.response()));
         }
-        Throwable cause = cause(reply.problem());
+        Throwable cause = cause(reply.error());
         if (!neverSent(cause)) {
             return CompletableFuture.completedFuture(new Result.Unknown(String.valueOf(cause)));
         }
-        preferNext(index);
-        if (tried + 1 < addresses.size()) {
-            return attempt(call, index + 1, tried + 1);
+        preferNextAddress(index);
+        if (previousAttempts + 1 < addresses.size()) {
+            return attempt(call, index + 1, previousAttempts + 1);
         }
-        return CompletableFuture.completedFuture(new Result.Away(String.valueOf(cause)));
+        return CompletableFuture.completedFuture(new Result.Unavailable(String.valueOf(cause)));
     }
 
     private static Result read(Call call, HttpResponse<String> response) {
@@ -246,40 +252,40 @@
             return call.reader().apply(response.body());
         }
         String detail = "status " + response.statusCode() + ": " + response.body();
-        boolean mayHaveRun =
+        boolean mayHaveTakenEffect =
                 call.kind() == Kind.WRITE && response.statusCode() >= HTTP_SERVER_ERROR;
-        return mayHaveRun ? new Result.Unknown(detail) : new Result.Away(detail);
+        return mayHaveTakenEffect ? new Result.Unknown(detail) : new Result.Unavailable(detail);
     }
 
     private static boolean neverSent(Throwable cause) {
         return cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
     }
 
-    private static Throwable cause(Throwable problem) {
-        Throwable cause = problem;
+    private static Throwable cause(Throwable error) {
+        Throwable cause = error;
         while (cause.getCause() != null
-                && (cause instanceof CompletionException || isPlainWrapper(cause))) {
+                && (cause instanceof CompletionException || isConnectErrorWrapper(cause))) {
             cause = cause.getCause();
         }
         return cause;
     }
 
-    private static boolean isPlainWrapper(Throwable cause) {
+    private static boolean isConnectErrorWrapper(Throwable cause) {
         return cause.getClass().equals(IOException.class)
                 && cause.getCause() instanceof ConnectException;
     }
 
-    private void preferNext(int failed) {
-        preferred.compareAndSet(failed, failed + 1);
+    private void preferNextAddress(int failedIndex) {
+        preferredIndex.compareAndSet(failedIndex, failedIndex + 1);
     }
 
     private URI address(int index) {
         return addresses.get(Math.floorMod(index, addresses.size()));
     }
 
-    private boolean takeCall() {
-        synchronized (budget) {
-            return budget.take(System.nanoTime());
+    private boolean tryTakeCall() {
+        synchronized (rateLimiter) {
+            return rateLimiter.tryTake(System.nanoTime());
         }
     }
 }
--- a/src/main/java/org/orioleshed/store/EtcdWatch.java
+++ b/src/main/java/org/orioleshed/store/EtcdWatch.java
@@ -3,34 +3,36 @@
 import java.util.concurrent.Flow;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** Reads the lines of one watch, and tells its watcher once when it ends. */
+/** Parses the lines of one watch and notifies its watcher at most once when it fails. */
 final class EtcdWatch implements Flow.Subscriber<String>, Store.Watch {
     private final Store.Watcher watcher;
     private final Runnable onEnd;
     private final AtomicBoolean ended = new AtomicBoolean();
     private volatile Flow.Subscription subscription;
-    private volatile long heardNanos;
+    private volatile long lastReceivedNanos;
 
     /**
-     * Makes one.
+     * Creates a watch.
      *
-     * @param onEnd called once when the watch is over, however it ended
+     * @param watcher receives changes and the failure of the watch
+     * @param onEnd called once when the watch ends, whether it failed or was closed
+     * @param nowNanos the current time, in nanoseconds
      */
     EtcdWatch(Store.Watcher watcher, Runnable onEnd, long nowNanos) {
         this.watcher = watcher;
         this.onEnd = onEnd;
-        this.heardNanos = nowNanos;
+        this.lastReceivedNanos = nowNanos;
     }
 
-    /** Breaks the watch when it said nothing for {@code silenceNanos}. */
-    void checkSilence(long nowNanos, long silenceNanos) {
-        if (nowNanos - heardNanos > silenceNanos) {
-            breakOff("silent");
+    /** Fails the watch if no line was received for {@code idleTimeoutNanos}. */
+    void checkIdle(long nowNanos, long idleTimeoutNanos) {
+        if (nowNanos - lastReceivedNanos > idleTimeoutNanos) {
+            fail("silent");
         }
     }
 
-    /** Ends the watch and tells the watcher, unless it has ended before. */
-    void breakOff(String detail) {
+    /** Ends the watch and notifies the watcher, unless the watch has ended already. */
+    void fail(String detail) {
         if (end()) {
             watcher.onBreak(detail);
         }
@@ -42,39 +44,39 @@
     }
 
     @Override
-    public void onSubscribe(Flow.Subscription given) {
-        subscription = given;
+    public void onSubscribe(Flow.Subscription newSubscription) {
+        subscription = newSubscription;
         if (ended.get()) {
-            given.cancel();
+            newSubscription.cancel();
             return;
         }
-        given.request(Long.MAX_VALUE);
+        newSubscription.request(Long.MAX_VALUE);
     }
 
     @Override
     public void onNext(String line) {
-        heardNanos = System.nanoTime();
+        lastReceivedNanos = System.nanoTime();
         if (ended.get() || line.isBlank()) {
             return;
         }
-        EtcdJson.WatchLine read = EtcdJson.readWatchLine(line).orElse(null);
-        if (read == null || read.cancelled()) {
-            breakOff(read == null ? "a line that can't be read" : "cancelled by the store");
+        EtcdJson.WatchLine parsed = EtcdJson.readWatchLine(line).orElse(null);
+        if (parsed == null || parsed.cancelled()) {
+            fail(parsed == null ? "line cannot be parsed" : "cancelled by the store");
             return;
         }
-        for (EtcdJson.Change change : read.changes()) {
+        for (EtcdJson.Change change : parsed.changes()) {
             watcher.onChange(change.key(), change.value(), change.revision());
         }
     }
 
     @Override
-    public void onError(Throwable problem) {
-        breakOff(String.valueOf(problem));
+    public void onError(Throwable error) {
+        fail(String.valueOf(error));
     }
 
     @Override
     public void onComplete() {
-        breakOff("closed by the store");
+        fail("closed by the store");
     }
 
     private boolean end() {
--- a/src/main/java/org/orioleshed/store/SharedReads.java
+++ b/src/main/java/org/orioleshed/store/ReadCoalescer.java
@@ -6,20 +6,22 @@
 import java.util.function.Supplier;
 
 /**
- * Lets reads of one key share a call. A read joins only a call that is not yet made: one under way
- * may have missed a write that came before the read was asked for.
+ * Coalesces concurrent reads of one key. A read joins only a call that has not started yet: a call
+ * in flight may have missed a write that was made before the read was requested.
  */
-final class SharedReads {
+final class ReadCoalescer {
+    /** The reads of a key with a call in flight. */
     private static final class Slot {
+        /** The result of the next call; null if no read is waiting for one. */
         private CompletableFuture<Store.Result> next;
     }
 
     private final Map<String, Slot> slotByKey = new HashMap<>();
 
-    /** Returns the answer of {@code call}, or of one made for another reader of {@code key}. */
+    /** Returns the result of {@code call} or of a call shared with other readers of {@code key}. */
     CompletableFuture<Store.Result> read(
             String key, Supplier<CompletableFuture<Store.Result>> call) {
-        CompletableFuture<Store.Result> mine;
+        CompletableFuture<Store.Result> first;
         synchronized (this) {
             Slot slot = slotByKey.get(key);
             if (slot != null) {
@@ -29,29 +31,29 @@
                 return slot.next.copy();
             }
             slotByKey.put(key, new Slot());
-            mine = new CompletableFuture<>();
+            first = new CompletableFuture<>();
         }
-        make(key, call, mine);
-        return mine;
+        start(key, call, first);
+        return first;
     }
 
-    private void make(
+    private void start(
             String key,
             Supplier<CompletableFuture<Store.Result>> call,
-            CompletableFuture<Store.Result> answer) {
+            CompletableFuture<Store.Result> target) {
         var unused =
                 call.get()
                         .thenAccept(
                                 result -> {
-                                    CompletableFuture<Store.Result> next = next(key);
-                                    answer.complete(result);
+                                    CompletableFuture<Store.Result> next = takeNext(key);
+                                    target.complete(result);
                                     if (next != null) {
-                                        make(key, call, next);
+                                        start(key, call, next);
                                     }
                                 });
     }
 
-    private synchronized CompletableFuture<Store.Result> next(String key) {
+    private synchronized CompletableFuture<Store.Result> takeNext(String key) {
         Slot slot = slotByKey.get(key);
         CompletableFuture<Store.Result> next = slot.next;
         slot.next = null;
--- a/src/main/java/org/orioleshed/store/Store.java
+++ b/src/main/java/org/orioleshed/store/Store.java
@@ -6,72 +6,92 @@
 import org.orioleshed.model.Payload;
 
 /**
- * A port to the platform's key-value service. Futures never fail: every way to go wrong is a {@link
- * Result}. A call that the client's own budget turns down is {@link Result.Away}.
+ * A client of the platform's key-value service. Futures never complete exceptionally: every failure
+ * is a {@link Result}. A call rejected by the client's own rate limit is {@link
+ * Result.Unavailable}.
  */
 public interface Store extends AutoCloseable {
-    /** Reads one key. */
+    /**
+     * Reads one key.
+     *
+     * @param timeoutMillis how long to wait for the response, in milliseconds
+     */
     CompletableFuture<Result> get(String key, long timeoutMillis);
 
     /**
-     * Reads one key if it changed after a revision; a store that can't tell answers as {@link
-     * #get}.
+     * Reads one key if it was modified after a revision. A store without such reads returns the key
+     * as {@link #get} does.
      *
      * @param afterRevision the modification revision last read
+     * @param timeoutMillis how long to wait for the response, in milliseconds
      */
     default CompletableFuture<Result> getNewer(String key, long afterRevision, long timeoutMillis) {
         return get(key, timeoutMillis);
     }
 
-    /** Reads all keys that start with {@code prefix}. */
+    /**
+     * Reads all keys that start with {@code prefix}.
+     *
+     * @param timeoutMillis how long to wait for the response, in milliseconds
+     */
     CompletableFuture<Result> list(String prefix, long timeoutMillis);
 
     /**
      * Writes a key if its modification revision is still {@code expectedRevision}.
      *
-     * @param expectedRevision the revision last read; zero when the key must not exist
-     * @param leaseId the lease that the key hangs on; zero for none
+     * @param expectedRevision the revision last read; zero if the key must not exist
+     * @param leaseId the lease to attach the key to; zero for none
+     * @param timeoutMillis how long to wait for the response, in milliseconds
      */
     CompletableFuture<Result> swap(
             String key, long expectedRevision, Payload value, long leaseId, long timeoutMillis);
 
-    /** Grants a lease; answered by {@link Result.Lease}. */
+    /**
+     * Grants a lease; completes with {@link Result.Lease}.
+     *
+     * @param ttlMillis the time to live of the lease, in milliseconds
+     * @param timeoutMillis how long to wait for the response, in milliseconds
+     */
     CompletableFuture<Result> grantLease(long ttlMillis, long timeoutMillis);
 
-    /** Keeps a lease alive; answered by {@link Result.Lease}. */
+    /**
+     * Renews a lease; completes with {@link Result.Lease}.
+     *
+     * @param timeoutMillis how long to wait for the response, in milliseconds
+     */
     CompletableFuture<Result> keepAlive(long leaseId, long timeoutMillis);
 
     /**
      * Watches all keys that start with {@code prefix} from {@code fromRevision} on, until the watch
-     * is closed. The watcher hears of breaks and is not called again after one.
+     * is closed or breaks. The watcher is notified of a break and not called again after it.
      */
     Watch watch(String prefix, long fromRevision, Watcher watcher);
 
-    /** Ends all calls. */
+    /** Closes the client and ends all calls and watches. */
     @Override
     void close();
 
-    /** One key's value. */
+    /** The value of a key and its modification revision. */
     record Entry(String key, Payload value, long revision) {}
 
-    /** A running watch. */
+    /** An open watch. */
     interface Watch extends AutoCloseable {
         @Override
         void close();
     }
 
-    /** Hears of changes; called on the store client's threads and must not block. */
+    /** Receives changes. Called on the store client's threads; must not block. */
     interface Watcher {
-        /** Keys changed; a value is empty when the key was deleted. */
+        /** Handles a changed key; the value is empty if the key was deleted. */
         void onChange(String key, Optional<Payload> value, long revision);
 
-        /** The watch broke off or went silent; start another. */
+        /** Handles the failure or silence of the watch; the caller must start another one. */
         void onBreak(String detail);
     }
 
-    /** What the store said. */
+    /** The result of a call. */
     sealed interface Result {
-        /** Entries read, and the store's revision at that moment. */
+        /** The entries read and the store's revision at the time of the read. */
         record Entries(List<Entry> entries, long storeRevision) implements Result {
             /** Copies the list. */
             public Entries {
@@ -82,16 +102,18 @@
         /** The swap took effect at {@code revision}. */
         record Swapped(long revision) implements Result {}
 
-        /** The swap did not take effect; the present entry is given. */
+        /**
+         * The swap did not take effect; {@code present} is the current entry, if the key exists.
+         */
         record Conflict(Optional<Entry> present) implements Result {}
 
-        /** A lease granted or kept, with the time it has left, in milliseconds. */
+        /** A lease was granted or renewed and has {@code ttlMillis} left. */
         record Lease(long leaseId, long ttlMillis) implements Result {}
 
-        /** The answer was lost: a write may have taken effect. */
+        /** The response was lost or unusable: a write may have taken effect. */
         record Unknown(String detail) implements Result {}
 
-        /** The call was refused or never made: a write did not take effect. */
-        record Away(String detail) implements Result {}
+        /** The call was rejected or not sent: a write did not take effect. */
+        record Unavailable(String detail) implements Result {}
     }
 }
--- a/src/main/java/org/orioleshed/store/package-info.java
+++ b/src/main/java/org/orioleshed/store/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's key-value service, seen through a port: compare-and-swap, leases and watches. */
+/** Client of the platform's key-value service: compare-and-swap, leases and watches. */
 package org.orioleshed.store;
--- a/src/test/java/org/orioleshed/catalog/CatalogFollowerTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogFollowerTest.java
@@ -88,17 +88,17 @@
 
     @Test
     public void aBrokenWatchIsMadeUpForByReadingAgain() {
-        store.setAway(true);
-        store.setAway(false);
+        store.setUnavailable(true);
+        store.setUnavailable(false);
         store.put("op/config", "4");
         await(it -> version(it) == 4);
     }
 
     @Test
     public void aServerThatVanishedDuringAnOutageIsHeldAndThenGone() {
-        store.setAway(true);
+        store.setUnavailable(true);
         store.delete("servers/a");
-        store.setAway(false);
+        store.setUnavailable(false);
         store.put("servers/b", "x");
         await(it -> it.servers().size() == 2);
         await(it -> it.servers().size() == 1);
@@ -107,13 +107,13 @@
 
     @Test
     public void takesWhatPeersKnowLaterAndNothingOlder() {
-        store.setAway(true);
+        store.setUnavailable(true);
         adopt(1_000, "9");
         await(it -> version(it) == 9);
         adopt(5, "2");
         adopt(2_000, "10");
         await(it -> version(it) == 10);
-        store.setAway(false);
+        store.setUnavailable(false);
         store.put("servers/c", "x");
         await(
                 it ->
--- a/src/test/java/org/orioleshed/control/ControlCoreTest.java
+++ b/src/test/java/org/orioleshed/control/ControlCoreTest.java
@@ -116,7 +116,7 @@
         ControlFleet fleet = joined(8, 5);
         accepted(run(fleet, fleet.propose(0, "c1", Optional.empty())));
         fleet.runMillis(1_000);
-        fleet.store.setAway(true);
+        fleet.store.setUnavailable(true);
         fleet.runMillis(10_000);
         assertTrue(fleet.allHave(2));
         ControlFleet.Host fresh = fleet.start(2, 2);
@@ -127,7 +127,7 @@
         fleet.runMillis(1_500);
         assertEquals(answer.join().getClass(), ProposalResult.StoreAway.class);
         assertTrue(status.join().own().unconfirmed());
-        fleet.store.setAway(false);
+        fleet.store.setUnavailable(false);
         fleet.runMillis(15_000);
         CompletableFuture<ControlStatus> after = fleet.status(2);
         fleet.runMillis(1_500);
@@ -140,11 +140,11 @@
         ControlFleet fleet = joined(8, 6);
         HostId stale = ControlFleet.id(7);
         fleet.cut = (from, to) -> from.equals(stale) || to.equals(stale);
-        fleet.store.setAway(true);
+        fleet.store.setUnavailable(true);
         fleet.runMillis(100);
-        fleet.store.setAway(false);
+        fleet.store.setUnavailable(false);
         accepted(run(fleet, fleet.propose(0, "c1", Optional.empty())));
-        fleet.store.setAway(true);
+        fleet.store.setUnavailable(true);
         fleet.runMillis(2_000);
         fleet.cut = (from, to) -> false;
         ControlFleet.Host fresh = fleet.start(1, 2);
--- a/src/test/java/org/orioleshed/control/StoreFollowerTest.java
+++ b/src/test/java/org/orioleshed/control/StoreFollowerTest.java
@@ -48,7 +48,7 @@
     }
 
     private static Event away() {
-        return new Event.ReadAnswered(new Store.Result.Away("away"));
+        return new Event.ReadAnswered(new Store.Result.Unavailable("away"));
     }
 
     @Test
--- a/src/test/java/org/orioleshed/gateway/MoveRecorderTest.java
+++ b/src/test/java/org/orioleshed/gateway/MoveRecorderTest.java
@@ -90,9 +90,9 @@
 
     @Test
     public void aStoreThatIsAwayIsTriedAgain() {
-        store.setAway(true);
+        store.setUnavailable(true);
         recorder.record(ORDER, MoveOutcome.TAKEN_BACK);
-        store.setAway(false);
+        store.setUnavailable(false);
         awaitRecorded(1);
         assertEquals(stored(), "TAKEN_BACK");
     }
--- a/src/test/java/org/orioleshed/store/EtcdStoreTest.java
+++ b/src/test/java/org/orioleshed/store/EtcdStoreTest.java
@@ -27,32 +27,35 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link EtcdStore} against a scripted server. */
+/**
+ * Tests of {@link EtcdStore} against a server with scripted responses: lost responses, refused
+ * connections, rate limiting, shared reads and broken watches.
+ */
 public class EtcdStoreTest {
     private static final long TIMEOUT_MILLIS = 5_000;
-    private static final int CLOSE = -1;
+    private static final int CLOSE_CONNECTION = -1;
 
-    private record Scripted(int status, String body) {}
+    private record ScriptedResponse(int status, String body) {}
 
-    private BlockingQueue<Scripted> script;
-    private BlockingQueue<String> bodies;
+    private BlockingQueue<ScriptedResponse> responses;
+    private BlockingQueue<String> requestBodies;
     private HttpServer server;
     private EtcdStore store;
 
     @BeforeMethod
     public void open() throws IOException {
-        BlockingQueue<Scripted> answers = new ArrayBlockingQueue<>(16);
-        script = answers;
-        bodies = new ArrayBlockingQueue<>(16);
+        BlockingQueue<ScriptedResponse> scripted = new ArrayBlockingQueue<>(16);
+        responses = scripted;
+        requestBodies = new ArrayBlockingQueue<>(16);
         server = HttpServer.create(new InetSocketAddress(loopback(), 0), 0);
         server.setExecutor(Executors.newVirtualThreadPerTaskExecutor());
-        server.createContext("/", exchange -> answer(exchange, answers));
+        server.createContext("/", exchange -> respond(exchange, scripted));
         server.start();
         store = new EtcdStore(List.of(address()), EtcdStore.Options.DEFAULT);
     }
 
     @AfterMethod
-    public void shut() {
+    public void close() {
         store.close();
         server.stop(0);
     }
@@ -71,11 +74,13 @@
         }
     }
 
-    private void answer(HttpExchange exchange, BlockingQueue<Scripted> answers) throws IOException {
-        bodies.add(new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
+    private void respond(HttpExchange exchange, BlockingQueue<ScriptedResponse> scripted)
+            throws IOException {
+        requestBodies.add(
+                new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8));
         try {
-            Scripted next = answers.take();
-            if (next.status() == CLOSE) {
+            ScriptedResponse next = scripted.take();
+            if (next.status() == CLOSE_CONNECTION) {
                 exchange.close();
                 return;
             }
@@ -103,9 +108,9 @@
     }
 
     @Test
-    public void readsAKeyWithItsRevision() {
-        script.add(
-                new Scripted(
+    public void getReturnsTheValueAndItsRevision() {
+        responses.add(
+                new ScriptedResponse(
                         200,
                         "{\"header\":{\"revision\":\"9\"},\"kvs\":[" + kv("k", "value", 4) + "]}"));
         Result result = store.get("k", TIMEOUT_MILLIS).join();
@@ -115,7 +120,7 @@
     }
 
     @DataProvider
-    Object[][] swapAnswers() {
+    Object[][] swapResponses() {
         String conflict =
                 "{\"header\":{\"revision\":\"9\"},\"responses\":[{\"response_range\":{\"kvs\":["
                         + kv("k", "other", 7)
@@ -124,73 +129,75 @@
             {200, "{\"header\":{\"revision\":\"9\"},\"succeeded\":true}", Result.Swapped.class},
             {200, conflict, Result.Conflict.class},
             {200, "not json", Result.Unknown.class},
-            {400, "{}", Result.Away.class},
-            {429, "{}", Result.Away.class},
+            {400, "{}", Result.Unavailable.class},
+            {429, "{}", Result.Unavailable.class},
             {503, "{}", Result.Unknown.class},
-            {CLOSE, "", Result.Unknown.class},
+            {CLOSE_CONNECTION, "", Result.Unknown.class},
         };
     }
 
-    @Test(dataProvider = "swapAnswers")
-    public void tellsWhatIsUnknownFromWhatDidNotHappen(
+    @Test(dataProvider = "swapResponses")
+    public void swapResultIsUnknownOnlyIfTheWriteMayHaveTakenEffect(
             int status, String body, Class<? extends Result> expected) {
-        script.add(new Scripted(status, body));
+        responses.add(new ScriptedResponse(status, body));
         assertEquals(swap().join().getClass(), expected);
-        assertEquals(bodies.size(), 1);
+        assertEquals(requestBodies.size(), 1);
     }
 
     @Test
-    public void aWriteWithoutAnswerInTimeIsUnknown() {
+    public void writeWithoutResponseBeforeTheTimeoutIsUnknown() {
         Result result = store.swap("k", 0, Payload.EMPTY, 0, 50).join();
         assertEquals(result.getClass(), Result.Unknown.class);
     }
 
     @Test
-    public void aRefusedConnectionIsAway() throws IOException {
-        try (EtcdStore refused =
+    public void refusedConnectionIsUnavailable() throws IOException {
+        try (EtcdStore unreachable =
                 new EtcdStore(List.of(refusingAddress()), EtcdStore.Options.DEFAULT)) {
-            Result result = refused.swap("k", 0, Payload.EMPTY, 0, TIMEOUT_MILLIS).join();
-            assertEquals(result.getClass(), Result.Away.class);
+            Result result = unreachable.swap("k", 0, Payload.EMPTY, 0, TIMEOUT_MILLIS).join();
+            assertEquals(result.getClass(), Result.Unavailable.class);
         }
     }
 
     @Test
-    public void aRefusedConnectionLeadsToTheNextAddress() throws IOException {
-        script.add(new Scripted(200, "{\"header\":{\"revision\":\"9\"},\"succeeded\":true}"));
-        try (EtcdStore two =
+    public void refusedConnectionFallsBackToTheNextAddress() throws IOException {
+        responses.add(
+                new ScriptedResponse(200, "{\"header\":{\"revision\":\"9\"},\"succeeded\":true}"));
+        try (EtcdStore twoAddresses =
                 new EtcdStore(List.of(refusingAddress(), address()), EtcdStore.Options.DEFAULT)) {
-            Result result = two.swap("k", 0, Payload.EMPTY, 0, TIMEOUT_MILLIS).join();
+            Result result = twoAddresses.swap("k", 0, Payload.EMPTY, 0, TIMEOUT_MILLIS).join();
             assertEquals(result, new Result.Swapped(9));
         }
     }
 
     @Test
-    public void aSpentBudgetIsAwayWithoutACall() {
-        try (EtcdStore bounded =
+    public void callOverTheRateLimitIsUnavailableAndNotSent() {
+        try (EtcdStore limited =
                 new EtcdStore(List.of(address()), new EtcdStore.Options(1, 0, 1_000))) {
-            assertEquals(bounded.get("k", TIMEOUT_MILLIS).join().getClass(), Result.Away.class);
-            assertEquals(bodies.size(), 0);
+            assertEquals(
+                    limited.get("k", TIMEOUT_MILLIS).join().getClass(), Result.Unavailable.class);
+            assertEquals(requestBodies.size(), 0);
         }
     }
 
     @Test
-    public void readsAskedForWhileOneIsUnderWayShareTheNextCall() throws InterruptedException {
+    public void readsRequestedDuringACallShareTheNextCall() throws InterruptedException {
         CompletableFuture<Result> first = store.get("k", TIMEOUT_MILLIS);
-        bodies.take();
+        requestBodies.take();
         CompletableFuture<Result> second = store.get("k", TIMEOUT_MILLIS);
         CompletableFuture<Result> third = store.get("k", TIMEOUT_MILLIS);
-        script.add(new Scripted(200, "{\"header\":{\"revision\":\"1\"}}"));
-        script.add(new Scripted(200, "{\"header\":{\"revision\":\"2\"}}"));
+        responses.add(new ScriptedResponse(200, "{\"header\":{\"revision\":\"1\"}}"));
+        responses.add(new ScriptedResponse(200, "{\"header\":{\"revision\":\"2\"}}"));
         assertEquals(first.join(), new Result.Entries(List.of(), 1));
         assertEquals(second.join(), new Result.Entries(List.of(), 2));
         assertEquals(third.join(), new Result.Entries(List.of(), 2));
-        assertEquals(bodies.size(), 1);
+        assertEquals(requestBodies.size(), 1);
     }
 
     @Test
-    public void aWatchTellsChangesInOrderAndThenItsEnd() throws InterruptedException {
-        script.add(
-                new Scripted(
+    public void watchReportsChangesInOrderAndThenItsBreak() throws InterruptedException {
+        responses.add(
+                new ScriptedResponse(
                         200,
                         "{\"result\":{\"created\":true}}\n"
                                 + "{\"result\":{\"events\":[{\"kv\":"
@@ -206,30 +213,30 @@
     }
 
     @Test
-    public void aSilentWatchIsBrokenOff() throws InterruptedException {
-        try (EtcdStore impatient =
+    public void silentWatchBreaks() throws InterruptedException {
+        try (EtcdStore shortTimeout =
                 new EtcdStore(List.of(address()), new EtcdStore.Options(100, 100, 10))) {
             Recorder recorder = new Recorder();
-            impatient.watch("p/", 1, recorder);
+            shortTimeout.watch("p/", 1, recorder);
             assertEquals(recorder.next(), "break silent");
         }
     }
 
     private static final class Recorder implements Store.Watcher {
-        private final BlockingQueue<String> heard = new ArrayBlockingQueue<>(16);
+        private final BlockingQueue<String> notifications = new ArrayBlockingQueue<>(16);
 
         @Override
         public void onChange(String key, Optional<Payload> value, long revision) {
-            heard.add(key + "=" + value.map(Payload::text) + "@" + revision);
+            notifications.add(key + "=" + value.map(Payload::text) + "@" + revision);
         }
 
         @Override
         public void onBreak(String detail) {
-            heard.add("break " + detail);
+            notifications.add("break " + detail);
         }
 
         String next() throws InterruptedException {
-            return String.valueOf(heard.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            return String.valueOf(notifications.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         }
     }
 }
--- a/src/test/java/org/orioleshed/store/MemoryStore.java
+++ b/src/test/java/org/orioleshed/store/MemoryStore.java
@@ -10,60 +10,60 @@
 import org.orioleshed.model.Payload;
 
 /**
- * A store in memory for tests, with faults by command. Answers come at once, or when {@link
- * #release} is called while it is slow. Time for leases is given by {@link #advanceMillis}.
+ * An in-memory store for tests, with fault injection. Calls complete at once, or at {@link
+ * #release} after {@link #setSlow}. Leases expire on a simulated clock, see {@link #advanceMillis}.
  */
 public final class MemoryStore implements Store {
     private record Stored(Payload value, long revision, long leaseId) {}
 
-    private record Waiting(Runnable run) {}
+    private record HeldCall(Runnable run) {}
 
     private final TreeMap<String, Stored> entries = new TreeMap<>();
     private final Map<Long, long[]> leaseEndAndTtl = new TreeMap<>();
     private final List<MemoryWatch> watches = new ArrayList<>();
-    private final List<Waiting> slow = new ArrayList<>();
+    private final List<HeldCall> heldCalls = new ArrayList<>();
     private long revision;
     private long nowMillis;
     private long nextLease = 1;
     private int loseAnswers;
-    private boolean away;
-    private boolean slowed;
+    private boolean unavailable;
+    private boolean isSlow;
     private int calls;
 
-    /** The next {@code count} writes take effect, but their answers are lost. */
+    /** Makes the next {@code count} writes take effect but return {@link Result.Unknown}. */
     public synchronized void loseAnswers(int count) {
         loseAnswers = count;
     }
 
-    /** Refuses every call and breaks all watches, or ends that. */
-    public void setAway(boolean mark) {
+    /** Makes all calls fail and breaks all watches, or ends that. */
+    public void setUnavailable(boolean enabled) {
         List<MemoryWatch> broken;
         synchronized (this) {
-            away = mark;
-            broken = mark ? List.copyOf(watches) : List.of();
+            unavailable = enabled;
+            broken = enabled ? List.copyOf(watches) : List.of();
             watches.removeAll(broken);
         }
-        broken.forEach(watch -> watch.watcher.onBreak("store away"));
+        broken.forEach(watch -> watch.watcher.onBreak("store unavailable"));
     }
 
-    /** Holds every call back until {@link #release}. */
-    public synchronized void setSlow(boolean mark) {
-        slowed = mark;
+    /** Holds back further calls until {@link #release}, or ends that. */
+    public synchronized void setSlow(boolean enabled) {
+        isSlow = enabled;
     }
 
-    /** Runs the calls held back. */
+    /** Runs all held calls. */
     public void release() {
-        List<Waiting> ready;
+        List<HeldCall> ready;
         synchronized (this) {
-            ready = List.copyOf(slow);
-            slow.clear();
+            ready = List.copyOf(heldCalls);
+            heldCalls.clear();
         }
-        ready.forEach(waiting -> waiting.run().run());
+        ready.forEach(held -> held.run().run());
     }
 
-    /** Lets time pass: leases that ran out take their keys with them. */
+    /** Advances the clock and deletes the keys of leases that expire. */
     public void advanceMillis(long millis) {
-        List<String> gone = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         synchronized (this) {
             nowMillis += millis;
             leaseEndAndTtl.values().removeIf(lease -> lease[0] <= nowMillis);
@@ -71,36 +71,36 @@
                     (key, stored) -> {
                         if (stored.leaseId() != 0
                                 && !leaseEndAndTtl.containsKey(stored.leaseId())) {
-                            gone.add(key);
+                            expired.add(key);
                         }
                     });
         }
-        gone.forEach(this::delete);
+        expired.forEach(this::delete);
     }
 
-    /** Writes a key as the platform or an operator would, past all faults. */
+    /** Writes a key as the platform or an operator would, bypassing all injected faults. */
     public void put(String key, String value) {
         write(key, Payload.of(value), 0);
     }
 
-    /** Deletes a key, past all faults. */
+    /** Deletes a key, bypassing all injected faults. */
     public void delete(String key) {
-        long at;
+        long newRevision;
         synchronized (this) {
             entries.remove(key);
-            at = ++revision;
+            newRevision = ++revision;
         }
-        tell(key, Optional.empty(), at);
+        notifyWatches(key, Optional.empty(), newRevision);
     }
 
-    /** Returns what {@link #restore} takes. */
+    /** Returns a copy of all keys and values, for {@link #restore}. */
     public synchronized Map<String, Payload> backup() {
         Map<String, Payload> copy = new TreeMap<>();
         entries.forEach((key, stored) -> copy.put(key, stored.value()));
         return copy;
     }
 
-    /** Replaces all keys by those of a backup; revisions start again from one. */
+    /** Replaces all keys by those of a backup; revisions restart at one. */
     public void restore(Map<String, Payload> backup) {
         synchronized (this) {
             entries.clear();
@@ -110,7 +110,7 @@
         breakWatches();
     }
 
-    /** Breaks every watch, as a lost connection does. */
+    /** Breaks all watches, as a lost connection does. */
     public void breakWatches() {
         List<MemoryWatch> broken;
         synchronized (this) {
@@ -120,12 +120,12 @@
         broken.forEach(watch -> watch.watcher.onBreak("broken"));
     }
 
-    /** Returns the calls made so far, a watch counted once. */
+    /** Returns the number of calls so far; opening a watch counts as one call. */
     public synchronized int calls() {
         return calls;
     }
 
-    /** Returns the watches that wait. */
+    /** Returns the number of open watches. */
     public synchronized int watches() {
         return watches.size();
     }
@@ -171,7 +171,7 @@
                                 Optional.ofNullable(stored).map(s -> entry(key, s)));
                     }
                     if (leaseId != 0 && !leaseEndAndTtl.containsKey(leaseId)) {
-                        return new Result.Away("no such lease");
+                        return new Result.Unavailable("lease not found");
                     }
                     return new Result.Swapped(write(key, value, leaseId));
                 });
@@ -206,11 +206,11 @@
     public Watch watch(String prefix, long fromRevision, Watcher watcher) {
         MemoryWatch watch = new MemoryWatch(prefix, watcher);
         List<Entry> missed = new ArrayList<>();
-        boolean refused;
+        boolean rejected;
         synchronized (this) {
             calls++;
-            refused = away;
-            if (!refused) {
+            rejected = unavailable;
+            if (!rejected) {
                 watches.add(watch);
                 entries.forEach(
                         (key, stored) -> {
@@ -220,8 +220,8 @@
                         });
             }
         }
-        if (refused) {
-            watcher.onBreak("store away");
+        if (rejected) {
+            watcher.onBreak("store unavailable");
         }
         missed.forEach(e -> watcher.onChange(e.key(), Optional.of(e.value()), e.revision()));
         return watch;
@@ -235,8 +235,8 @@
         Runnable run = () -> future.complete(run(write, call));
         synchronized (this) {
             calls++;
-            if (slowed) {
-                slow.add(new Waiting(run));
+            if (isSlow) {
+                heldCalls.add(new HeldCall(run));
                 return future;
             }
         }
@@ -245,33 +245,33 @@
     }
 
     private synchronized Result run(boolean write, Supplier<Result> call) {
-        if (away) {
-            return new Result.Away("store away");
+        if (unavailable) {
+            return new Result.Unavailable("store unavailable");
         }
         Result result = call.get();
         if (write && loseAnswers > 0) {
             loseAnswers--;
-            return new Result.Unknown("answer lost");
+            return new Result.Unknown("response lost");
         }
         return result;
     }
 
     private long write(String key, Payload value, long leaseId) {
-        long at;
+        long newRevision;
         synchronized (this) {
-            at = ++revision;
-            entries.put(key, new Stored(value, at, leaseId));
+            newRevision = ++revision;
+            entries.put(key, new Stored(value, newRevision, leaseId));
         }
-        tell(key, Optional.of(value), at);
-        return at;
+        notifyWatches(key, Optional.of(value), newRevision);
+        return newRevision;
     }
 
-    private void tell(String key, Optional<Payload> value, long at) {
-        List<MemoryWatch> listening;
+    private void notifyWatches(String key, Optional<Payload> value, long newRevision) {
+        List<MemoryWatch> matching;
         synchronized (this) {
-            listening = watches.stream().filter(w -> key.startsWith(w.prefix)).toList();
+            matching = watches.stream().filter(w -> key.startsWith(w.prefix)).toList();
         }
-        listening.forEach(watch -> watch.watcher.onChange(key, value, at));
+        matching.forEach(watch -> watch.watcher.onChange(key, value, newRevision));
     }
 
     private static Entry entry(String key, Stored stored) {
