--- a/src/main/java/org/orioleshed/backend/BackendListener.java
+++ b/src/main/java/org/orioleshed/backend/BackendListener.java
@@ -2,9 +2,9 @@
 
 import org.orioleshed.host.HostEvent;
 
-/** Hears what backend servers do. Called on reader threads; must not block. */
+/** Receives events of backend servers. Called on reader threads; must not block. */
 @FunctionalInterface
 public interface BackendListener {
-    /** Takes an event about a run, a call or a report. */
+    /** Handles an event of a run, a call or a report. */
     void on(HostEvent event);
 }
--- a/src/main/java/org/orioleshed/backend/Backends.java
+++ b/src/main/java/org/orioleshed/backend/Backends.java
@@ -20,13 +20,15 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * Runs work on backend servers and reports what comes of it.
+ * Starts and cancels runs on backend servers, calls plain services, and reports the resulting
+ * events.
  *
- * <p>{@code backends.start(run, server, body, 0)} leads to {@link HostEvent.RunAccepted}, tokens,
- * and exactly one {@link HostEvent.RunEnded}.
+ * <p>A successful {@code backends.start(run, server, body, 0)} is followed by {@link
+ * HostEvent.RunAccepted} and {@link HostEvent.RunTokens}; every start ends with exactly one {@link
+ * HostEvent.RunEnded}.
  */
 public final class Backends implements AutoCloseable {
-    private static final long WATCH_INTERVAL_MILLIS = 250;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 250;
 
     private final BackendLimits limits;
     private final BackendListener listener;
@@ -38,7 +40,7 @@
     private final EngineCanceller canceller;
     private final Map<RunId, EngineStream> streams = new ConcurrentHashMap<>();
 
-    /** Makes a client that reports to {@code listener}. */
+    /** Creates a client that reports events to {@code listener}. */
     public Backends(BackendLimits limits, BackendListener listener) {
         this.limits = limits;
         this.listener = listener;
@@ -46,17 +48,22 @@
         this.canceller = new EngineCanceller(client, limits);
         var unused =
                 watchdog.scheduleWithFixedDelay(
-                        this::closeSilentStreams,
-                        WATCH_INTERVAL_MILLIS,
-                        WATCH_INTERVAL_MILLIS,
+                        this::closeIdleStreams,
+                        IDLE_CHECK_INTERVAL_MILLIS,
+                        IDLE_CHECK_INTERVAL_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
 
-    /** Starts a run on an engine. */
+    /**
+     * Starts a run on an engine; does nothing if a stream of the run is open.
+     *
+     * @param body the request body, passed to the engine
+     * @param resumeFromToken the offset of the first token to generate; zero for a new answer
+     */
     public void start(RunId run, BackendServer server, Payload body, int resumeFromToken) {
         HttpRequest request =
                 HttpRequest.newBuilder(server.address().resolve("/v1/chat/completions"))
-                        .timeout(Duration.ofMillis(limits.acceptMillis()))
+                        .timeout(Duration.ofMillis(limits.acceptTimeoutMillis()))
                         .header("Content-Type", "application/json")
                         .header("X-Run-Id", run.toString())
                         .header("X-Resume-From", Integer.toString(resumeFromToken))
@@ -77,7 +84,9 @@
         }
     }
 
-    /** Cancels a run, also one that another host started; ends in {@link HostEvent.RunEnded}. */
+    /**
+     * Cancels a run, including one that another host started; ends with {@link HostEvent.RunEnded}.
+     */
     public void cancel(RunId run, BackendServer server) {
         EngineStream stream = streams.get(run);
         if (stream != null) {
@@ -85,10 +94,13 @@
             return;
         }
         threads.execute(
-                () -> report(new HostEvent.RunEnded(run, server.id(), cancelForeign(run, server))));
+                () ->
+                        report(
+                                new HostEvent.RunEnded(
+                                        run, server.id(), cancelWithoutStream(run, server))));
     }
 
-    private RunEnd cancelForeign(RunId run, BackendServer server) {
+    private RunEnd cancelWithoutStream(RunId run, BackendServer server) {
         return switch (canceller.cancel(run, server)) {
             case EngineCanceller.Result.Ended ended -> new RunEnd.Cancelled(ended.prefillTokens());
             case EngineCanceller.Result.Down down -> new RunEnd.Cancelled(0);
@@ -96,7 +108,11 @@
         };
     }
 
-    /** Stops reading a run's stream, or goes on. */
+    /**
+     * Pauses or resumes reading the stream of a run.
+     *
+     * @param paused true to pause, false to resume
+     */
     public void pause(RunId run, boolean paused) {
         EngineStream stream = streams.get(run);
         if (stream != null) {
@@ -105,10 +121,11 @@
     }
 
     /**
-     * Calls a plain service, once; ends in {@link HostEvent.CallEnded}.
+     * Calls a plain service once, without retries; ends with {@link HostEvent.CallEnded}.
      *
-     * @param key the request key, handed on to the service
-     * @param timeoutMillis how long to wait for the answer, in milliseconds
+     * @param call the name of the call, which becomes part of the URL path
+     * @param key the request key, passed to the service
+     * @param timeoutMillis how long to wait for the response, in milliseconds
      */
     public void call(
             RunId run,
@@ -158,9 +175,9 @@
         listener.on(event);
     }
 
-    private void closeSilentStreams() {
+    private void closeIdleStreams() {
         long nowNanos = System.nanoTime();
-        streams.values().forEach(stream -> stream.closeIfSilent(nowNanos));
+        streams.values().forEach(stream -> stream.closeIfIdle(nowNanos));
     }
 
     @Override
--- a/src/main/java/org/orioleshed/backend/EngineCanceller.java
+++ b/src/main/java/org/orioleshed/backend/EngineCanceller.java
@@ -13,7 +13,7 @@
 import org.orioleshed.fleet.BackendServer;
 import org.orioleshed.model.RunId;
 
-/** Cancels runs on engines and learns whether they ended. Blocks; call it on a virtual thread. */
+/** Cancels runs on engines. Blocks; must be called on a virtual thread. */
 final class EngineCanceller {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int STATUS_OK = 200;
@@ -26,22 +26,22 @@
         this.limits = limits;
     }
 
-    /** What a cancel came to. */
+    /** The result of a cancellation. */
     sealed interface Result {
-        /** The engine no longer works on the run. */
+        /** The engine confirmed that the run has ended. */
         record Ended(int prefillTokens) implements Result {}
 
-        /** Nothing listens at the engine's address, so no run is there. */
+        /** Nothing listens at the engine's address, so no run is executing there. */
         record Down() implements Result {}
 
-        /** The engine gave no usable answer. */
+        /** The engine sent no usable response; the run may still be executing. */
         record Unconfirmed() implements Result {}
     }
 
-    /** Cancels {@code run}, trying again a few times. Cancelling is idempotent. */
+    /** Cancels {@code run}, retrying while the result is unconfirmed. Cancelling is idempotent. */
     Result cancel(RunId run, BackendServer server) {
         Result result = new Result.Unconfirmed();
-        for (int i = 0; i < limits.cancelTries(); i++) {
+        for (int i = 0; i < limits.cancelAttempts(); i++) {
             result = cancelOnce(run, server);
             if (!(result instanceof Result.Unconfirmed)) {
                 return result;
@@ -63,8 +63,8 @@
             if (response.statusCode() != STATUS_OK) {
                 return new Result.Unconfirmed();
             }
-            JsonNode answer = JSON.readTree(response.body());
-            return new Result.Ended(answer.path("prefillTokens").asInt());
+            JsonNode reply = JSON.readTree(response.body());
+            return new Result.Ended(reply.path("prefillTokens").asInt());
         } catch (ConnectException e) {
             return new Result.Down();
         } catch (IOException e) {
--- a/src/main/java/org/orioleshed/backend/EngineStream.java
+++ b/src/main/java/org/orioleshed/backend/EngineStream.java
@@ -17,14 +17,14 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * One run on an engine, read by a virtual thread of its own. Ends in exactly one {@link
+ * The stream of one run on an engine, read on its own virtual thread. Ends with exactly one {@link
  * HostEvent.RunEnded}.
  */
 final class EngineStream implements Runnable {
     private static final int STATUS_OK = 200;
-    private static final int STATUS_TOO_MANY = 429;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
     private static final int STATUS_SERVER_ERROR = 500;
-    private static final int MAX_ERROR_BYTES = 2_000;
+    private static final int MAX_ERROR_DETAIL_BYTES = 2_000;
 
     private final RunId run;
     private final BackendServer server;
@@ -37,7 +37,7 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition resumed = lock.newCondition();
     private boolean paused;
-    private volatile long lastByteNanos = System.nanoTime();
+    private volatile long lastReadNanos = System.nanoTime();
     private volatile boolean reading;
     private volatile InputStream body;
     private int nextToken;
@@ -67,29 +67,29 @@
         listener.on(new HostEvent.RunEnded(run, server.id(), end));
     }
 
-    /** Ends the run: its reader confirms the cancel with the engine and reports the end. */
+    /** Cancels the run: the reader thread cancels it at the engine and reports its end. */
     void cancel() {
         cancelled.set(true);
         pause(false);
         closeBody();
     }
 
-    /** Stops reading, or goes on. */
-    void pause(boolean stop) {
+    /** Pauses or resumes reading. */
+    void pause(boolean newPaused) {
         lock.lock();
         try {
-            paused = stop;
-            lastByteNanos = System.nanoTime();
+            paused = newPaused;
+            lastReadNanos = System.nanoTime();
             resumed.signalAll();
         } finally {
             lock.unlock();
         }
     }
 
-    /** Closes the stream when it has been silent for too long, which ends the reader's wait. */
-    void closeIfSilent(long nowNanos) {
-        long silentMillis = (nowNanos - lastByteNanos) / 1_000_000;
-        if (reading && silentMillis > limits.silenceMillis()) {
+    /** Closes the stream if it has been idle for too long, which unblocks the reader thread. */
+    void closeIfIdle(long nowNanos) {
+        long idleMillis = (nowNanos - lastReadNanos) / 1_000_000;
+        if (reading && idleMillis > limits.idleTimeoutMillis()) {
             closeBody();
         }
     }
@@ -99,12 +99,12 @@
             HttpResponse<InputStream> response =
                     client.send(request, HttpResponse.BodyHandlers.ofInputStream());
             body = response.body();
-            lastByteNanos = System.nanoTime();
+            lastReadNanos = System.nanoTime();
             if (response.statusCode() != STATUS_OK) {
-                return refused(response);
+                return engineError(response);
             }
             if (cancelled.get()) {
-                return endByCancel();
+                return confirmCancel();
             }
             listener.on(new HostEvent.RunAccepted(run, server.id()));
             reading = true;
@@ -115,7 +115,7 @@
         } catch (HttpConnectTimeoutException e) {
             return new RunEnd.Broken(false, true);
         } catch (IOException e) {
-            return cancelled.get() ? endByCancel() : broken();
+            return cancelled.get() ? confirmCancel() : cancelAfterBreak();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new RunEnd.Broken(false, false);
@@ -129,9 +129,9 @@
         while (true) {
             awaitResume();
             Optional<String> line = lines.next();
-            lastByteNanos = System.nanoTime();
+            lastReadNanos = System.nanoTime();
             if (line.isEmpty()) {
-                return cancelled.get() ? endByCancel() : broken();
+                return cancelled.get() ? confirmCancel() : cancelAfterBreak();
             }
             switch (StreamParser.parse(line.get())) {
                 case StreamEvent.Idle idle -> {}
@@ -167,17 +167,17 @@
         }
     }
 
-    private RunEnd refused(HttpResponse<InputStream> response) throws IOException {
+    private RunEnd engineError(HttpResponse<InputStream> response) throws IOException {
         String detail =
                 new String(
-                        response.body().readNBytes(MAX_ERROR_BYTES),
+                        response.body().readNBytes(MAX_ERROR_DETAIL_BYTES),
                         java.nio.charset.StandardCharsets.UTF_8);
         int status = response.statusCode();
-        boolean retryable = status >= STATUS_SERVER_ERROR || status == STATUS_TOO_MANY;
+        boolean retryable = status >= STATUS_SERVER_ERROR || status == STATUS_TOO_MANY_REQUESTS;
         return new RunEnd.EngineError(retryable, "status " + status + ": " + detail);
     }
 
-    private RunEnd endByCancel() {
+    private RunEnd confirmCancel() {
         return switch (canceller.cancel(run, server)) {
             case EngineCanceller.Result.Ended ended -> new RunEnd.Cancelled(ended.prefillTokens());
             case EngineCanceller.Result.Down down -> new RunEnd.Cancelled(0);
@@ -185,7 +185,7 @@
         };
     }
 
-    private RunEnd broken() {
+    private RunEnd cancelAfterBreak() {
         return switch (canceller.cancel(run, server)) {
             case EngineCanceller.Result.Ended ended -> new RunEnd.Broken(false, true);
             case EngineCanceller.Result.Down down -> new RunEnd.Broken(true, true);
@@ -201,7 +201,7 @@
         try {
             open.close();
         } catch (IOException e) {
-            // The stream is given up either way.
+            // The stream is no longer used, so a failed close has no effect.
         }
     }
 }
--- a/src/main/java/org/orioleshed/backend/HttpClients.java
+++ b/src/main/java/org/orioleshed/backend/HttpClients.java
@@ -4,15 +4,15 @@
 import java.time.Duration;
 import java.util.concurrent.ExecutorService;
 
-/** Makes the JDK's HTTP client so that it never resends a request by itself. */
+/** Creates JDK HTTP clients that never resend a request. */
 public final class HttpClients {
     private static final String KEEP_ALIVE_SECONDS = "2";
 
     private HttpClients() {}
 
     /**
-     * Sets the properties that the JDK's client reads once, when its classes load. Must be called
-     * before the first client is made.
+     * Sets system properties that disable resends. Must be called before the first client is
+     * created, as the JDK's client reads them once, when its classes load.
      */
     public static void forbidResends() {
         System.setProperty("jdk.httpclient.disableRetryConnect", "true");
--- a/src/main/java/org/orioleshed/backend/LineReader.java
+++ b/src/main/java/org/orioleshed/backend/LineReader.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Reads lines of bounded length. */
+/** Reads UTF-8 lines with a length limit. */
 final class LineReader {
     private final InputStream in;
     private final int maxLineBytes;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Returns the next line without its end, or empty at the end of the stream.
+     * Returns the next line without its terminator, or empty at the end of the stream.
      *
-     * @throws IOException when reading fails or a line is too long
+     * @throws IOException if reading fails or a line is too long
      */
     Optional<String> next() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -30,7 +30,7 @@
         }
         while (read >= 0 && read != '\n') {
             if (line.size() >= maxLineBytes) {
-                throw new IOException("line longer than " + maxLineBytes + " bytes");
+                throw new IOException("line of a stream exceeds " + maxLineBytes + " bytes");
             }
             line.write(read);
             read = in.read();
--- a/src/main/java/org/orioleshed/backend/ReportPoller.java
+++ b/src/main/java/org/orioleshed/backend/ReportPoller.java
@@ -24,13 +24,13 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * Reads the load reports and cache events of the engines whose home this host is. Both are late;
- * the decisions treat them as corrections of what they saw themselves.
+ * Polls the load reports and cache events of the engines that this host owns. Both are delayed;
+ * placement uses them only to correct its own records.
  */
 public final class ReportPoller implements AutoCloseable {
-    private static final long INTERVAL_MILLIS = 1_000;
+    private static final long POLL_INTERVAL_MILLIS = 1_000;
     private static final int STATUS_OK = 200;
-    private static final int MAX_HASHES = 10_000;
+    private static final int MAX_HASHES_PER_LIST = 10_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final ScheduledExecutorService timer =
@@ -40,14 +40,14 @@
     private final HttpClient client;
     private final Supplier<List<BackendServer>> servers;
     private final BackendListener listener;
-    private final Map<ServerId, Long> cursors = new ConcurrentHashMap<>();
+    private final Map<ServerId, Long> nextEventByServer = new ConcurrentHashMap<>();
 
     /**
-     * Makes a poller.
+     * Creates a poller; {@link #start} starts it.
      *
      * @param connectTimeoutMillis how long a connection may take to open, in milliseconds
-     * @param servers the engines to read at this moment
-     * @param listener hears of the reports
+     * @param servers returns the servers to poll now
+     * @param listener receives the reports
      */
     public ReportPoller(
             int connectTimeoutMillis,
@@ -58,11 +58,14 @@
         this.listener = listener;
     }
 
-    /** Starts reading, once a second. */
+    /** Starts polling, once per second. */
     public void start() {
         var unused =
                 timer.scheduleWithFixedDelay(
-                        this::poll, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+                        this::poll,
+                        POLL_INTERVAL_MILLIS,
+                        POLL_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private void poll() {
@@ -77,22 +80,20 @@
         get(server.address().resolve("/v1/load"))
                 .flatMap(report -> loadReport(server.id(), report))
                 .ifPresent(listener::on);
-        long after = cursors.getOrDefault(server.id(), 0L);
+        long after = nextEventByServer.getOrDefault(server.id(), 0L);
         Optional<JsonNode> events =
                 get(server.address().resolve("/v1/cache/events?after=" + after));
         if (events.isEmpty() || !events.get().path("next").isIntegralNumber()) {
             return;
         }
-        cursors.put(server.id(), events.get().path("next").longValue());
+        nextEventByServer.put(server.id(), events.get().path("next").longValue());
         HostEvent.CacheReported report = cacheReport(server.id(), events.get());
         if (report.gap() || !report.stored().isEmpty() || !report.evicted().isEmpty()) {
             listener.on(report);
         }
     }
 
-    /**
-     * Returns the event for a load report, or empty when its fields are missing or out of range.
-     */
+    /** Returns the event for a load report, or empty if a field is missing or out of range. */
     static Optional<HostEvent> loadReport(ServerId server, JsonNode report) {
         int running = report.path("running").asInt(-1);
         int waiting = report.path("waiting").asInt(-1);
@@ -104,33 +105,35 @@
     }
 
     /**
-     * Returns the event for a batch of cache events; what is no hash is left out and counts as a
+     * Returns the event for a batch of cache events. Invalid hashes are skipped and reported as a
      * gap.
      */
     static HostEvent.CacheReported cacheReport(ServerId server, JsonNode events) {
         List<Long> stored = new ArrayList<>();
         List<Long> evicted = new ArrayList<>();
-        boolean storedWhole = hashes(events.path("stored"), stored);
-        boolean evictedWhole = hashes(events.path("evicted"), evicted);
-        boolean gap = events.path("gap").asBoolean(false) || !storedWhole || !evictedWhole;
+        boolean storedComplete = parseHashes(events.path("stored"), stored);
+        boolean evictedComplete = parseHashes(events.path("evicted"), evicted);
+        boolean gap = events.path("gap").asBoolean(false) || !storedComplete || !evictedComplete;
         return new HostEvent.CacheReported(server, stored, evicted, gap);
     }
 
-    private static boolean hashes(JsonNode list, List<Long> into) {
-        boolean whole = list.isArray() && list.size() <= MAX_HASHES;
+    private static boolean parseHashes(JsonNode list, List<Long> target) {
+        boolean complete = list.isArray() && list.size() <= MAX_HASHES_PER_LIST;
         for (JsonNode hash : list) {
-            if (!hash.isIntegralNumber() || into.size() >= MAX_HASHES) {
-                whole = false;
+            if (!hash.isIntegralNumber() || target.size() >= MAX_HASHES_PER_LIST) {
+                complete = false;
                 continue;
             }
-            into.add(hash.longValue());
+            target.add(hash.longValue());
         }
-        return whole;
+        return complete;
     }
 
     private Optional<JsonNode> get(URI address) {
         HttpRequest request =
-                HttpRequest.newBuilder(address).timeout(Duration.ofMillis(INTERVAL_MILLIS)).build();
+                HttpRequest.newBuilder(address)
+                        .timeout(Duration.ofMillis(POLL_INTERVAL_MILLIS))
+                        .build();
         try {
             HttpResponse<byte[]> response =
                     client.send(request, HttpResponse.BodyHandlers.ofByteArray());
--- a/src/main/java/org/orioleshed/backend/StreamParser.java
+++ b/src/main/java/org/orioleshed/backend/StreamParser.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.orioleshed.model.Payload;
 
-/** Reads the lines of an engine's event stream. */
+/** Parses the lines of an engine's event stream. */
 final class StreamParser {
     private static final String DATA = "data:";
     private static final String DONE = "[DONE]";
@@ -13,7 +13,7 @@
 
     private StreamParser() {}
 
-    /** Returns the event that one line carries. Never throws. */
+    /** Returns the event in a line; {@link StreamEvent.Malformed} if invalid. Never throws. */
     static StreamEvent parse(String line) {
         if (!line.startsWith(DATA)) {
             return new StreamEvent.Idle();
@@ -25,13 +25,13 @@
         try {
             return parseChunk(JSON.readTree(data));
         } catch (JsonProcessingException e) {
-            return new StreamEvent.Malformed("event is not JSON");
+            return new StreamEvent.Malformed("stream event is not valid JSON");
         }
     }
 
     private static StreamEvent parseChunk(JsonNode chunk) {
         if (chunk == null || !chunk.isObject()) {
-            return new StreamEvent.Malformed("event is no object");
+            return new StreamEvent.Malformed("stream event must be a JSON object");
         }
         if (chunk.has("error")) {
             return new StreamEvent.Failure(
@@ -44,7 +44,8 @@
         JsonNode offset = chunk.path("offset");
         JsonNode count = chunk.path("count");
         if (!offset.isInt() || offset.intValue() < 0 || !count.isInt() || count.intValue() < 1) {
-            return new StreamEvent.Malformed("offset or count is missing or out of range");
+            return new StreamEvent.Malformed(
+                    "stream event must have an integer offset of at least 0 and count of at least 1");
         }
         return new StreamEvent.Tokens(
                 offset.intValue(), count.intValue(), Payload.of(content.textValue()));
--- a/src/main/java/org/orioleshed/backend/package-info.java
+++ b/src/main/java/org/orioleshed/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of backend servers: model engines with their streams, and plain services. */
+/** Clients of backend servers: model engines with token streams, and plain services. */
 package org.orioleshed.backend;
--- a/src/test/java/org/orioleshed/backend/BackendsTest.java
+++ b/src/test/java/org/orioleshed/backend/BackendsTest.java
@@ -36,9 +36,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Backends} against a small fake server. */
+/**
+ * Tests of {@link Backends} against a fake server: broken streams, cancellation and resent calls.
+ */
 public class BackendsTest {
-    private static final long PATIENCE_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     private static final BackendLimits LIMITS =
             new BackendLimits(30_000, 30_000, 2_000, 30_000, 2, 1 << 12, 1 << 16);
     private static final RunId RUN = new RunId(new RequestId(new HostId("h"), 1, 1), 1);
@@ -72,10 +74,10 @@
     }
 
     @Test
-    public void wholeStreamEndsFinished() throws Exception {
+    public void completeStreamEndsAsFinished() throws Exception {
         stream(TOKEN.formatted(0) + TOKEN.formatted(1) + "data: [DONE]\n\n", false);
         backends.start(RUN, backendServer(address()), Payload.of("{}"), 0);
-        assertEquals(kinds(), List.of("RunAccepted", "RunTokens", "RunTokens"));
+        assertEquals(eventNamesBeforeEnd(), List.of("RunAccepted", "RunTokens", "RunTokens"));
         assertEquals(end(), new RunEnd.Finished(2));
     }
 
@@ -90,50 +92,49 @@
     }
 
     /**
-     * Silent, cut, malformed and endless lines: the run is cancelled at the engine before its end
-     * is told.
+     * Silent, truncated, malformed and overlong streams: the run is cancelled at the engine before
+     * its end is reported.
      */
     @Test(dataProvider = "brokenStreams")
-    public void brokenStreamIsCancelledBeforeItsEndIsTold(String text, boolean hang)
+    public void brokenStreamIsCancelledBeforeItsEndIsReported(String text, boolean hang)
             throws Exception {
         stream(text, hang);
         backends.start(RUN, backendServer(address()), Payload.of("{}"), 0);
-        assertEquals(kinds(), List.of("RunAccepted", "RunTokens"));
+        assertEquals(eventNamesBeforeEnd(), List.of("RunAccepted", "RunTokens"));
         assertEquals(end(), new RunEnd.Broken(false, true));
         assertEquals(cancels.get(), 1);
     }
 
     @Test
-    public void engineThatIsDownHasNoRuns() throws Exception {
-        backends.start(RUN, backendServer(deadAddress()), Payload.of("{}"), 0);
+    public void runOnAnUnreachableEngineEndsAsNotExecuting() throws Exception {
+        backends.start(RUN, backendServer(unreachableAddress()), Payload.of("{}"), 0);
         assertEquals(end(), new RunEnd.Broken(true, true));
         assertEquals(events.size(), 0);
     }
 
     @Test
-    public void refusedRunIsAnEngineError() throws Exception {
+    public void rejectedRunEndsAsEngineError() throws Exception {
         server.createContext("/v1/chat/completions", http -> answer(http, 503, "{}"));
         backends.start(RUN, backendServer(address()), Payload.of("{}"), 0);
         assertEquals(end(), new RunEnd.EngineError(true, "status 503: {}"));
     }
 
     @Test
-    public void cancelOfAnotherHostsRunIsConfirmed() throws Exception {
+    public void cancelOfARunOfAnotherHostIsConfirmed() throws Exception {
         backends.cancel(RUN, backendServer(address()));
         assertEquals(end(), new RunEnd.Cancelled(7));
     }
 
     @Test
-    public void serviceThatIsDownWasNeverSentTheCall() throws Exception {
-        backends.call(RUN, backendServer(deadAddress()), "hold", "k", Payload.of("{}"), 5_000);
+    public void callToAnUnreachableServiceEndsAsNeverSent() throws Exception {
+        backends.call(
+                RUN, backendServer(unreachableAddress()), "hold", "k", Payload.of("{}"), 5_000);
         assertTrue(callEnd() instanceof HostEvent.CallEnd.NeverSent);
     }
 
-    /**
-     * The service takes the call and drops the connection: the client must not send the call again.
-     */
+    /** The service reads the call and drops the connection; the client must not resend the call. */
     @Test
-    public void callThatBreaksIsSentOnce() throws Exception {
+    public void brokenCallIsNotResent() throws Exception {
         try (ServerSocket socket = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
             Thread.ofVirtual().start(() -> dropConnections(socket));
             URI address = URI.create("http://127.0.0.1:" + socket.getLocalPort());
@@ -189,31 +190,31 @@
         http.close();
     }
 
-    /** Returns the kinds of the events before the run's end, which stays queued. */
-    private List<String> kinds() throws InterruptedException {
-        List<String> kinds = new ArrayList<>();
-        HostEvent event = events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    /** Returns the class names of the events before the run's end, which stays queued. */
+    private List<String> eventNamesBeforeEnd() throws InterruptedException {
+        List<String> names = new ArrayList<>();
+        HostEvent event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         while (!(event instanceof HostEvent.RunEnded)) {
-            kinds.add(event.getClass().getSimpleName());
-            event = events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            names.add(event.getClass().getSimpleName());
+            event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
         events.add(event);
-        return kinds;
+        return names;
     }
 
     private RunEnd end() throws InterruptedException {
-        return ((HostEvent.RunEnded) events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)).end();
+        return ((HostEvent.RunEnded) events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).end();
     }
 
     private HostEvent.CallEnd callEnd() throws InterruptedException {
-        return ((HostEvent.CallEnded) events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)).end();
+        return ((HostEvent.CallEnded) events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).end();
     }
 
     private URI address() {
         return URI.create("http://127.0.0.1:" + server.getAddress().getPort());
     }
 
-    private static URI deadAddress() throws IOException {
+    private static URI unreachableAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return URI.create("http://127.0.0.1:" + socket.getLocalPort());
         }
--- a/src/test/java/org/orioleshed/backend/ReportPollerTest.java
+++ b/src/test/java/org/orioleshed/backend/ReportPollerTest.java
@@ -12,13 +12,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of how {@link ReportPoller} reads reports. */
+/** Tests of how {@link ReportPoller} parses reports and cache events. */
 public class ReportPollerTest {
     private static final ServerId SERVER = new ServerId("s");
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Test
-    public void readsALoadReport() throws JsonProcessingException {
+    public void loadReportIsParsed() throws JsonProcessingException {
         String report = "{\"running\":3,\"waiting\":2,\"ageMillis\":900}";
         assertEquals(
                 ReportPoller.loadReport(SERVER, JSON.readTree(report)),
@@ -26,7 +26,7 @@
     }
 
     @DataProvider
-    Object[][] badReports() {
+    Object[][] invalidReports() {
         return new Object[][] {
             {"{}"},
             {"[]"},
@@ -36,13 +36,13 @@
         };
     }
 
-    @Test(dataProvider = "badReports")
-    public void dropsABadLoadReport(String report) throws JsonProcessingException {
+    @Test(dataProvider = "invalidReports")
+    public void invalidLoadReportIsDropped(String report) throws JsonProcessingException {
         assertTrue(ReportPoller.loadReport(SERVER, JSON.readTree(report)).isEmpty());
     }
 
     @Test
-    public void whatIsNoHashCountsAsAGap() throws JsonProcessingException {
+    public void invalidHashIsReportedAsAGap() throws JsonProcessingException {
         String events = "{\"gap\":false,\"stored\":[1,\"x\"],\"evicted\":[2]}";
         assertEquals(
                 ReportPoller.cacheReport(SERVER, JSON.readTree(events)),
--- a/src/test/java/org/orioleshed/backend/StreamParserTest.java
+++ b/src/test/java/org/orioleshed/backend/StreamParserTest.java
@@ -7,27 +7,27 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link StreamParser}. */
+/** Tests of {@link StreamParser}, including lines that are not valid events. */
 public class StreamParserTest {
     @Test
-    public void readsTokensWithTheirOffset() {
+    public void tokensAreParsedWithTheirOffset() {
         String line =
                 "data: {\"choices\":[{\"delta\":{\"content\":\" hi\"}}],\"offset\":4,\"count\":2}";
         assertEquals(StreamParser.parse(line), new StreamEvent.Tokens(4, 2, Payload.of(" hi")));
     }
 
     @DataProvider
-    Object[][] quietLines() {
+    Object[][] idleLines() {
         return new Object[][] {{""}, {": alive"}, {"event: x"}, {"data: {\"choices\":[]}"}};
     }
 
-    @Test(dataProvider = "quietLines")
-    public void otherLinesAreSignsOfLife(String line) {
+    @Test(dataProvider = "idleLines")
+    public void linesWithoutTokensAreIdle(String line) {
         assertEquals(StreamParser.parse(line), new StreamEvent.Idle());
     }
 
     @DataProvider
-    Object[][] badLines() {
+    Object[][] malformedLines() {
         return new Object[][] {
             {"data: {"},
             {"data: 7"},
@@ -38,13 +38,13 @@
         };
     }
 
-    @Test(dataProvider = "badLines")
-    public void badEventsAreTyped(String line) {
+    @Test(dataProvider = "malformedLines")
+    public void invalidEventsAreMalformed(String line) {
         assertTrue(StreamParser.parse(line) instanceof StreamEvent.Malformed);
     }
 
     @Test
-    public void tellsTheEndAndErrorsFromTokens() {
+    public void endAndErrorAreParsed() {
         assertEquals(StreamParser.parse("data: [DONE]"), new StreamEvent.Stop());
         assertEquals(
                 StreamParser.parse("data: {\"error\":{\"message\":\"out of memory\"}}"),
