--- a/src/main/java/org/orioleshed/membership/Membership.java
+++ b/src/main/java/org/orioleshed/membership/Membership.java
@@ -215,9 +215,9 @@
         healthTimestamps.removeDeadFor(nowNanos, limitNanos).forEach(view::remove);
     }
 
-    private void seed(List<MembershipEvent.Seed> given) {
-        seeds = given;
-        for (MembershipEvent.Seed seed : given) {
+    private void seed(List<MembershipEvent.Seed> newSeeds) {
+        seeds = newSeeds;
+        for (MembershipEvent.Seed seed : newSeeds) {
             Member current = view.get(seed.id());
             if (current == null || current.health() == Member.Health.DEAD) {
                 actions.add(new MembershipAction.Locate(seed.id(), seed.address()));
--- a/src/main/java/org/orioleshed/peer/AcceptHandler.java
+++ b/src/main/java/org/orioleshed/peer/AcceptHandler.java
@@ -61,7 +61,7 @@
     }
 
     private void deliver(Channel channel, Frame frame) {
-        MessageKind kind = FrameKinds.kind(frame.getKind());
+        MessageKind kind = FrameKinds.fromWire(frame.getKind());
         if (window == null || kind == null) {
             channel.close();
             return;
--- a/src/main/java/org/orioleshed/peer/FrameKinds.java
+++ b/src/main/java/org/orioleshed/peer/FrameKinds.java
@@ -6,7 +6,7 @@
 final class FrameKinds {
     private FrameKinds() {}
 
-    static Frame.Kind wire(MessageKind kind) {
+    static Frame.Kind toWire(MessageKind kind) {
         return switch (kind) {
             case ROUTING -> Frame.Kind.ROUTING;
             case REQUEST -> Frame.Kind.REQUEST;
@@ -19,7 +19,7 @@
     }
 
     /** Returns the message kind, or null for a frame that carries no message. */
-    static MessageKind kind(Frame.Kind wire) {
+    static MessageKind fromWire(Frame.Kind wire) {
         return switch (wire) {
             case ROUTING -> MessageKind.ROUTING;
             case REQUEST -> MessageKind.REQUEST;
--- a/src/main/java/org/orioleshed/peer/PeerLane.java
+++ b/src/main/java/org/orioleshed/peer/PeerLane.java
@@ -190,7 +190,7 @@
      */
     private void onHello(long incarnation) {
         if (receiverIncarnation != 0 && incarnation != receiverIncarnation) {
-            window.remove(lastWrittenSequence, FrameKinds.wire(MessageKind.ROUTING));
+            window.remove(lastWrittenSequence, FrameKinds.toWire(MessageKind.ROUTING));
         }
         receiverIncarnation = incarnation;
     }
--- a/src/main/java/org/orioleshed/peer/PeerNetwork.java
+++ b/src/main/java/org/orioleshed/peer/PeerNetwork.java
@@ -26,7 +26,7 @@
 public final class PeerNetwork implements PeerPort, AutoCloseable {
     private static final int SMALL_LANE = 0;
     private static final int BULK_LANE = 1;
-    private static final int THREADS = 2;
+    private static final int EVENT_LOOP_THREADS = 2;
     private static final int ACKNOWLEDGE_EVERY_FRAMES = 64;
     private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
@@ -49,6 +49,11 @@
     /**
      * Listens on {@code listen} and passes messages to {@code listener}.
      *
+     * @param self the id of this host
+     * @param incarnation the incarnation of this process, sent to peers
+     * @param listen the address to listen on
+     * @param limits limits of the links
+     * @param listener receives the messages of peers
      * @throws IllegalStateException if the address cannot be bound
      */
     public PeerNetwork(
@@ -63,13 +68,19 @@
                 listen,
                 limits,
                 listener,
-                new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory()));
+                new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory()));
     }
 
     /**
      * Listens on {@code listen}, using the threads of {@code group}, and shuts the group down on
      * {@link #close}.
      *
+     * @param self the id of this host
+     * @param incarnation the incarnation of this process, sent to peers
+     * @param listen the address to listen on
+     * @param limits limits of the links
+     * @param listener receives the messages of peers
+     * @param group the event loops that serve all connections
      * @throws IllegalStateException if the address cannot be bound
      */
     public PeerNetwork(
@@ -158,7 +169,7 @@
                 link != null
                         && body.length < limits.maxFrameBytes() / 2
                         && link.lane(body.length, limits.bulkBytes())
-                                .send(FrameKinds.wire(kind), body, System.nanoTime());
+                                .send(FrameKinds.toWire(kind), body, System.nanoTime());
         if (accepted) {
             sentBytes.add(body.length);
         } else {
--- a/src/main/java/org/orioleshed/store/EtcdJson.java
+++ b/src/main/java/org/orioleshed/store/EtcdJson.java
@@ -42,7 +42,7 @@
     static String list(String prefix) {
         return MAPPER.createObjectNode()
                 .put("key", encode(prefix))
-                .put("range_end", encodeEnd(prefix))
+                .put("range_end", encodeRangeEnd(prefix))
                 .toString();
     }
 
@@ -80,7 +80,7 @@
         ObjectNode body = MAPPER.createObjectNode();
         body.putObject("create_request")
                 .put("key", encode(prefix))
-                .put("range_end", encodeEnd(prefix))
+                .put("range_end", encodeRangeEnd(prefix))
                 .put("start_revision", Long.toString(fromRevision))
                 .put("progress_notify", true);
         return body.toString();
@@ -171,7 +171,7 @@
     }
 
     /** Returns the encoded exclusive end of the range of keys that start with {@code prefix}. */
-    private static String encodeEnd(String prefix) {
+    private static String encodeRangeEnd(String prefix) {
         byte[] end = prefix.getBytes(StandardCharsets.UTF_8);
         for (int i = end.length - 1; i >= 0; i--) {
             if (end[i] != (byte) 0xff) {
