--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -163,7 +163,7 @@
                             now + wanted.waitMillis() * NANOS_PER_MILLI,
                             wanted.answer());
             case ControlEvent.DrainRequested asked ->
-                    onMembership(new MembershipEvent.LeaveAsked());
+                    onMembership(new MembershipEvent.LeaveRequested());
         }
     }
 
@@ -235,7 +235,8 @@
                                 send.to(),
                                 MessageKind.MEMBERSHIP,
                                 membershipCodec.encode(send.message()));
-                case MembershipAction.Locate locate -> peers.know(locate.host(), locate.address());
+                case MembershipAction.Locate locate ->
+                        peers.setAddress(locate.host(), locate.address());
                 case MembershipAction.Died died ->
                         logger.atWarning().log("event=host_dead host=%s", died.host());
                 case MembershipAction.ViewChanged changed -> viewChanged();
--- a/src/main/java/org/orioleshed/control/RolloutDriver.java
+++ b/src/main/java/org/orioleshed/control/RolloutDriver.java
@@ -232,7 +232,8 @@
                     new RolloutEvent.SwapAnswer.Conflict(
                             conflict.present().map(Store.Entry::value),
                             conflict.present().map(Store.Entry::revision).orElse(0L));
-            case Store.Result.Away away -> new RolloutEvent.SwapAnswer.Unavailable(away.detail());
+            case Store.Result.Unavailable unavailable ->
+                    new RolloutEvent.SwapAnswer.Unavailable(unavailable.detail());
             case Store.Result.Unknown unknown ->
                     new RolloutEvent.SwapAnswer.Unknown(unknown.detail());
             case Store.Result.Entries entries -> new RolloutEvent.SwapAnswer.Unknown("entries");
--- a/src/main/java/org/orioleshed/control/RolloutWrite.java
+++ b/src/main/java/org/orioleshed/control/RolloutWrite.java
@@ -95,7 +95,8 @@
             case Store.Result.Conflict conflict -> judge(conflict.present());
             case Store.Result.Swapped swapped ->
                     settle(new RolloutWriteResult.Written(wanted), swapped.revision());
-            case Store.Result.Away away when !mayBeWritten -> giveUp(away.detail());
+            case Store.Result.Unavailable unavailable when !mayBeWritten ->
+                    giveUp(unavailable.detail());
             default -> {
                 mayBeWritten |= wanted != null;
                 waiting = false;
--- a/src/main/java/org/orioleshed/entry/HostActions.java
+++ b/src/main/java/org/orioleshed/entry/HostActions.java
@@ -205,7 +205,8 @@
             case Store.Result.Conflict conflict -> conflict(conflict.present());
             case Store.Result.Lease lease -> new StoreAnswer.Unknown("unexpected answer");
             case Store.Result.Unknown unknown -> new StoreAnswer.Unknown(unknown.detail());
-            case Store.Result.Away away -> new StoreAnswer.Unavailable(away.detail());
+            case Store.Result.Unavailable unavailable ->
+                    new StoreAnswer.Unavailable(unavailable.detail());
         };
     }
 
--- a/src/main/java/org/orioleshed/peer/FrameKinds.java
+++ b/src/main/java/org/orioleshed/peer/FrameKinds.java
@@ -2,11 +2,11 @@
 
 import org.orioleshed.wire.PeerWire.Frame;
 
-/** Maps message kinds to the numbers on the wire. */
+/** Maps message kinds to frame kinds on the wire. */
 final class FrameKinds {
     private FrameKinds() {}
 
-    static Frame.Kind wire(MessageKind kind) {
+    static Frame.Kind toWire(MessageKind kind) {
         return switch (kind) {
             case ROUTING -> Frame.Kind.ROUTING;
             case REQUEST -> Frame.Kind.REQUEST;
@@ -18,8 +18,8 @@
         };
     }
 
-    /** Returns the kind, or null for a frame that carries no message. */
-    static MessageKind kind(Frame.Kind wire) {
+    /** Returns the message kind, or null for a frame that carries no message. */
+    static MessageKind fromWire(Frame.Kind wire) {
         return switch (wire) {
             case ROUTING -> MessageKind.ROUTING;
             case REQUEST -> MessageKind.REQUEST;
--- a/src/main/java/org/orioleshed/settings/Proposal.java
+++ b/src/main/java/org/orioleshed/settings/Proposal.java
@@ -82,7 +82,7 @@
                 possiblyWritten |= !reading;
                 yield retry(nowNanos);
             }
-            case Store.Result.Away unavailable when !possiblyWritten ->
+            case Store.Result.Unavailable unavailable when !possiblyWritten ->
                     giveUp(unavailable.detail());
             default -> retry(nowNanos);
         };
--- a/src/test/java/org/orioleshed/gateway/RolloutRecorderTest.java
+++ b/src/test/java/org/orioleshed/gateway/RolloutRecorderTest.java
@@ -90,9 +90,9 @@
 
     @Test
     public void aStoreThatIsAwayIsTriedAgain() {
-        store.setAway(true);
+        store.setUnavailable(true);
         recorder.record(ORDER, RolloutOutcome.TAKEN_BACK);
-        store.setAway(false);
+        store.setUnavailable(false);
         awaitRecorded(1);
         assertEquals(stored(), "TAKEN_BACK");
     }
