--- a/src/main/java/org/orioleshed/rollout/Baseline.java
+++ b/src/main/java/org/orioleshed/rollout/Baseline.java
@@ -1,37 +1,37 @@
 package org.orioleshed.rollout;
 
 /**
- * How often the old version's runs go wrong at this time: what the new version is held to. A long
- * window gives a steady rate; a short one follows incidents that strike both versions.
+ * The old version's current rate of bad runs, against which the new version is tested. A long
+ * window gives a stable rate; a short window follows incidents that affect both versions.
  */
 final class Baseline {
     private static final int LONG_RUNS = 400;
     private static final int SHORT_RUNS = 32;
     private static final double MAX_RATE = 0.5;
 
-    private final double floor;
-    private final RateWindow steady;
-    private final RateWindow recent;
+    private final double minRate;
+    private final RateWindow longTerm;
+    private final RateWindow shortTerm;
 
     /**
-     * Makes a baseline without runs.
+     * Creates a baseline without runs.
      *
-     * @param floor the least rate, and the one supposed at first
+     * @param minRate the lower bound of the rate, also used as the prior
      */
-    Baseline(double floor) {
-        this.floor = floor;
-        this.steady = new RateWindow(LONG_RUNS, floor);
-        this.recent = new RateWindow(SHORT_RUNS, floor);
+    Baseline(double minRate) {
+        this.minRate = minRate;
+        this.longTerm = new RateWindow(LONG_RUNS, minRate);
+        this.shortTerm = new RateWindow(SHORT_RUNS, minRate);
     }
 
     void add(long runs, long bad) {
-        steady.add(runs, bad);
-        recent.add(runs, bad);
+        longTerm.add(runs, bad);
+        shortTerm.add(runs, bad);
     }
 
-    /** Returns the rate that a good version may have. */
+    /** Returns the expected rate of bad runs of a good version. */
     double goodRate() {
-        double rate = Math.max(steady.upperRate(), recent.rate());
-        return Math.min(MAX_RATE, Math.max(floor, rate));
+        double rate = Math.max(longTerm.upperRate(), shortTerm.rate());
+        return Math.min(MAX_RATE, Math.max(minRate, rate));
     }
 }
--- a/src/main/java/org/orioleshed/rollout/CoordinatorLease.java
+++ b/src/main/java/org/orioleshed/rollout/CoordinatorLease.java
@@ -7,15 +7,15 @@
 import org.orioleshed.model.RolloutId;
 
 /**
- * The lease that makes a host the coordinator of one rollout. Its time runs on the monotonic clock
- * from the moment it was asked for, so that a holder that was paused finds it ended before it does
- * anything.
+ * The lease that makes a host the coordinator of one rollout. Its validity is measured on the
+ * monotonic clock from the time of the request, so that a holder that was paused detects the expiry
+ * before it acts.
  */
 final class CoordinatorLease {
-    /** The start of the keys that hold coordinators' leases. */
+    /** Key prefix of coordinator leases in the store. */
     static final String KEY_PREFIX = "orioleshed/leases/mover-";
 
-    private static final int KEEPS_PER_LEASE = 3;
+    private static final int KEEP_ALIVES_PER_LEASE = 3;
 
     private final String key;
     private final Payload holder;
@@ -28,11 +28,11 @@
     /** Not the coordinator. */
     private record Idle(long retryNanos) implements State {}
 
-    /** A lease was asked for. */
-    private record Granting(long ticket, long askedNanos) implements State {}
+    /** A lease was requested. */
+    private record Granting(long ticket, long requestedNanos) implements State {}
 
-    /** The lease stands; its key is being written. */
-    private record Taking(long ticket, long leaseId, long askedNanos, long validUntilNanos)
+    /** The lease was granted; its key is being written. */
+    private record Acquiring(long ticket, long leaseId, long requestedNanos, long validUntilNanos)
             implements State {}
 
     /** The coordinator. */
@@ -41,8 +41,8 @@
             long fence,
             long sinceNanos,
             long validUntilNanos,
-            long keepTicket,
-            long keepNanos)
+            long keepAliveTicket,
+            long keepAliveNanos)
             implements State {}
 
     CoordinatorLease(
@@ -53,7 +53,7 @@
         this.tickets = tickets;
     }
 
-    /** Returns whether the lease is held; asked before each order. */
+    /** Returns whether the lease is held. Must be checked before each write or order. */
     boolean isHeld(long nowNanos) {
         return state instanceof Held held && nowNanos < held.validUntilNanos;
     }
@@ -63,13 +63,15 @@
         return state instanceof Held held && nowNanos < held.validUntilNanos ? held.fence : 0;
     }
 
-    /** Returns since when the lease is held. */
+    /**
+     * Returns the time from which the lease is held; {@link Long#MAX_VALUE} when it is not held.
+     */
     long sinceNanos() {
         return state instanceof Held held ? held.sinceNanos : Long.MAX_VALUE;
     }
 
     /**
-     * Lets time pass.
+     * Advances timers: requests the lease, keeps it alive and handles timeouts.
      *
      * @param wanted whether the host should become the coordinator if it is not
      */
@@ -84,13 +86,13 @@
                 }
             }
             case Granting granting -> {
-                if (nowNanos - granting.askedNanos >= patienceNanos()) {
-                    rest(nowNanos);
+                if (nowNanos - granting.requestedNanos >= answerTimeoutNanos()) {
+                    backOff(nowNanos);
                 }
             }
-            case Taking taking -> {
-                if (nowNanos - taking.askedNanos >= 2 * patienceNanos()) {
-                    rest(nowNanos);
+            case Acquiring acquiring -> {
+                if (nowNanos - acquiring.requestedNanos >= 2 * answerTimeoutNanos()) {
+                    backOff(nowNanos);
                 }
             }
             case Held held -> tickHeld(nowNanos, held, actions);
@@ -103,8 +105,8 @@
             state = new Idle(nowNanos);
             return;
         }
-        long betweenNanos = nanos(limits.leaseMillis()) / KEEPS_PER_LEASE;
-        if (nowNanos - held.keepNanos < betweenNanos) {
+        long keepAliveIntervalNanos = nanos(limits.leaseMillis()) / KEEP_ALIVES_PER_LEASE;
+        if (nowNanos - held.keepAliveNanos < keepAliveIntervalNanos) {
             return;
         }
         long ticket = tickets.getAsLong();
@@ -119,32 +121,32 @@
         actions.add(new RolloutAction.KeepLease(ticket, held.leaseId));
     }
 
-    /** Takes the store's word on a lease. */
+    /** Handles the store's reply to a grant or keep-alive. */
     List<RolloutAction> onLease(long nowNanos, RolloutEvent.LeaseResult result) {
         if (state instanceof Granting granting && granting.ticket == result.ticket()) {
-            return granted(nowNanos, granting, result.answer());
+            return onGranted(nowNanos, granting, result.answer());
         }
-        if (state instanceof Held held && held.keepTicket == result.ticket()) {
-            kept(nowNanos, held, result.answer());
+        if (state instanceof Held held && held.keepAliveTicket == result.ticket()) {
+            onKeepAlive(nowNanos, held, result.answer());
         }
         return List.of();
     }
 
-    private List<RolloutAction> granted(
+    private List<RolloutAction> onGranted(
             long nowNanos, Granting granting, RolloutEvent.LeaseAnswer answer) {
         if (!(answer instanceof RolloutEvent.LeaseAnswer.Held lease)) {
-            rest(nowNanos);
+            backOff(nowNanos);
             return List.of();
         }
         long ticket = tickets.getAsLong();
-        long validUntil = validUntil(granting.askedNanos, lease.ttlMillis());
-        state = new Taking(ticket, lease.leaseId(), granting.askedNanos, validUntil);
+        long validUntil = validUntil(granting.requestedNanos, lease.ttlMillis());
+        state = new Acquiring(ticket, lease.leaseId(), granting.requestedNanos, validUntil);
         return List.of(
                 new RolloutAction.SwapRecord(
                         ticket, key, 0, holder, lease.leaseId(), limits.storeTimeoutMillis()));
     }
 
-    private void kept(long nowNanos, Held held, RolloutEvent.LeaseAnswer answer) {
+    private void onKeepAlive(long nowNanos, Held held, RolloutEvent.LeaseAnswer answer) {
         switch (answer) {
             case RolloutEvent.LeaseAnswer.Held lease ->
                     state =
@@ -154,44 +156,44 @@
                                     held.sinceNanos,
                                     Math.max(
                                             held.validUntilNanos,
-                                            validUntil(held.keepNanos, lease.ttlMillis())),
+                                            validUntil(held.keepAliveNanos, lease.ttlMillis())),
                                     0,
-                                    held.keepNanos);
-            case RolloutEvent.LeaseAnswer.Lost lost -> rest(nowNanos);
+                                    held.keepAliveNanos);
+            case RolloutEvent.LeaseAnswer.Lost lost -> backOff(nowNanos);
             case RolloutEvent.LeaseAnswer.Unavailable unavailable -> {}
         }
     }
 
-    /** Takes the store's word on the lease's key. */
+    /** Handles the store's reply to the write of the lease's key. */
     void onSwap(long nowNanos, RolloutEvent.SwapResult result) {
-        if (!(state instanceof Taking taking) || taking.ticket != result.ticket()) {
+        if (!(state instanceof Acquiring acquiring) || acquiring.ticket != result.ticket()) {
             return;
         }
         if (result.answer() instanceof RolloutEvent.SwapAnswer.Swapped swapped
-                && nowNanos < taking.validUntilNanos) {
+                && nowNanos < acquiring.validUntilNanos) {
             state =
                     new Held(
-                            taking.leaseId,
+                            acquiring.leaseId,
                             swapped.revision(),
                             nowNanos,
-                            taking.validUntilNanos,
+                            acquiring.validUntilNanos,
                             0,
-                            taking.askedNanos);
+                            acquiring.requestedNanos);
             return;
         }
-        // A key whose write was lost goes with its lease, which nobody keeps alive.
-        rest(nowNanos);
+        // A key that was written although the reply was lost expires with its lease.
+        backOff(nowNanos);
     }
 
-    private void rest(long nowNanos) {
-        state = new Idle(nowNanos + nanos(limits.leaseMillis()) / KEEPS_PER_LEASE);
+    private void backOff(long nowNanos) {
+        state = new Idle(nowNanos + nanos(limits.leaseMillis()) / KEEP_ALIVES_PER_LEASE);
     }
 
-    private long validUntil(long askedNanos, long ttlMillis) {
-        return askedNanos + nanos(ttlMillis - limits.leaseMarginMillis());
+    private long validUntil(long requestedNanos, long ttlMillis) {
+        return requestedNanos + nanos(ttlMillis - limits.leaseMarginMillis());
     }
 
-    private long patienceNanos() {
+    private long answerTimeoutNanos() {
         return 2 * nanos(limits.storeTimeoutMillis());
     }
 
--- a/src/main/java/org/orioleshed/rollout/LoadBand.java
+++ b/src/main/java/org/orioleshed/rollout/LoadBand.java
@@ -1,16 +1,20 @@
 package org.orioleshed.rollout;
 
-/** How busy a backend server was when it took a run; runs are compared within a band. */
+/** Load of a backend server when it started a run. Runs are compared only within a band. */
 public enum LoadBand {
-    /** Less than {@link #HIGH_LOAD} of the places were taken, or the load is unknown. */
+    /** Less than {@link #HIGH_LOAD} of the slots were occupied, or the load is unknown. */
     LOW,
-    /** At least {@link #HIGH_LOAD} of the places were taken. */
+    /** At least {@link #HIGH_LOAD} of the slots were occupied. */
     HIGH;
 
-    /** The share of taken places from which on a server counts as busy. */
+    /** The least fraction of occupied slots of the band {@link #HIGH}. */
     public static final double HIGH_LOAD = 0.6;
 
-    /** Returns the band of {@code load}, the share of taken places; negative when unknown. */
+    /**
+     * Returns the band of a load.
+     *
+     * @param load the fraction of occupied slots; negative when unknown
+     */
     public static LoadBand of(double load) {
         return load >= HIGH_LOAD ? HIGH : LOW;
     }
--- a/src/main/java/org/orioleshed/rollout/OrderPlan.java
+++ b/src/main/java/org/orioleshed/rollout/LoadOrderScheduler.java
@@ -10,22 +10,22 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * Has a rollout's servers load the new version. Orders are idempotent and carry the coordinator's
- * fencing number. To a server that ignores it, a new coordinator gives orders only after the lease
- * of the one before has surely ended. An order counts as carried out when the server's state says
- * so.
+ * Orders a rollout's servers to load the new version. Orders are idempotent and carry the
+ * coordinator's fencing number. A server that does not check it gets orders from a new coordinator
+ * only after the lease of the previous one has certainly expired. A load is done when the server
+ * reports the new version in its state.
  */
-final class OrderPlan {
-    private static final long READ_BACK_NANOS = 1_000_000_000L;
-    private static final long REPEAT_NANOS = 30_000_000_000L;
+final class LoadOrderScheduler {
+    private static final long STATE_READ_INTERVAL_NANOS = 1_000_000_000L;
+    private static final long ORDER_REPEAT_NANOS = 30_000_000_000L;
 
     private final RolloutRecord rollout;
     private final RolloutLimits limits;
     private final WeightBudget budget;
-    private final Map<ServerId, Loading> loading = new HashMap<>();
+    private final Map<ServerId, PendingLoad> pending = new HashMap<>();
     private final Map<ServerId, Boolean> loaded = new HashMap<>();
 
-    OrderPlan(RolloutRecord rollout, RolloutLimits limits) {
+    LoadOrderScheduler(RolloutRecord rollout, RolloutLimits limits) {
         this.rollout = rollout;
         this.limits = limits;
         this.budget =
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Gives the orders that are due.
+     * Returns the orders and state reads that are due.
      *
-     * @param fence the coordinator's fencing number, of a lease held now
-     * @param heldSinceNanos since when that lease is held
+     * @param fence the coordinator's fencing number; its lease must be held
+     * @param heldSinceNanos the time from which that lease is held
      */
     List<RolloutAction> tick(long nowNanos, long fence, long heldSinceNanos, FleetSnapshot fleet) {
         List<RolloutAction> actions = new ArrayList<>();
@@ -52,14 +52,14 @@
             if (server == null || loaded.containsKey(id)) {
                 continue;
             }
-            if (!server.checksFencing() && nowNanos - heldSinceNanos < oldLeaseNanos()) {
+            if (!server.checksFencing() && nowNanos - heldSinceNanos < previousLeaseNanos()) {
                 continue;
             }
-            Loading started = loading.get(id);
-            if (started == null) {
+            PendingLoad load = pending.get(id);
+            if (load == null) {
                 start(nowNanos, fence, server, actions);
             } else {
-                follow(nowNanos, fence, server, started, actions);
+                followUp(nowNanos, fence, server, load, actions);
             }
         }
         return actions;
@@ -70,34 +70,34 @@
         if (!budget.tryStart(nowNanos)) {
             return;
         }
-        loading.put(server.id(), new Loading(fence, nowNanos, nowNanos));
+        pending.put(server.id(), new PendingLoad(fence, nowNanos, nowNanos));
         actions.add(order(server, fence));
     }
 
-    private void follow(
+    private void followUp(
             long nowNanos,
             long fence,
             BackendServer server,
-            Loading started,
+            PendingLoad load,
             List<RolloutAction> actions) {
-        boolean newCoordinator = started.fence != fence;
-        if (newCoordinator || nowNanos - started.orderedNanos >= REPEAT_NANOS) {
-            loading.put(server.id(), new Loading(fence, nowNanos, nowNanos));
+        boolean newCoordinator = load.fence != fence;
+        if (newCoordinator || nowNanos - load.orderedNanos >= ORDER_REPEAT_NANOS) {
+            pending.put(server.id(), new PendingLoad(fence, nowNanos, nowNanos));
             actions.add(order(server, fence));
             return;
         }
-        if (nowNanos - started.readNanos >= READ_BACK_NANOS) {
-            loading.put(server.id(), new Loading(fence, started.orderedNanos, nowNanos));
+        if (nowNanos - load.readNanos >= STATE_READ_INTERVAL_NANOS) {
+            pending.put(server.id(), new PendingLoad(fence, load.orderedNanos, nowNanos));
             actions.add(new RolloutAction.ReadState(server.id()));
         }
     }
 
-    /** Takes a server's own word on the version that it runs. */
+    /** Handles the version that a server reports. */
     void onState(ServerId server, VersionId version) {
         if (!version.equals(rollout.to()) || !rollout.loads().contains(server)) {
             return;
         }
-        if (loading.remove(server) != null) {
+        if (pending.remove(server) != null) {
             budget.finished();
         }
         loaded.put(server, true);
@@ -108,9 +108,9 @@
                 server.id(), new ServerOrder.Load(rollout.target(), rollout.to()), fence);
     }
 
-    private long oldLeaseNanos() {
+    private long previousLeaseNanos() {
         return (limits.leaseMillis() + limits.leaseMarginMillis()) * RolloutCore.NANOS_PER_MILLI;
     }
 
-    private record Loading(long fence, long orderedNanos, long readNanos) {}
+    private record PendingLoad(long fence, long orderedNanos, long readNanos) {}
 }
--- a/src/main/java/org/orioleshed/rollout/LoadTrial.java
+++ b/src/main/java/org/orioleshed/rollout/LoadTrial.java
@@ -14,13 +14,14 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * Shows a new version under load with few requests: hosts take turns at sending more of theirs, all
- * to one server, while the share of all requests stays at the step's. Turns get shorter and
- * stronger until the server is loaded as the old version's are.
+ * Schedules bursts that put a new version under load with few requests. Hosts take turns at sending
+ * a higher share of their requests to a single server, while the share of all requests stays at
+ * that of the step. Turns become shorter and their share higher until the server is loaded like
+ * those of the old version.
  */
 final class LoadTrial {
     /** The evidence under load that ends the trial. */
-    static final double PROOF = 5;
+    static final double REQUIRED_PROOF = 5;
 
     private static final long TURN_MILLIS = 4_000;
     private static final int ROUNDS_PER_LEVEL = 2;
@@ -29,10 +30,10 @@
     private final HostId self;
     private final RolloutLimits limits;
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
-    private int hosts = 1;
+    private int hostCount = 1;
 
-    /** The place of this host among all, by id. */
-    private int place;
+    /** The index of this host among all hosts, sorted by id. */
+    private int hostIndex;
 
     LoadTrial(HostId self, RolloutLimits limits) {
         this.self = self;
@@ -40,55 +41,58 @@
     }
 
     /**
-     * Returns the share on this host now.
+     * Returns the new version's current share of requests on this host.
      *
-     * @param trialNanos the time since the step began
-     * @param average the share that all requests together may reach
+     * @param trialNanos the time since the step began, in nanoseconds
+     * @param average the share of the requests of all hosts
      */
-    double share(long trialNanos, long epochMillis, FleetSnapshot now, double average) {
-        learn(now);
-        double base = base(average);
-        return isMyTurn(trialNanos, epochMillis, now, average)
-                ? strength(trialNanos, average - base)
-                : base;
+    double share(long trialNanos, long epochMillis, FleetSnapshot snapshot, double average) {
+        updateFleet(snapshot);
+        double baseShare = baseShare(average);
+        return isMyTurn(trialNanos, epochMillis, snapshot, average)
+                ? burstShare(trialNanos, average - baseShare)
+                : baseShare;
     }
 
-    /** Returns whether this host sends more now. */
-    boolean isMyTurn(long trialNanos, long epochMillis, FleetSnapshot now, double average) {
-        learn(now);
-        double spare = average - base(average);
-        double roundMillis = (double) TURN_MILLIS * hosts;
-        double turnMillis = roundMillis * spare / strength(trialNanos, spare);
-        double startMillis = (double) TURN_MILLIS * place;
+    /** Returns whether it is the turn of this host to send the higher share. */
+    boolean isMyTurn(long trialNanos, long epochMillis, FleetSnapshot snapshot, double average) {
+        updateFleet(snapshot);
+        double spareShare = average - baseShare(average);
+        double roundMillis = (double) TURN_MILLIS * hostCount;
+        double turnMillis = roundMillis * spareShare / burstShare(trialNanos, spareShare);
+        double startMillis = (double) TURN_MILLIS * hostIndex;
         double sinceStartMillis =
                 (epochMillis % roundMillis + roundMillis - startMillis) % roundMillis;
         return sinceStartMillis < turnMillis;
     }
 
-    /** The share between turns. */
-    private double base(double average) {
+    /** Returns the share between turns. */
+    private double baseShare(double average) {
         return Math.min(limits.shares().get(0), average / 2);
     }
 
-    /** The share during a turn: what all hosts may send, by one, then twice that and so on. */
-    private double strength(long trialNanos, double spare) {
-        long levelNanos = ROUNDS_PER_LEVEL * TURN_MILLIS * RolloutCore.NANOS_PER_MILLI * hosts;
+    /**
+     * Returns the share during a turn: at first the spare shares of all hosts together, doubled at
+     * each level up to 1.
+     */
+    private double burstShare(long trialNanos, double spareShare) {
+        long levelNanos = ROUNDS_PER_LEVEL * TURN_MILLIS * RolloutCore.NANOS_PER_MILLI * hostCount;
         long level = Math.min(MAX_LEVEL, trialNanos / levelNanos);
-        return Math.min(1, spare * hosts * (1L << level));
+        return Math.min(1, spareShare * hostCount * (1L << level));
     }
 
-    private void learn(FleetSnapshot now) {
-        if (now.equals(fleet)) {
+    private void updateFleet(FleetSnapshot snapshot) {
+        if (snapshot.equals(fleet)) {
             return;
         }
-        fleet = now;
-        SortedSet<HostId> all = new TreeSet<>(now.hosts().keySet());
-        all.add(self);
-        hosts = all.size();
-        place = all.headSet(self).size();
+        fleet = snapshot;
+        SortedSet<HostId> ids = new TreeSet<>(snapshot.hosts().keySet());
+        ids.add(self);
+        hostCount = ids.size();
+        hostIndex = ids.headSet(self).size();
     }
 
-    /** Returns all of {@code servers} but one, which lies in {@code domain} if any does. */
+    /** Returns all of {@code servers} except one, which lies in {@code domain} if any does. */
     Set<ServerId> heldBack(List<BackendServer> servers, FailureDomain domain) {
         Optional<BackendServer> loaded =
                 servers.stream()
--- a/src/main/java/org/orioleshed/rollout/LocalEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/LocalEvidence.java
@@ -6,22 +6,22 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What one host has seen of a rollout's two versions itself. */
+/** Evidence on a rollout's two versions from the runs of this host. */
 final class LocalEvidence {
     private static final Tally NORMAL = new Tally(1, 0, 0, 1, 0);
     private static final Tally SLOW = new Tally(1, 0, 0, 1, 1);
-    private static final Tally UNTIMED = new Tally(1, 0, 0, 0, 0);
+    private static final Tally NOT_TIMED = new Tally(1, 0, 0, 0, 0);
     private static final Tally FAILED = new Tally(1, 1, 0, 0, 0);
     private static final Tally EXCUSED = new Tally(0, 0, 1, 0, 0);
-    private static final Tally CUT_SLOW = new Tally(0, 0, 0, 1, 1);
+    private static final Tally INTERRUPTED_SLOW = new Tally(0, 0, 0, 1, 1);
 
     private final VersionId from;
     private final VersionId to;
     private final RolloutLimits limits;
-    private final SlowScale scale = new SlowScale();
-    private final Blame blame = new Blame();
+    private final SlownessClassifier slowness = new SlownessClassifier();
+    private final FailureAttribution attribution = new FailureAttribution();
     private final Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
-    private final Map<Cell, VersionTest> tests = new HashMap<>();
+    private final Map<Stratum, VersionComparison> tests = new HashMap<>();
     private final Map<ServerId, Integer> coldRuns = new HashMap<>();
 
     LocalEvidence(VersionId from, VersionId to, RolloutLimits limits) {
@@ -31,9 +31,9 @@
     }
 
     /**
-     * Takes in one run.
+     * Records one run.
      *
-     * @param generation the server's hardware generation; empty where it must not matter
+     * @param generation the server's hardware generation; empty to compare across generations
      */
     void observe(
             long nowNanos,
@@ -50,16 +50,21 @@
         RolloutMessage.Key key = new RolloutMessage.Key(route, version, band);
         switch (result.verdict()) {
             case OK -> {
-                blame.succeeded(onNew, result.fingerprint());
-                count(key, succeeded(key, onNew, server, generation, result));
+                attribution.recordSuccess(onNew, result.fingerprint());
+                count(key, tallyOfSuccess(key, onNew, server, generation, result));
                 if (!onNew) {
-                    scale.learn(route, band, generation, result);
+                    slowness.addBaseline(route, band, generation, result);
                 }
             }
-            case FAILED -> settle(key, blame.failed(onNew, key, result.fingerprint()));
+            case FAILED ->
+                    recordFailure(
+                            key, attribution.attributeFailure(onNew, key, result.fingerprint()));
             case CRASHED ->
-                    settle(key, blame.crashed(nowNanos, onNew, key, server, result.fingerprint()));
-            case CUT -> timeCut(key, generation, result);
+                    recordFailure(
+                            key,
+                            attribution.attributeCrash(
+                                    nowNanos, onNew, key, server, result.fingerprint()));
+            case CUT -> recordInterrupted(key, generation, result);
         }
     }
 
@@ -71,53 +76,55 @@
     /** Returns the strongest evidence against the new version. */
     double alarm() {
         double strongest = 0;
-        for (VersionTest test : tests.values()) {
+        for (VersionComparison test : tests.values()) {
             strongest = Math.max(strongest, test.alarm());
         }
         return strongest;
     }
 
-    private void settle(RolloutMessage.Key key, Blame.Verdict verdict) {
-        switch (verdict) {
-            case Blame.Verdict.Version version -> count(key, FAILED);
-            case Blame.Verdict.Content content ->
+    private void recordFailure(RolloutMessage.Key key, FailureAttribution.Cause cause) {
+        switch (cause) {
+            case FailureAttribution.Cause.Version version -> count(key, FAILED);
+            case FailureAttribution.Cause.Content content ->
                     content.excused().ifPresent(earlier -> count(earlier, EXCUSED));
         }
     }
 
-    private Tally succeeded(
+    private Tally tallyOfSuccess(
             RolloutMessage.Key key,
             boolean onNew,
             ServerId server,
             String generation,
             RunResult result) {
         if (onNew && coldRuns.merge(server, 1, Integer::sum) <= limits.coldRuns()) {
-            return UNTIMED;
+            return NOT_TIMED;
         }
-        return switch (scale.judge(key.route(), key.band(), generation, result)) {
+        return switch (slowness.classify(key.route(), key.band(), generation, result)) {
             case SLOW -> SLOW;
             case NORMAL -> NORMAL;
-            case UNKNOWN -> UNTIMED;
+            case UNKNOWN -> NOT_TIMED;
         };
     }
 
-    /** A run that was ended from outside says nothing, unless it had taken too long already. */
-    private void timeCut(RolloutMessage.Key key, String generation, RunResult result) {
-        SlowScale.Answer answer = scale.judgeCut(key.route(), key.band(), generation, result);
-        if (answer == SlowScale.Answer.SLOW) {
-            count(key, CUT_SLOW);
+    /** Records an interrupted run. It counts only if it had already taken too long. */
+    private void recordInterrupted(RolloutMessage.Key key, String generation, RunResult result) {
+        SlownessClassifier.Speed speed =
+                slowness.classifyInterrupted(key.route(), key.band(), generation, result);
+        if (speed == SlownessClassifier.Speed.SLOW) {
+            count(key, INTERRUPTED_SLOW);
         }
     }
 
-    private void count(RolloutMessage.Key key, Tally more) {
-        tallies.merge(key, more, Tally::plus);
-        VersionTest test =
+    private void count(RolloutMessage.Key key, Tally added) {
+        tallies.merge(key, added, Tally::plus);
+        VersionComparison test =
                 tests.computeIfAbsent(
-                        new Cell(key.route(), key.band()), cell -> new VersionTest(limits));
+                        new Stratum(key.route(), key.band()),
+                        cell -> new VersionComparison(limits));
         if (key.version().equals(to)) {
-            test.addNew(more);
+            test.addNew(added);
         } else {
-            test.addOld(more);
+            test.addOld(added);
         }
     }
 }
--- a/src/main/java/org/orioleshed/rollout/Placement.java
+++ b/src/main/java/org/orioleshed/rollout/Placement.java
@@ -8,26 +8,33 @@
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.ServerId;
 
-/** Chooses backend servers for a new version, within their memory and spread over domains. */
+/**
+ * Chooses backend servers for a new version, within their memory and distributed over failure
+ * domains.
+ */
 public final class Placement {
     private Placement() {}
 
     /**
-     * A backend server that may take the version.
+     * A backend server that the version may be placed on.
      *
      * @param id the server
      * @param domain its failure domain
-     * @param memoryBytes its memory for weights
-     * @param usedBytes the part that is taken; stays taken until the rollout's outcome
+     * @param memoryBytes its memory for weights, in bytes
+     * @param usedBytes the part in use, in bytes; stays in use until the rollout's outcome
      */
-    public record Room(ServerId id, FailureDomain domain, long memoryBytes, long usedBytes) {
+    public record Candidate(ServerId id, FailureDomain domain, long memoryBytes, long usedBytes) {
         /** Checks the arguments. */
-        public Room {
+        public Candidate {
             if (id == null || domain == null) {
                 throw new IllegalArgumentException("server and domain must be given");
             }
             if (memoryBytes < 0 || usedBytes < 0 || usedBytes > memoryBytes) {
-                throw new IllegalArgumentException("used memory must lie within the memory");
+                throw new IllegalArgumentException(
+                        "usedBytes must be from 0 to memoryBytes, found "
+                                + usedBytes
+                                + " of "
+                                + memoryBytes);
             }
         }
 
@@ -36,9 +43,9 @@
         }
     }
 
-    /** Where the version goes. */
+    /** The result of a placement. */
     public sealed interface Result {
-        /** These servers take it. */
+        /** The version is placed on these servers. */
         record Placed(List<ServerId> servers) implements Result {
             /** Copies the list. */
             public Placed {
@@ -46,25 +53,29 @@
             }
         }
 
-        /** It fits on fewer servers than wanted. */
+        /** The version fits on fewer servers than wanted. */
         record TooLittleMemory(int wanted, int fitting) implements Result {}
     }
 
     /**
-     * Places a version on {@code wanted} servers. Domains with fewest chosen servers go first, and
-     * within them the servers with most free memory.
+     * Places a version on {@code wanted} servers. Prefers domains with the fewest chosen servers,
+     * and within them the servers with the most free memory.
      *
-     * @param versionBytes the size of the version's weights, positive
+     * @param versionBytes the size of the version's weights in bytes, positive
      * @param wanted the number of servers, positive
      */
-    public static Result place(long versionBytes, int wanted, List<Room> rooms) {
+    public static Result place(long versionBytes, int wanted, List<Candidate> candidates) {
         if (versionBytes <= 0 || wanted <= 0) {
-            throw new IllegalArgumentException("size and number must be positive");
+            throw new IllegalArgumentException(
+                    "versionBytes and wanted must be positive, found "
+                            + versionBytes
+                            + " and "
+                            + wanted);
         }
-        List<Room> fitting = new ArrayList<>();
-        for (Room room : rooms) {
-            if (room.freeBytes() >= versionBytes) {
-                fitting.add(room);
+        List<Candidate> fitting = new ArrayList<>();
+        for (Candidate candidate : candidates) {
+            if (candidate.freeBytes() >= versionBytes) {
+                fitting.add(candidate);
             }
         }
         if (fitting.size() < wanted) {
@@ -73,17 +84,17 @@
         Map<FailureDomain, Integer> chosenByDomain = new HashMap<>();
         List<ServerId> chosen = new ArrayList<>();
         while (chosen.size() < wanted) {
-            Room next =
+            Candidate next =
                     fitting.stream()
                             .min(
                                     Comparator.comparingInt(
-                                                    (Room room) ->
+                                                    (Candidate candidate) ->
                                                             chosenByDomain.getOrDefault(
-                                                                    room.domain(), 0))
+                                                                    candidate.domain(), 0))
                                             .thenComparing(
-                                                    Comparator.comparingLong(Room::freeBytes)
+                                                    Comparator.comparingLong(Candidate::freeBytes)
                                                             .reversed())
-                                            .thenComparing(Room::id))
+                                            .thenComparing(Candidate::id))
                             .orElseThrow();
             fitting.remove(next);
             chosen.add(next.id());
--- a/src/main/java/org/orioleshed/rollout/PooledEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/PooledEvidence.java
@@ -7,50 +7,58 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RouteId;
 
-/** What all reachable hosts have seen of a rollout's two versions, merged by maximum. */
+/**
+ * Evidence on a rollout's two versions from all reachable hosts. Counters are merged by maximum.
+ */
 final class PooledEvidence {
-    /** From so many runs of the old version on, a domain's new runs must have been seen too. */
-    private static final long BUSY_RUNS = 200;
+    /**
+     * Number of runs of the old version from which on a domain must have runs of the new version
+     * too.
+     */
+    private static final long BUSY_DOMAIN_RUNS = 200;
 
-    private static final long BUSY_NEW_RUNS = 3;
+    private static final long MIN_NEW_RUNS_IN_BUSY_DOMAIN = 3;
 
-    /** The part of the old version's runs from which on a load band counts. */
-    private static final double BAND_PART = 0.1;
+    /**
+     * The least fraction of the old version's runs under high load that makes evidence under load
+     * required.
+     */
+    private static final double MIN_HIGH_LOAD_FRACTION = 0.1;
 
-    /** The old version's runs that must be known before load bands are judged. */
-    private static final long BAND_RUNS = 50;
+    /** The least number of the old version's runs that makes evidence under load required. */
+    private static final long MIN_RUNS_FOR_BANDS = 50;
 
     private final RolloutRecord rollout;
     private final RolloutLimits limits;
-    private final Map<HostId, Source> sources = new HashMap<>();
-    private final Map<Cell, VersionTest> tests = new HashMap<>();
-    private final Map<Place, Runs> places = new HashMap<>();
+    private final Map<HostId, HostEvidence> evidenceByHost = new HashMap<>();
+    private final Map<Stratum, VersionComparison> tests = new HashMap<>();
+    private final Map<DomainRoute, VersionRuns> runsByDomainRoute = new HashMap<>();
 
     PooledEvidence(RolloutRecord rollout, RolloutLimits limits) {
         this.rollout = rollout;
         this.limits = limits;
     }
 
-    /** Takes in one host's counters; repeated and older ones change nothing. */
+    /** Merges the counters of one host. Repeated and older counters have no effect. */
     void merge(
             long nowNanos,
             HostId host,
             FailureDomain domain,
             long incarnation,
             Map<RolloutMessage.Key, Tally> tallies) {
-        Source source = sources.get(host);
-        if (source == null || source.incarnation < incarnation) {
-            source = new Source(incarnation, domain);
-            sources.put(host, source);
+        HostEvidence evidence = evidenceByHost.get(host);
+        if (evidence == null || evidence.incarnation < incarnation) {
+            evidence = new HostEvidence(incarnation, domain);
+            evidenceByHost.put(host, evidence);
         }
-        if (source.incarnation > incarnation) {
+        if (evidence.incarnation > incarnation) {
             return;
         }
-        source.heardNanos = nowNanos;
+        evidence.receivedNanos = nowNanos;
         Map<RolloutMessage.Key, Tally> newer = new HashMap<>();
         for (Map.Entry<RolloutMessage.Key, Tally> entry : tallies.entrySet()) {
             RolloutMessage.Key key = entry.getKey();
-            Tally before = source.tallies.getOrDefault(key, Tally.NONE);
+            Tally before = evidence.tallies.getOrDefault(key, Tally.NONE);
             if (before.equals(entry.getValue()) || !rollout.routes().contains(key.route())) {
                 continue;
             }
@@ -58,41 +66,42 @@
             if (after.equals(before)) {
                 continue;
             }
-            source.tallies.put(key, after);
+            evidence.tallies.put(key, after);
             newer.put(key, after.since(before));
         }
-        // The old version first: it is what the new one is held to.
-        newer.forEach((key, more) -> countOld(domain, key, more));
-        newer.forEach((key, more) -> countNew(domain, key, more));
+        // The old version first, because it sets the baseline of the new one.
+        newer.forEach((key, added) -> countOld(domain, key, added));
+        newer.forEach((key, added) -> countNew(domain, key, added));
     }
 
-    private void countOld(FailureDomain domain, RolloutMessage.Key key, Tally more) {
+    private void countOld(FailureDomain domain, RolloutMessage.Key key, Tally added) {
         if (key.version().equals(rollout.from())) {
-            test(key).addOld(more);
-            place(domain, key).ofOld += more.runs();
+            testOf(key).addOld(added);
+            runsOf(domain, key).ofOld += added.runs();
         }
     }
 
-    private void countNew(FailureDomain domain, RolloutMessage.Key key, Tally more) {
+    private void countNew(FailureDomain domain, RolloutMessage.Key key, Tally added) {
         if (key.version().equals(rollout.to())) {
-            test(key).addNew(more);
-            place(domain, key).ofNew += more.runs();
+            testOf(key).addNew(added);
+            runsOf(domain, key).ofNew += added.runs();
         }
     }
 
-    private VersionTest test(RolloutMessage.Key key) {
+    private VersionComparison testOf(RolloutMessage.Key key) {
         return tests.computeIfAbsent(
-                new Cell(key.route(), key.band()), cell -> new VersionTest(limits));
+                new Stratum(key.route(), key.band()), cell -> new VersionComparison(limits));
     }
 
-    private Runs place(FailureDomain domain, RolloutMessage.Key key) {
-        return places.computeIfAbsent(new Place(domain, key.route()), place -> new Runs());
+    private VersionRuns runsOf(FailureDomain domain, RolloutMessage.Key key) {
+        return runsByDomainRoute.computeIfAbsent(
+                new DomainRoute(domain, key.route()), pair -> new VersionRuns());
     }
 
     /** Returns the strongest evidence against the new version. */
     double alarm() {
         double strongest = 0;
-        for (VersionTest test : tests.values()) {
+        for (VersionComparison test : tests.values()) {
             strongest = Math.max(strongest, test.alarm());
         }
         return strongest;
@@ -102,14 +111,14 @@
     double proofOverall() {
         double failures = 0;
         double slowness = 0;
-        for (VersionTest test : tests.values()) {
+        for (VersionComparison test : tests.values()) {
             failures += test.failureProof();
             slowness += test.slownessProof();
         }
         return -Math.max(failures, slowness);
     }
 
-    /** Returns the evidence for the new version on the route that has least of it. */
+    /** Returns the evidence for the new version on the route that has the least. */
     double proofOfEachRoute() {
         double least = Double.POSITIVE_INFINITY;
         for (RouteId route : rollout.routes()) {
@@ -122,7 +131,7 @@
         double failures = 0;
         double slowness = 0;
         for (LoadBand band : LoadBand.values()) {
-            VersionTest test = tests.get(new Cell(route, band));
+            VersionComparison test = tests.get(new Stratum(route, band));
             if (test != null) {
                 failures += test.failureProof();
                 slowness += test.slownessProof();
@@ -132,16 +141,17 @@
     }
 
     /**
-     * Returns whether the new version lacks proof under load while the old one is often under load.
-     * Routes count together here, for load is the servers'; alarms stay apart by route.
+     * Returns whether the new version lacks proof under load although the old one is often under
+     * load. The proof is summed over routes, because load is a property of servers; alarms are kept
+     * per route.
      */
     boolean lacksProofUnderLoad(double level) {
         long all = 0;
         long high = 0;
         double failures = 0;
         double slowness = 0;
-        for (Map.Entry<Cell, VersionTest> entry : tests.entrySet()) {
-            VersionTest test = entry.getValue();
+        for (Map.Entry<Stratum, VersionComparison> entry : tests.entrySet()) {
+            VersionComparison test = entry.getValue();
             all += test.oldRuns();
             if (entry.getKey().band() == LoadBand.HIGH) {
                 high += test.oldRuns();
@@ -149,48 +159,52 @@
                 slowness += test.slownessProof();
             }
         }
-        boolean often = all >= BAND_RUNS && high >= BAND_PART * all;
+        boolean often = all >= MIN_RUNS_FOR_BANDS && high >= MIN_HIGH_LOAD_FRACTION * all;
         return often && -Math.max(failures, slowness) < level;
     }
 
-    /** Returns whether a domain that is busy has hardly run the new version. */
+    /**
+     * Returns whether a domain with many runs of the old version on a route has too few of the new
+     * one.
+     */
     boolean lacksRunsInBusyDomain() {
-        for (Runs runs : places.values()) {
-            if (runs.ofOld >= BUSY_RUNS && runs.ofNew < BUSY_NEW_RUNS) {
+        for (VersionRuns runs : runsByDomainRoute.values()) {
+            if (runs.ofOld >= BUSY_DOMAIN_RUNS && runs.ofNew < MIN_NEW_RUNS_IN_BUSY_DOMAIN) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Returns whether each of {@code domains} has a host heard of lately. */
+    /** Returns whether each of {@code domains} has a host with recent evidence. */
     boolean isFresh(long nowNanos, Collection<FailureDomain> domains) {
         long freshNanos = limits.freshMillis() * RolloutCore.NANOS_PER_MILLI;
         for (FailureDomain domain : domains) {
-            boolean heard =
-                    sources.values().stream()
+            boolean fresh =
+                    evidenceByHost.values().stream()
                             .anyMatch(
-                                    source ->
-                                            source.domain.equals(domain)
-                                                    && nowNanos - source.heardNanos <= freshNanos);
-            if (!heard) {
+                                    evidence ->
+                                            evidence.domain.equals(domain)
+                                                    && nowNanos - evidence.receivedNanos
+                                                            <= freshNanos);
+            if (!fresh) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Starts the proof anew, as for a new step. Alarms go on. */
+    /** Resets the proof, as for a new step. Alarms continue. */
     void restartProof() {
-        tests.values().forEach(VersionTest::restartProof);
-        places.clear();
+        tests.values().forEach(VersionComparison::restartProof);
+        runsByDomainRoute.clear();
     }
 
     /** Returns the runs of the new version that all reachable hosts have counted. */
     long newRuns() {
         long runs = 0;
-        for (Source source : sources.values()) {
-            for (Map.Entry<RolloutMessage.Key, Tally> entry : source.tallies.entrySet()) {
+        for (HostEvidence evidence : evidenceByHost.values()) {
+            for (Map.Entry<RolloutMessage.Key, Tally> entry : evidence.tallies.entrySet()) {
                 if (entry.getKey().version().equals(rollout.to())) {
                     runs += entry.getValue().runs();
                 }
@@ -199,20 +213,20 @@
         return runs;
     }
 
-    private record Place(FailureDomain domain, RouteId route) {}
+    private record DomainRoute(FailureDomain domain, RouteId route) {}
 
-    private static final class Runs {
+    private static final class VersionRuns {
         long ofOld;
         long ofNew;
     }
 
-    private static final class Source {
+    private static final class HostEvidence {
         final long incarnation;
         final FailureDomain domain;
         final Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
-        long heardNanos;
+        long receivedNanos;
 
-        Source(long incarnation, FailureDomain domain) {
+        HostEvidence(long incarnation, FailureDomain domain) {
             this.incarnation = incarnation;
             this.domain = domain;
         }
--- a/src/main/java/org/orioleshed/rollout/RateWindow.java
+++ b/src/main/java/org/orioleshed/rollout/RateWindow.java
@@ -1,6 +1,6 @@
 package org.orioleshed.rollout;
 
-/** The rate at which something happens, over a sliding count of trials that forgets the old. */
+/** Estimates the rate of an event over recent trials, with exponential decay. */
 final class RateWindow {
     private static final double PRIOR_TRIALS = 25;
 
@@ -10,10 +10,10 @@
     private double events;
 
     /**
-     * Makes an empty window.
+     * Creates an empty window.
      *
-     * @param length the number of trials at which the older half is forgotten
-     * @param prior the rate supposed while nothing is known
+     * @param length the number of trials above which all counts are halved
+     * @param prior the rate assumed without trials
      */
     RateWindow(double length, double prior) {
         this.length = length;
--- a/src/main/java/org/orioleshed/rollout/RolloutAction.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutAction.java
@@ -10,19 +10,19 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What {@link RolloutCore} asks for. */
+/** Actions requested by {@link RolloutCore}. */
 public sealed interface RolloutAction {
     /**
      * Replace a key's value in the store if its modification revision is still {@code
      * expectedRevision}; answered by {@link RolloutEvent.SwapResult}.
      *
-     * @param ticket names the call
+     * @param ticket identifies the call
      * @param key the key
      * @param expectedRevision zero when the key must not exist
      * @param value the new value
-     * @param leaseId the lease that the key hangs on; zero for none
-     * @param timeoutMillis after this time without an answer it is {@link
-     *     RolloutEvent.SwapAnswer.Unknown}
+     * @param leaseId the lease that the key is attached to; zero for none
+     * @param timeoutMillis the time after which a call without an answer counts as {@link
+     *     RolloutEvent.SwapAnswer.Unknown}, in milliseconds
      */
     record SwapRecord(
             long ticket,
@@ -51,13 +51,13 @@
     record SendMessage(HostId to, RolloutMessage message) implements RolloutAction {}
 
     /**
-     * How traffic divides now; replaces what was said before.
+     * The current traffic split; replaces the previous one.
      *
-     * @param splits for each route with a rollout under way, how its traffic divides
-     * @param currentVersions for each route whose move has an outcome, the version to use; goes
-     *     before the settings' own
-     * @param heldBack backend servers of new versions that get no work for now, so that the few
-     *     requests load the others as the old version's servers are loaded
+     * @param splits the traffic split of each route with an open rollout
+     * @param currentVersions the version to use for each route whose rollout has an outcome;
+     *     overrides the settings
+     * @param heldBack backend servers of new versions that currently get no work, so that few
+     *     requests load the remaining servers like those of the old version
      */
     record SplitChanged(
             Map<RouteId, VersionSplit> splits,
@@ -72,34 +72,34 @@
         }
     }
 
-    /** Tell the operators, by log and admin watch. */
+    /** Notify the operators through the log and the admin watch. */
     record Notice(RolloutId rollout, Kind kind, long epochMillis, String detail)
             implements RolloutAction {
-        /** What the operators are told. */
+        /** The kind of a notice. */
         public enum Kind {
             /** The coordinator took a step. */
             STEP,
             /** This host's breaker tripped. */
             FUSE,
-            /** This host concluded "back" by itself; the recorded outcome is still to come. */
+            /** This host rolled back by itself at the deadline; no outcome is recorded yet. */
             CONCLUDED_BACK,
-            /** The recorded outcome: completed. */
+            /** The outcome "completed" was recorded. */
             COMPLETED,
-            /** The recorded outcome: taken back. */
+            /** The outcome "rolled back" was recorded. */
             TAKEN_BACK,
-            /** A fault showed after completion; this host uses the old version again. */
+            /** A fault was detected after completion; this host uses the old version again. */
             FAULT_AFTER_COMPLETION,
-            /** A value in the store is no valid record. */
+            /** A value in the store is not a valid record. */
             BAD_RECORD
         }
     }
 
     /**
-     * Give a backend server an order, as {@code POST /v1/orders}; idempotent. Answered by {@link
+     * Send an order to a backend server, as {@code POST /v1/orders}; idempotent. Answered by {@link
      * RolloutEvent.OrderAnswered}.
      */
     record Order(ServerId server, ServerOrder order, long fence) implements RolloutAction {}
 
-    /** Read a backend server's state back; answered by {@link RolloutEvent.StateRead}. */
+    /** Read a backend server's state; answered by {@link RolloutEvent.StateRead}. */
     record ReadState(ServerId server) implements RolloutAction {}
 }
--- a/src/main/java/org/orioleshed/rollout/RolloutCodec.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCodec.java
@@ -44,10 +44,11 @@
                                 new RolloutId(wire.getRecordSeen().getMove()),
                                 Payload.of(wire.getRecordSeen().getRecord().toByteArray()),
                                 counter(wire.getRecordSeen().getRevision()));
-                case KIND_NOT_SET -> throw new BadMessageException("empty move message");
+                case KIND_NOT_SET ->
+                        throw new BadMessageException("rollout message without a kind");
             };
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new BadMessageException("not a move message: " + e.getMessage(), e);
+            throw new BadMessageException("invalid rollout message: " + e.getMessage(), e);
         }
     }
 
@@ -79,7 +80,12 @@
     private static RolloutMessage.Evidence evidence(MoveWire.Evidence wire)
             throws BadMessageException {
         if (wire.getRowsCount() > MAX_ROWS) {
-            throw new BadMessageException("too many rows: " + wire.getRowsCount());
+            throw new BadMessageException(
+                    "rollout message has "
+                            + wire.getRowsCount()
+                            + " rows, at most "
+                            + MAX_ROWS
+                            + " are allowed");
         }
         Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
         for (MoveWire.Row row : wire.getRowsList()) {
@@ -101,7 +107,8 @@
 
     private static Tally tally(MoveWire.Row row) {
         if (row.getFailed() > row.getRuns() || row.getSlow() > row.getTimed()) {
-            throw new IllegalArgumentException("a part larger than its whole");
+            throw new IllegalArgumentException(
+                    "failed must not exceed runs, and slow must not exceed timed");
         }
         return new Tally(
                 row.getRuns(), row.getFailed(), row.getExcused(), row.getTimed(), row.getSlow());
@@ -109,7 +116,7 @@
 
     private static long counter(long value) {
         if (value < 0) {
-            throw new IllegalArgumentException("negative counter");
+            throw new IllegalArgumentException("counter must not be negative: " + value);
         }
         return value;
     }
--- a/src/main/java/org/orioleshed/rollout/RolloutCoordinator.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCoordinator.java
@@ -8,32 +8,33 @@
 import org.orioleshed.model.Payload;
 
 /**
- * The coordinator of one rollout, while this host holds the lease: takes steps, and records the
- * outcome. Its writes are compare-and-swaps on the record's revision, each with the coordinator's
- * fencing number, so that two coordinators never both succeed; a lost answer is settled by reading
- * the record back.
+ * The coordinator of one rollout, while this host holds the lease: advances its steps and records
+ * the outcome. Writes are compare-and-swap operations on the record's revision and carry the
+ * coordinator's fencing number, so that of two coordinators at most one succeeds. After a lost
+ * answer the record is read back.
  */
 final class RolloutCoordinator {
-    /** New runs' alarm that holds completion up, as a part of the level that trips the breaker. */
-    private static final double HOLD_PART = 0.27;
+    /** Alarm that delays completion, as a fraction of the level that trips the breaker. */
+    private static final double COMPLETION_ALARM_FRACTION = 0.27;
 
-    private final RolloutRun run;
+    private final RolloutTracker tracker;
     private final RolloutLimits limits;
     private final LongSupplier tickets;
     private final CoordinatorLease lease;
-    private final OrderPlan orders;
+    private final LoadOrderScheduler orders;
     private Optional<Pending> pending = Optional.empty();
     private long retryNanos = Long.MIN_VALUE;
 
-    /** A swap whose answer is still out. */
-    private record Pending(long ticket, RolloutRecord value, long askedNanos) {}
+    /** A swap without an answer yet. */
+    private record Pending(long ticket, RolloutRecord value, long sentNanos) {}
 
-    RolloutCoordinator(RolloutRun run, Payload holder, RolloutLimits limits, LongSupplier tickets) {
-        this.run = run;
+    RolloutCoordinator(
+            RolloutTracker tracker, Payload holder, RolloutLimits limits, LongSupplier tickets) {
+        this.tracker = tracker;
         this.limits = limits;
         this.tickets = tickets;
-        this.lease = new CoordinatorLease(run.record().id(), holder, limits, tickets);
-        this.orders = new OrderPlan(run.record(), limits);
+        this.lease = new CoordinatorLease(tracker.record().id(), holder, limits, tickets);
+        this.orders = new LoadOrderScheduler(tracker.record(), limits);
     }
 
     /** Returns the fencing number; zero while this host is not the coordinator. */
@@ -41,7 +42,7 @@
         return lease.fence(nowNanos);
     }
 
-    OrderPlan orders() {
+    LoadOrderScheduler orders() {
         return orders;
     }
 
@@ -49,18 +50,18 @@
         return lease.onLease(nowNanos, result);
     }
 
-    /** Lets time pass. */
+    /** Advances timers and returns the lease, order and record actions that are due. */
     List<RolloutAction> tick(
             long nowNanos,
             long epochMillis,
             FleetSnapshot fleet,
             boolean wanted,
             boolean mustWait) {
-        if (!run.isOpen()) {
+        if (!tracker.isOpen()) {
             return List.of();
         }
         List<RolloutAction> actions = new ArrayList<>(lease.tick(nowNanos, wanted));
-        if (!lease.isHeld(nowNanos) || isBusy(nowNanos, actions)) {
+        if (!lease.isHeld(nowNanos) || awaitsAnswer(nowNanos, actions)) {
             return actions;
         }
         Optional<RolloutRecord> next = decide(nowNanos, epochMillis, fleet, mustWait, actions);
@@ -68,14 +69,14 @@
         return actions;
     }
 
-    private boolean isBusy(long nowNanos, List<RolloutAction> actions) {
+    private boolean awaitsAnswer(long nowNanos, List<RolloutAction> actions) {
         if (nowNanos < retryNanos) {
             return true;
         }
         if (pending.isEmpty()) {
             return false;
         }
-        long waitedNanos = nowNanos - pending.get().askedNanos;
+        long waitedNanos = nowNanos - pending.get().sentNanos;
         if (waitedNanos >= 2 * limits.storeTimeoutMillis() * RolloutCore.NANOS_PER_MILLI) {
             actions.addAll(readBack(nowNanos));
         }
@@ -88,10 +89,11 @@
             FleetSnapshot fleet,
             boolean mustWait,
             List<RolloutAction> actions) {
-        RolloutRecord record = run.record();
-        Optional<String> back = rollBackReason(epochMillis);
-        if (back.isPresent()) {
-            return Optional.of(outcome(nowNanos, epochMillis, RolloutState.TAKEN_BACK, back.get()));
+        RolloutRecord record = tracker.record();
+        Optional<String> rollBack = rollBackReason(epochMillis);
+        if (rollBack.isPresent()) {
+            return Optional.of(
+                    outcome(nowNanos, epochMillis, RolloutState.TAKEN_BACK, rollBack.get()));
         }
         if (record.state() == RolloutState.PLANNED) {
             actions.addAll(orders.tick(nowNanos, lease.fence(nowNanos), lease.sinceNanos(), fleet));
@@ -102,11 +104,11 @@
         if (record.fence() != lease.fence(nowNanos)) {
             return Optional.of(step(nowNanos, epochMillis, record.step()));
         }
-        if (!run.pooled().isFresh(nowNanos, run.domains(fleet))) {
+        if (!tracker.pooled().isFresh(nowNanos, tracker.domains(fleet))) {
             return Optional.empty();
         }
         if (record.step() < limits.lastStep()) {
-            return run.pooled().proofOverall() >= limits.stepProof()
+            return tracker.pooled().proofOverall() >= limits.stepProof()
                     ? Optional.of(step(nowNanos, epochMillis, record.step() + 1))
                     : Optional.empty();
         }
@@ -116,53 +118,53 @@
     }
 
     private Optional<String> rollBackReason(long epochMillis) {
-        if (run.isSuperseded()) {
+        if (tracker.isSuperseded()) {
             return Optional.of("another move has the same routes");
         }
-        if (run.breaker().isPresent()) {
-            return Optional.of("fuse blew: " + run.breaker().get());
+        if (tracker.breaker().isPresent()) {
+            return Optional.of("fuse blew: " + tracker.breaker().get());
         }
-        if (epochMillis >= run.record().completeByMillis() - limits.spreadMillis()) {
+        if (epochMillis >= tracker.record().completeByMillis() - limits.propagationMillis()) {
             return Optional.of("not proven in time: " + missing());
         }
         return Optional.empty();
     }
 
     private boolean isProven(long epochMillis) {
-        return epochMillis >= soakUntilMillis() && missing().equals("nothing");
+        return epochMillis >= soakEndMillis() && missing().equals("nothing");
     }
 
     private String missing() {
-        PooledEvidence evidence = run.pooled();
+        PooledEvidence evidence = tracker.pooled();
         if (evidence.proofOfEachRoute() < limits.fullProof()) {
             return "evidence on a route";
         }
-        if (evidence.lacksProofUnderLoad(LoadTrial.PROOF)) {
+        if (evidence.lacksProofUnderLoad(LoadTrial.REQUIRED_PROOF)) {
             return "evidence under load";
         }
         if (evidence.lacksRunsInBusyDomain()) {
             return "evidence in a failure domain";
         }
-        if (evidence.alarm() >= HOLD_PART * limits.breakerLevel()) {
+        if (evidence.alarm() >= COMPLETION_ALARM_FRACTION * limits.breakerLevel()) {
             return "a quiet moment after failures";
         }
         return "nothing";
     }
 
-    private long soakUntilMillis() {
-        RolloutRecord record = run.record();
-        long wholeMillis = record.completeByMillis() - record.startedMillis();
-        return record.startedMillis() + (long) (wholeMillis * limits.soakFraction());
+    private long soakEndMillis() {
+        RolloutRecord record = tracker.record();
+        long totalMillis = record.completeByMillis() - record.startedMillis();
+        return record.startedMillis() + (long) (totalMillis * limits.soakFraction());
     }
 
     private RolloutRecord step(long nowNanos, long epochMillis, int step) {
-        return run.record().atStep(step, epochMillis, lease.fence(nowNanos));
+        return tracker.record().atStep(step, epochMillis, lease.fence(nowNanos));
     }
 
     private RolloutRecord outcome(
             long nowNanos, long epochMillis, RolloutState state, String reason) {
         long fence = lease.fence(nowNanos);
-        return run.record().decided(state, epochMillis, fence, "orioleshed", reason);
+        return tracker.record().decided(state, epochMillis, fence, "orioleshed", reason);
     }
 
     private RolloutAction swap(long nowNanos, RolloutRecord value) {
@@ -171,18 +173,19 @@
         return new RolloutAction.SwapRecord(
                 ticket,
                 RolloutRecord.key(value.id()),
-                run.revision(),
+                tracker.revision(),
                 value.toPayload(),
                 0,
                 limits.storeTimeoutMillis());
     }
 
     /**
-     * Takes the store's word on a swap.
+     * Handles the answer to a swap.
      *
-     * @param written is told of the record that was written, with its revision
+     * @param listener called if the swap wrote a record
      */
-    List<RolloutAction> onSwap(long nowNanos, RolloutEvent.SwapResult result, Written written) {
+    List<RolloutAction> onSwap(
+            long nowNanos, RolloutEvent.SwapResult result, WriteListener listener) {
         lease.onSwap(nowNanos, result);
         if (pending.isEmpty() || pending.get().ticket != result.ticket()) {
             return List.of();
@@ -191,7 +194,7 @@
         return switch (result.answer()) {
             case RolloutEvent.SwapAnswer.Swapped swapped -> {
                 pending = Optional.empty();
-                yield written.record(value, swapped.revision());
+                yield listener.onWritten(value, swapped.revision());
             }
             case RolloutEvent.SwapAnswer.Conflict conflict -> readBack(nowNanos);
             case RolloutEvent.SwapAnswer.Unknown unknown -> readBack(nowNanos);
@@ -206,18 +209,18 @@
     private List<RolloutAction> readBack(long nowNanos) {
         pending = Optional.empty();
         retryNanos = nowNanos + limits.storeTimeoutMillis() * RolloutCore.NANOS_PER_MILLI;
-        return List.of(new RolloutAction.ReadRecord(run.record().id()));
+        return List.of(new RolloutAction.ReadRecord(tracker.record().id()));
     }
 
-    /** The record was read back: go on at once. */
+    /** Ends the retry delay after the record was read back. */
     void recordRead() {
         if (pending.isEmpty()) {
             retryNanos = Long.MIN_VALUE;
         }
     }
 
-    /** Hears of a record that this host wrote. */
-    interface Written {
-        List<RolloutAction> record(RolloutRecord value, long revision);
+    /** Receives a record that this host wrote and its revision. */
+    interface WriteListener {
+        List<RolloutAction> onWritten(RolloutRecord value, long revision);
     }
 }
--- a/src/main/java/org/orioleshed/rollout/RolloutCore.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCore.java
@@ -17,26 +17,27 @@
 import org.orioleshed.model.StateMachine;
 
 /**
- * The part that one entry host takes in all rollouts: it gathers evidence, holds a breaker, takes
- * its turn as coordinator, and says how traffic divides.
+ * State machine of one entry host for all rollouts: gathers and exchanges evidence, trips circuit
+ * breakers, acts as coordinator while it holds a lease, and computes the traffic split.
  *
- * <p>Every host concludes by itself: the new version gets nothing once the breaker has tripped, or
- * once the time is over without a recorded completion, whether or not anyone else can be reached.
+ * <p>Every host decides independently: the new version gets no requests once the breaker has
+ * tripped, or once the deadline has passed without a recorded completion, even if no other host is
+ * reachable.
  */
 public final class RolloutCore implements StateMachine<RolloutEvent, RolloutAction> {
     static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Each so many rounds of evidence, the newest record goes along. */
-    private static final int RECORD_ROUNDS = 5;
+    /** The newest record is sent once in this number of gossip rounds. */
+    private static final int ROUNDS_PER_RECORD = 5;
 
     private final HostId self;
     private final FailureDomain domain;
     private final long incarnation;
     private final RolloutLimits limits;
-    private final CoordinatorTurn turn;
-    private final Map<RolloutId, RolloutRun> runs = new TreeMap<>();
+    private final CoordinatorCandidacy candidacy;
+    private final Map<RolloutId, RolloutTracker> trackers = new TreeMap<>();
     private final Map<RolloutId, RolloutCoordinator> coordinators = new HashMap<>();
-    private final Map<RouteId, List<RolloutRun>> runsByRoute = new HashMap<>();
+    private final Map<RouteId, List<RolloutTracker>> trackersByRoute = new HashMap<>();
     private final Map<RolloutId, Long> badRevisions = new HashMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private List<HostId> peers = List.of();
@@ -46,19 +47,18 @@
     private long nextListNanos = Long.MIN_VALUE;
     private long gossipRound;
 
-    /** Whether the traffic split may have changed. */
-    private boolean unsaid;
+    private boolean splitMayHaveChanged;
 
-    private RolloutAction.SplitChanged said =
+    private RolloutAction.SplitChanged lastSplit =
             new RolloutAction.SplitChanged(Map.of(), Map.of(), Set.of());
 
     /**
-     * Makes the machine of one start of a host.
+     * Creates the state machine of one incarnation of a host.
      *
      * @param self the host
      * @param domain its failure domain
-     * @param incarnation grows with each start of the host
-     * @param limits the numbers to go by
+     * @param incarnation incremented at each start of the host
+     * @param limits the limits of rollouts
      */
     public RolloutCore(HostId self, FailureDomain domain, long incarnation, RolloutLimits limits) {
         if (self == null || domain == null || limits == null) {
@@ -68,7 +68,7 @@
         this.domain = domain;
         this.incarnation = incarnation;
         this.limits = limits;
-        this.turn = new CoordinatorTurn(self);
+        this.candidacy = new CoordinatorCandidacy(self);
     }
 
     @Override
@@ -76,17 +76,17 @@
         List<RolloutAction> actions = new ArrayList<>();
         switch (event) {
             case RolloutEvent.Observed observed -> observe(nowNanos, observed, actions);
-            case RolloutEvent.RecordRead read -> read(nowNanos, read, actions);
+            case RolloutEvent.RecordRead read -> onRead(nowNanos, read, actions);
             case RolloutEvent.RecordsListed listed ->
-                    listed.records().forEach(read -> read(nowNanos, read, actions));
+                    listed.records().forEach(read -> onRead(nowNanos, read, actions));
             case RolloutEvent.LeaseResult result ->
                     coordinators
                             .values()
                             .forEach(
                                     coordinator ->
                                             actions.addAll(coordinator.onLease(nowNanos, result)));
-            case RolloutEvent.SwapResult result -> swapped(nowNanos, result, actions);
-            case RolloutEvent.PeerReceived received -> received(nowNanos, received, actions);
+            case RolloutEvent.SwapResult result -> onSwap(nowNanos, result, actions);
+            case RolloutEvent.PeerReceived received -> onMessage(nowNanos, received, actions);
             case RolloutEvent.FleetChanged changed -> changeFleet(changed.fleet());
             case RolloutEvent.OrderAnswered answered -> {}
             case RolloutEvent.StateRead state ->
@@ -104,72 +104,72 @@
                                                                                     version)));
             case RolloutEvent.Tick tick -> tick(nowNanos, tick.epochMillis(), actions);
         }
-        sayIfChanged(nowNanos, actions);
+        emitSplitIfChanged(nowNanos, actions);
         return actions;
     }
 
-    /** Returns what is known of each rollout, for operators. */
+    /** Returns the status of each rollout, for operators. */
     public List<RolloutStatus> status(long nowNanos) {
         List<RolloutStatus> all = new ArrayList<>();
-        for (RolloutRun run : runs.values()) {
+        for (RolloutTracker tracker : trackers.values()) {
             all.add(
                     new RolloutStatus(
-                            run.record(),
-                            run.revision(),
-                            run.share(nowNanos, epochMillis, fleet),
-                            run.breaker(),
-                            coordinators.get(run.record().id()).fence(nowNanos),
-                            run.pooled().newRuns(),
-                            run.pooled().alarm(),
-                            run.pooled().proofOfEachRoute()));
+                            tracker.record(),
+                            tracker.revision(),
+                            tracker.share(nowNanos, epochMillis, fleet),
+                            tracker.breaker(),
+                            coordinators.get(tracker.record().id()).fence(nowNanos),
+                            tracker.pooled().newRuns(),
+                            tracker.pooled().alarm(),
+                            tracker.pooled().proofOfEachRoute()));
         }
         return all;
     }
 
     private void observe(
             long nowNanos, RolloutEvent.Observed observed, List<RolloutAction> actions) {
-        for (RolloutRun run : runsByRoute.getOrDefault(observed.route(), List.of())) {
-            if (run.isOver(epochMillis) || run.isSuperseded()) {
+        for (RolloutTracker tracker : trackersByRoute.getOrDefault(observed.route(), List.of())) {
+            if (tracker.isSettled(epochMillis) || tracker.isSuperseded()) {
                 continue;
             }
-            run.local()
+            tracker.local()
                     .observe(
                             nowNanos,
                             observed.route(),
                             observed.version(),
                             observed.server(),
-                            run.generation(observed.server(), fleet),
+                            tracker.generation(observed.server(), fleet),
                             observed.result());
-            if (observed.version().equals(run.record().to())) {
-                checkBreaker(nowNanos, run, actions);
+            if (observed.version().equals(tracker.record().to())) {
+                checkBreaker(nowNanos, tracker, actions);
             }
         }
     }
 
-    private void checkBreaker(long nowNanos, RolloutRun run, List<RolloutAction> actions) {
-        run.alarm().ifPresent(reason -> trip(nowNanos, run, reason, peers, actions));
+    private void checkBreaker(long nowNanos, RolloutTracker tracker, List<RolloutAction> actions) {
+        tracker.alarm().ifPresent(reason -> trip(nowNanos, tracker, reason, peers, actions));
     }
 
     private void trip(
             long nowNanos,
-            RolloutRun run,
+            RolloutTracker tracker,
             String reason,
-            Collection<HostId> toTell,
+            Collection<HostId> recipients,
             List<RolloutAction> actions) {
-        if (!run.trip(reason)) {
+        if (!tracker.trip(reason)) {
             return;
         }
-        unsaid = true;
+        splitMayHaveChanged = true;
         RolloutAction.Notice.Kind kind =
-                run.isOpen()
+                tracker.isOpen()
                         ? RolloutAction.Notice.Kind.FUSE
                         : RolloutAction.Notice.Kind.FAULT_AFTER_COMPLETION;
-        actions.add(notice(run, kind, reason));
-        RolloutMessage message = evidence(nowNanos, run);
-        toTell.forEach(peer -> actions.add(new RolloutAction.SendMessage(peer, message)));
+        actions.add(notice(tracker, kind, reason));
+        RolloutMessage message = evidence(nowNanos, tracker);
+        recipients.forEach(peer -> actions.add(new RolloutAction.SendMessage(peer, message)));
     }
 
-    private void read(long nowNanos, RolloutEvent.RecordRead read, List<RolloutAction> actions) {
+    private void onRead(long nowNanos, RolloutEvent.RecordRead read, List<RolloutAction> actions) {
         RolloutCoordinator coordinator = coordinators.get(read.rollout());
         if (coordinator != null) {
             coordinator.recordRead();
@@ -178,28 +178,30 @@
             return;
         }
         Payload value = read.value().get();
-        if (learn(nowNanos, read.rollout(), value, read.revision(), actions)) {
-            tellAll(read.rollout(), actions);
+        if (onRecord(nowNanos, read.rollout(), value, read.revision(), actions)) {
+            broadcastRecord(read.rollout(), actions);
         }
     }
 
-    /** Takes in a record that may be news. Returns whether it was. */
-    private boolean learn(
+    /** Handles a record that may be newer than the known one. Returns whether it was. */
+    private boolean onRecord(
             long nowNanos,
             RolloutId id,
             Payload value,
             long revision,
             List<RolloutAction> actions) {
-        RolloutRun known = runs.get(id);
-        if (known != null && revision <= known.revision()) {
+        RolloutTracker existing = trackers.get(id);
+        if (existing != null && revision <= existing.revision()) {
             return false;
         }
         try {
             RolloutRecord record = RolloutRecord.parse(value);
             if (!record.id().equals(id)) {
-                throw new BadRecordException("record of another move: " + record.id(), null);
+                throw new BadRecordException(
+                        "record of another rollout: expected id " + id + ", found " + record.id(),
+                        null);
             }
-            return adopt(nowNanos, record, revision, actions);
+            return update(nowNanos, record, revision, actions);
         } catch (BadRecordException e) {
             if (revision > badRevisions.getOrDefault(id, 0L)) {
                 badRevisions.put(id, revision);
@@ -214,90 +216,93 @@
         }
     }
 
-    private boolean adopt(
+    private boolean update(
             long nowNanos, RolloutRecord record, long revision, List<RolloutAction> actions) {
-        RolloutRun run = runs.get(record.id());
-        boolean wasOpen = run == null || run.isOpen();
-        if (run == null) {
-            run = new RolloutRun(nowNanos, self, record, revision, limits);
-            add(nowNanos, run);
-        } else if (!run.adopt(nowNanos, record, revision)) {
+        RolloutTracker tracker = trackers.get(record.id());
+        boolean wasOpen = tracker == null || tracker.isOpen();
+        if (tracker == null) {
+            tracker = new RolloutTracker(nowNanos, self, record, revision, limits);
+            add(nowNanos, tracker);
+        } else if (!tracker.update(nowNanos, record, revision)) {
             return false;
         }
-        if (wasOpen && !run.isOpen()) {
+        if (wasOpen && !tracker.isOpen()) {
             RolloutAction.Notice.Kind kind =
                     record.state() == RolloutState.COMPLETED
                             ? RolloutAction.Notice.Kind.COMPLETED
                             : RolloutAction.Notice.Kind.TAKEN_BACK;
-            actions.add(notice(run, kind, record.author() + ": " + record.reason()));
+            actions.add(notice(tracker, kind, record.author() + ": " + record.reason()));
         }
-        TrafficSplits.settleRaces(runs.values());
-        unsaid = true;
+        TrafficSplits.resolveConflicts(trackers.values());
+        splitMayHaveChanged = true;
         return true;
     }
 
-    private void add(long nowNanos, RolloutRun run) {
-        RolloutId id = run.record().id();
-        runs.put(id, run);
+    private void add(long nowNanos, RolloutTracker tracker) {
+        RolloutId id = tracker.record().id();
+        trackers.put(id, tracker);
         Payload holder = Payload.of(self + "." + incarnation);
-        coordinators.put(id, new RolloutCoordinator(run, holder, limits, () -> ++lastTicket));
-        turn.rolloutObserved(id, nowNanos);
-        for (RouteId route : run.record().routes()) {
-            runsByRoute.computeIfAbsent(route, key -> new ArrayList<>()).add(run);
+        coordinators.put(id, new RolloutCoordinator(tracker, holder, limits, () -> ++lastTicket));
+        candidacy.rolloutObserved(id, nowNanos);
+        for (RouteId route : tracker.record().routes()) {
+            trackersByRoute.computeIfAbsent(route, key -> new ArrayList<>()).add(tracker);
         }
     }
 
-    private void swapped(
+    private void onSwap(
             long nowNanos, RolloutEvent.SwapResult result, List<RolloutAction> actions) {
         for (RolloutCoordinator coordinator : coordinators.values()) {
             actions.addAll(
                     coordinator.onSwap(
                             nowNanos,
                             result,
-                            (record, revision) -> written(nowNanos, record, revision)));
+                            (record, revision) -> onWritten(nowNanos, record, revision)));
         }
     }
 
-    private List<RolloutAction> written(long nowNanos, RolloutRecord record, long revision) {
+    private List<RolloutAction> onWritten(long nowNanos, RolloutRecord record, long revision) {
         List<RolloutAction> actions = new ArrayList<>();
-        adopt(nowNanos, record, revision, actions);
+        update(nowNanos, record, revision, actions);
         if (!record.state().isOutcome()) {
-            RolloutRun run = runs.get(record.id());
+            RolloutTracker tracker = trackers.get(record.id());
             String detail =
-                    "step=" + record.step() + " share=" + run.share(nowNanos, epochMillis, fleet);
-            actions.add(notice(run, RolloutAction.Notice.Kind.STEP, detail));
+                    "step="
+                            + record.step()
+                            + " share="
+                            + tracker.share(nowNanos, epochMillis, fleet);
+            actions.add(notice(tracker, RolloutAction.Notice.Kind.STEP, detail));
         }
-        tellAll(record.id(), actions);
+        broadcastRecord(record.id(), actions);
         return actions;
     }
 
-    private void received(
+    private void onMessage(
             long nowNanos, RolloutEvent.PeerReceived received, List<RolloutAction> actions) {
         switch (received.message()) {
             case RolloutMessage.RecordSeen seen ->
-                    learn(nowNanos, seen.rollout(), seen.record(), seen.revision(), actions);
+                    onRecord(nowNanos, seen.rollout(), seen.record(), seen.revision(), actions);
             case RolloutMessage.Evidence evidence -> {
-                RolloutRun run = runs.get(evidence.rollout());
-                if (run != null) {
-                    take(nowNanos, received.from(), run, evidence, actions);
+                RolloutTracker tracker = trackers.get(evidence.rollout());
+                if (tracker != null) {
+                    onEvidence(nowNanos, received.from(), tracker, evidence, actions);
                 }
             }
         }
     }
 
-    private void take(
+    private void onEvidence(
             long nowNanos,
             HostId from,
-            RolloutRun run,
+            RolloutTracker tracker,
             RolloutMessage.Evidence evidence,
             List<RolloutAction> actions) {
         if (evidence.coordinatorFence() > 0) {
-            turn.coordinatorObserved(run.record().id(), nowNanos);
+            candidacy.coordinatorObserved(tracker.record().id(), nowNanos);
         }
-        if (run.isOver(epochMillis)) {
+        if (tracker.isSettled(epochMillis)) {
             return;
         }
-        run.pooled()
+        tracker.pooled()
                 .merge(
                         nowNanos,
                         from,
@@ -305,14 +310,14 @@
                         evidence.incarnation(),
                         evidence.tallies());
         if (evidence.breakerTripped()) {
-            trip(nowNanos, run, "fuse of " + from, nextPeers(), actions);
+            trip(nowNanos, tracker, "fuse of " + from, nextPeers(), actions);
         }
-        checkBreaker(nowNanos, run, actions);
+        checkBreaker(nowNanos, tracker, actions);
     }
 
     private void changeFleet(FleetSnapshot newFleet) {
         fleet = newFleet;
-        unsaid = true;
+        splitMayHaveChanged = true;
         peers =
                 fleet.hosts().values().stream()
                         .filter(host -> host.state() != EntryHost.State.DEAD)
@@ -320,38 +325,42 @@
                         .filter(id -> !id.equals(self))
                         .sorted()
                         .toList();
-        turn.changeHosts(fleet);
-        runs.values().forEach(RolloutRun::fleetChanged);
+        candidacy.changeHosts(fleet);
+        trackers.values().forEach(RolloutTracker::fleetChanged);
     }
 
     private void tick(long nowNanos, long newEpochMillis, List<RolloutAction> actions) {
         epochMillis = newEpochMillis;
-        unsaid = true;
-        for (RolloutRun run : runs.values()) {
-            if (run.concludeAtDeadline(epochMillis)) {
+        splitMayHaveChanged = true;
+        for (RolloutTracker tracker : trackers.values()) {
+            if (tracker.rollBackAtDeadline(epochMillis)) {
                 actions.add(
                         notice(
-                                run,
+                                tracker,
                                 RolloutAction.Notice.Kind.CONCLUDED_BACK,
                                 "no completion recorded in time"));
             }
         }
         gossip(nowNanos, actions);
-        if (nowNanos >= nextListNanos && turn.lists(domain)) {
+        if (nowNanos >= nextListNanos && candidacy.listsRollouts(domain)) {
             nextListNanos = nowNanos + limits.listMillis() * NANOS_PER_MILLI;
             actions.add(new RolloutAction.ListRecords());
         }
-        for (RolloutRun run : runs.values()) {
-            RolloutCoordinator coordinator = coordinators.get(run.record().id());
-            boolean wanted = turn.isMine(run.record().id(), nowNanos);
-            boolean mustWait = run.isService() && isModelRolloutOpen();
+        for (RolloutTracker tracker : trackers.values()) {
+            RolloutCoordinator coordinator = coordinators.get(tracker.record().id());
+            boolean wanted = candidacy.shouldTry(tracker.record().id(), nowNanos);
+            boolean mustWait = tracker.isService() && isModelRolloutOpen();
             actions.addAll(coordinator.tick(nowNanos, epochMillis, fleet, wanted, mustWait));
         }
     }
 
     private boolean isModelRolloutOpen() {
-        return runs.values().stream()
-                .anyMatch(run -> run.isOpen() && !run.isService() && !run.isSuperseded());
+        return trackers.values().stream()
+                .anyMatch(
+                        tracker ->
+                                tracker.isOpen()
+                                        && !tracker.isService()
+                                        && !tracker.isSuperseded());
     }
 
     private void gossip(long nowNanos, List<RolloutAction> actions) {
@@ -361,23 +370,23 @@
         nextGossipNanos = nowNanos + limits.gossipMillis() * NANOS_PER_MILLI;
         gossipRound++;
         List<HostId> to = nextPeers();
-        boolean withRecords = gossipRound % RECORD_ROUNDS == 0;
-        for (RolloutRun run : runs.values()) {
+        boolean withRecords = gossipRound % ROUNDS_PER_RECORD == 0;
+        for (RolloutTracker tracker : trackers.values()) {
             if (withRecords) {
-                RolloutMessage seen = recordSeen(run);
+                RolloutMessage seen = recordSeen(tracker);
                 to.forEach(peer -> actions.add(new RolloutAction.SendMessage(peer, seen)));
             }
-            if (run.isOver(epochMillis)) {
+            if (tracker.isSettled(epochMillis)) {
                 continue;
             }
-            run.pooled().merge(nowNanos, self, domain, incarnation, run.local().tallies());
-            checkBreaker(nowNanos, run, actions);
-            RolloutMessage message = evidence(nowNanos, run);
+            tracker.pooled().merge(nowNanos, self, domain, incarnation, tracker.local().tallies());
+            checkBreaker(nowNanos, tracker, actions);
+            RolloutMessage message = evidence(nowNanos, tracker);
             to.forEach(peer -> actions.add(new RolloutAction.SendMessage(peer, message)));
         }
     }
 
-    /** Returns the peers whose turn it is to get evidence. */
+    /** Returns the peers that get evidence in this round. */
     private List<HostId> nextPeers() {
         if (peers.size() <= limits.gossipPeers()) {
             return peers;
@@ -390,39 +399,40 @@
         return next;
     }
 
-    private void tellAll(RolloutId id, List<RolloutAction> actions) {
-        RolloutMessage seen = recordSeen(runs.get(id));
+    private void broadcastRecord(RolloutId id, List<RolloutAction> actions) {
+        RolloutMessage seen = recordSeen(trackers.get(id));
         peers.forEach(peer -> actions.add(new RolloutAction.SendMessage(peer, seen)));
     }
 
-    private static RolloutMessage recordSeen(RolloutRun run) {
+    private static RolloutMessage recordSeen(RolloutTracker tracker) {
         return new RolloutMessage.RecordSeen(
-                run.record().id(), run.record().toPayload(), run.revision());
+                tracker.record().id(), tracker.record().toPayload(), tracker.revision());
     }
 
-    private RolloutMessage evidence(long nowNanos, RolloutRun run) {
+    private RolloutMessage evidence(long nowNanos, RolloutTracker tracker) {
         return new RolloutMessage.Evidence(
-                run.record().id(),
+                tracker.record().id(),
                 domain,
                 incarnation,
-                run.breaker().isPresent(),
-                coordinators.get(run.record().id()).fence(nowNanos),
-                run.local().tallies());
+                tracker.breaker().isPresent(),
+                coordinators.get(tracker.record().id()).fence(nowNanos),
+                tracker.local().tallies());
     }
 
-    private RolloutAction notice(RolloutRun run, RolloutAction.Notice.Kind kind, String detail) {
-        return new RolloutAction.Notice(run.record().id(), kind, epochMillis, detail);
+    private RolloutAction notice(
+            RolloutTracker tracker, RolloutAction.Notice.Kind kind, String detail) {
+        return new RolloutAction.Notice(tracker.record().id(), kind, epochMillis, detail);
     }
 
-    private void sayIfChanged(long nowNanos, List<RolloutAction> actions) {
-        if (!unsaid) {
+    private void emitSplitIfChanged(long nowNanos, List<RolloutAction> actions) {
+        if (!splitMayHaveChanged) {
             return;
         }
-        unsaid = false;
+        splitMayHaveChanged = false;
         RolloutAction.SplitChanged now =
-                TrafficSplits.of(runs.values(), nowNanos, epochMillis, fleet, domain);
-        if (!now.equals(said)) {
-            said = now;
+                TrafficSplits.of(trackers.values(), nowNanos, epochMillis, fleet, domain);
+        if (!now.equals(lastSplit)) {
+            lastSplit = now;
             actions.add(now);
         }
     }
--- a/src/main/java/org/orioleshed/rollout/RolloutEvent.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutEvent.java
@@ -10,17 +10,17 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What can happen to {@link RolloutCore}. */
+/** Input events of {@link RolloutCore}. */
 public sealed interface RolloutEvent {
     /**
-     * A run that this host accepted ended on a backend server. Feed every run of every route; those
+     * A run that this host accepted ended on a backend server. Must be reported for every run; runs
      * of routes without a rollout are ignored.
      */
     record Observed(RouteId route, VersionId version, ServerId server, RunResult result)
             implements RolloutEvent {}
 
     /**
-     * A rollout's record was read or watched, or a read failed to find it.
+     * A rollout's record was read or watched, or a read did not find it.
      *
      * @param value empty when the key does not exist
      * @param revision the key's modification revision; zero when it does not exist
@@ -45,49 +45,49 @@
     /** The answer to {@link RolloutAction.SwapRecord}. */
     record SwapResult(long ticket, SwapAnswer answer) implements RolloutEvent {}
 
-    /** A peer's message about rollouts. */
+    /** A peer sent a message about rollouts. */
     record PeerReceived(HostId from, RolloutMessage message) implements RolloutEvent {}
 
     /** The membership view or the settings changed. */
     record FleetChanged(FleetSnapshot fleet) implements RolloutEvent {}
 
-    /** The answer to {@link RolloutAction.Order}: the order was taken, or not. */
-    record OrderAnswered(ServerId server, long fence, boolean taken) implements RolloutEvent {}
+    /** The answer to {@link RolloutAction.Order}: whether the server accepted the order. */
+    record OrderAnswered(ServerId server, long fence, boolean accepted) implements RolloutEvent {}
 
-    /** The answer to {@link RolloutAction.ReadState}; empty when the server could not be asked. */
+    /** The answer to {@link RolloutAction.ReadState}; empty when the state could not be read. */
     record StateRead(ServerId server, Optional<VersionId> version) implements RolloutEvent {}
 
     /**
-     * Time passed; comes at least every 100 ms.
+     * Time passed; must occur at least every 100 ms.
      *
      * @param epochMillis the host's wall clock, in milliseconds since the epoch
      */
     record Tick(long epochMillis) implements RolloutEvent {}
 
-    /** What the store said about a lease. */
+    /** The store's answer about a lease. */
     sealed interface LeaseAnswer {
-        /** The lease stands for {@code ttlMillis} from the moment it was asked for. */
+        /** The lease is valid for {@code ttlMillis} from the time of the request. */
         record Held(long leaseId, long ttlMillis) implements LeaseAnswer {}
 
-        /** The lease does not stand. */
+        /** The lease is not valid. */
         record Lost(String detail) implements LeaseAnswer {}
 
-        /** The store did not answer: nothing new is known of the lease. */
+        /** The store did not answer; the state of the lease is unchanged. */
         record Unavailable(String detail) implements LeaseAnswer {}
     }
 
-    /** What the store said about a swap. */
+    /** The store's answer about a swap. */
     sealed interface SwapAnswer {
         /** The swap took effect. */
         record Swapped(long revision) implements SwapAnswer {}
 
-        /** The swap did not take effect; the present value is given. */
+        /** The swap did not take effect; holds the present value. */
         record Conflict(Optional<Payload> value, long revision) implements SwapAnswer {}
 
-        /** The answer was lost: the swap may have taken effect. */
+        /** The answer was lost; the swap may have taken effect. */
         record Unknown(String detail) implements SwapAnswer {}
 
-        /** The swap did not take effect: the store was not asked. */
+        /** The swap did not take effect: the request was not sent to the store. */
         record Unavailable(String detail) implements SwapAnswer {}
     }
 }
--- a/src/main/java/org/orioleshed/rollout/RolloutLimits.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutLimits.java
@@ -3,34 +3,39 @@
 import java.util.List;
 
 /**
- * The numbers that rollouts go by.
+ * Limits and thresholds of rollouts.
  *
- * @param shares the new version's share of requests at each step, growing, from 0 to 1; the last
- *     one is kept until the outcome
- * @param serviceFactor what the shares are multiplied by for a plain service, from 0 to 1
- * @param stepProof the evidence that earns a step before the last, as the logarithm of the odds for
- *     "good"
- * @param fullProof the evidence that earns completion, on the same scale; 7.6 makes a bad version
- *     pass once in 2,000
- * @param breakerLevel the evidence that trips a breaker, as the logarithm of the odds for "bad"
- * @param failureGap how much more of its runs a bad version fails than the old one, from 0 to 1
- * @param slowGap how much more of its runs lie above the old version's 90th percentile when a
- *     version counts as slow, from 0 to 1
- * @param soakFraction the part of the time between first step and completeBy that must pass before
- *     completion, from 0 to 1
- * @param spreadMillis the time that a recorded outcome takes to reach every reachable host; no
- *     completion is recorded later than this before completeBy
- * @param guardMillis how long breakers stay armed after completion, in milliseconds
+ * @param shares the new version's share of requests at each step, rising, above 0 and at most 1;
+ *     the last one applies until the outcome
+ * @param serviceFactor factor on the shares of a plain service, above 0 and at most 1
+ * @param stepProof the evidence required for the next step, as the logarithm of the odds for a good
+ *     version
+ * @param fullProof the evidence required for completion, on the same scale; at 7.6 a bad version
+ *     passes once in 2,000
+ * @param breakerLevel the evidence that trips a circuit breaker, as the logarithm of the odds for a
+ *     bad version
+ * @param failureGap the increase in the fraction of failed runs that makes a version bad, above 0
+ *     and at most 1
+ * @param slowGap the increase in the fraction of runs above the old version's 90th percentile that
+ *     makes a version slow, above 0 and at most 1
+ * @param soakFraction the fraction of the time between the first step and completeBy that must pass
+ *     before completion, above 0 and at most 1
+ * @param propagationMillis the time that a recorded outcome takes to reach every reachable host, in
+ *     milliseconds; no completion is recorded within this time before completeBy
+ * @param guardMillis how long circuit breakers stay active after completion, in milliseconds
  * @param gossipMillis the time between evidence messages, in milliseconds
- * @param gossipPeers the most peers that get evidence at each of these times
- * @param freshMillis how old a domain's evidence may be when the coordinator takes a step
- * @param leaseMillis the coordinator's lease
- * @param leaseMarginMillis how long before its end the coordinator stops relying on the lease
- * @param storeTimeoutMillis the time that a store call may take
+ * @param gossipPeers the maximum number of peers that get evidence at each of these times
+ * @param freshMillis the maximum age of a domain's evidence when the coordinator takes a step, in
+ *     milliseconds
+ * @param leaseMillis the time to live of the coordinator's lease, in milliseconds
+ * @param leaseMarginMillis how long before its expiry the coordinator stops relying on the lease,
+ *     in milliseconds
+ * @param storeTimeoutMillis the timeout of a store call, in milliseconds
  * @param listMillis the time between listings of all rollouts, in milliseconds
- * @param coldRuns a new version's first runs on each server that are not compared for time
- * @param weightLoadsAtOnce the most servers that load weights at once
- * @param weightSpacingMillis the least time between two orders to load weights
+ * @param coldRuns the number of a new version's first runs on each server whose times are not
+ *     compared
+ * @param weightLoadsAtOnce the maximum number of servers that load weights at once
+ * @param weightSpacingMillis the minimum time between two orders to load weights, in milliseconds
  */
 public record RolloutLimits(
         List<Double> shares,
@@ -41,7 +46,7 @@
         double failureGap,
         double slowGap,
         double soakFraction,
-        long spreadMillis,
+        long propagationMillis,
         long guardMillis,
         long gossipMillis,
         int gossipPeers,
@@ -86,7 +91,8 @@
         double previous = 0;
         for (double share : shares) {
             if (share <= previous || share > 1) {
-                throw new IllegalArgumentException("shares must grow from 0 to 1: " + shares);
+                throw new IllegalArgumentException(
+                        "shares must rise from 0 to 1, found " + share + " after " + previous);
             }
             previous = share;
         }
@@ -97,12 +103,12 @@
         requirePositive(stepProof, "stepProof");
         requirePositive(fullProof, "fullProof");
         requirePositive(breakerLevel, "fuseLevel");
-        requirePositive(spreadMillis, "spreadMillis");
+        requirePositive(propagationMillis, "spreadMillis");
         requirePositive(guardMillis, "guardMillis");
         requirePositive(gossipMillis, "gossipMillis");
         requirePositive(gossipPeers, "gossipPeers");
         requirePositive(freshMillis, "freshMillis");
-        requirePositive(leaseMillis - leaseMarginMillis, "leaseMillis less its margin");
+        requirePositive(leaseMillis - leaseMarginMillis, "leaseMillis minus leaseMarginMillis");
         requirePositive(leaseMarginMillis, "leaseMarginMillis");
         requirePositive(storeTimeoutMillis, "storeTimeoutMillis");
         requirePositive(listMillis, "listMillis");
@@ -120,7 +126,7 @@
 
     private static void requireFraction(double value, String name) {
         if (!(value > 0 && value <= 1)) {
-            throw new IllegalArgumentException(name + " must lie between 0 and 1: " + value);
+            throw new IllegalArgumentException(name + " must be above 0 and at most 1: " + value);
         }
     }
 
--- a/src/main/java/org/orioleshed/rollout/RolloutMessage.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutMessage.java
@@ -7,10 +7,10 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.VersionId;
 
-/** What entry hosts say to each other about rollouts. All may be lost, repeated and reordered. */
+/** Messages between entry hosts about rollouts. They may be lost, repeated and reordered. */
 public sealed interface RolloutMessage {
     /**
-     * The sender's own evidence about a rollout, all of it since the sender's start.
+     * The sender's own evidence about a rollout, accumulated since the sender's start.
      *
      * @param rollout the rollout
      * @param domain the sender's failure domain
@@ -35,7 +35,7 @@
     }
 
     /**
-     * The newest record that the sender knows.
+     * The newest record that the sender has.
      *
      * @param rollout the rollout
      * @param record the record as in the store
@@ -43,7 +43,7 @@
      */
     record RecordSeen(RolloutId rollout, Payload record, long revision) implements RolloutMessage {}
 
-    /** What a {@link Tally} counts. */
+    /** The route, version and load band that a {@link Tally} counts. */
     record Key(RouteId route, VersionId version, LoadBand band) implements Comparable<Key> {
         @Override
         public int compareTo(Key other) {
--- a/src/main/java/org/orioleshed/rollout/RolloutRecord.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutRecord.java
@@ -9,23 +9,24 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * One rollout as the platform's store holds it, under {@link #key}.
+ * A rollout as stored in the platform's store under {@link #key}.
  *
  * @param id the rollout
  * @param target the model or service that the rollout concerns
- * @param from the version that traffic leaves
- * @param to the version that traffic goes to
+ * @param from the old version
+ * @param to the new version
  * @param routes the routes of the rollout, at least one
  * @param plannedMillis when it was planned, in milliseconds since the epoch
  * @param completeByMillis when it must be completed, in milliseconds since the epoch
  * @param loads backend servers that must load the new version first; usually empty
- * @param state where it stands
- * @param step the step of share reached, from zero; meaningful while running
+ * @param state the state of the rollout
+ * @param step the index of the current step in {@link RolloutLimits#shares}; meaningful while
+ *     running
  * @param startedMillis when the first step was taken; zero before
  * @param fence the fencing number of the coordinator that wrote last; zero before the first
  * @param decidedMillis when the outcome was recorded; zero before
- * @param author who planned it, or who took it back
- * @param reason why, in a sentence
+ * @param author who planned the rollout, or who rolled it back
+ * @param reason the reason, in a sentence
  */
 public record RolloutRecord(
         RolloutId id,
@@ -43,11 +44,11 @@
         long decidedMillis,
         String author,
         String reason) {
-    /** The start of the keys of all rollouts. */
+    /** Key prefix of all rollouts in the store. */
     public static final String KEY_PREFIX = "orioleshed/moves/";
 
-    /** The longest author or reason, in characters. */
-    public static final int MAX_TEXT = 1_000;
+    /** The maximum length of an author or reason, in characters. */
+    public static final int MAX_TEXT_CHARS = 1_000;
 
     /** Checks the arguments and copies the lists. */
     public RolloutRecord {
@@ -55,7 +56,7 @@
             throw new IllegalArgumentException("id, target, versions and state must be given");
         }
         if (id.value().contains("/")) {
-            throw new IllegalArgumentException("move must not contain a slash: " + id);
+            throw new IllegalArgumentException("rollout id must not contain '/': " + id);
         }
         if (from.equals(to)) {
             throw new IllegalArgumentException("from and to must differ: " + from);
@@ -66,7 +67,11 @@
             throw new IllegalArgumentException("routes must not be empty");
         }
         if (completeByMillis <= plannedMillis) {
-            throw new IllegalArgumentException("completeBy must lie after the planning");
+            throw new IllegalArgumentException(
+                    "completeByMillis must be after plannedMillis, found "
+                            + completeByMillis
+                            + " and "
+                            + plannedMillis);
         }
         if (step < 0) {
             throw new IllegalArgumentException("step must not be negative: " + step);
@@ -75,7 +80,7 @@
         reason = requireText(reason, "reason");
     }
 
-    /** Returns a new rollout that nothing has happened to yet. */
+    /** Returns a new rollout in state {@link RolloutState#PLANNED}. */
     public static RolloutRecord plan(
             RolloutId id,
             Target target,
@@ -105,20 +110,20 @@
                 reason);
     }
 
-    /** Returns the store's key of rollout {@code id}. */
+    /** Returns the key of rollout {@code id} in the store. */
     public static String key(RolloutId id) {
         return KEY_PREFIX + id;
     }
 
-    /** Returns the JSON that {@link #parse} reads. */
+    /** Returns this record as JSON, as read by {@link #parse}. */
     public Payload toPayload() {
         return RolloutRecordJson.write(this);
     }
 
     /**
-     * Returns the record in {@code payload}.
+     * Parses a record from JSON.
      *
-     * @throws BadRecordException when it is no valid record
+     * @throws BadRecordException when {@code payload} is not a valid record
      */
     public static RolloutRecord parse(Payload payload) throws BadRecordException {
         return RolloutRecordJson.read(payload);
@@ -128,7 +133,7 @@
      * Returns this rollout at {@code newStep}, written by the coordinator with {@code newFence}.
      */
     RolloutRecord atStep(int newStep, long nowMillis, long newFence) {
-        long started = startedMillis == 0 ? nowMillis : startedMillis;
+        long startMillis = startedMillis == 0 ? nowMillis : startedMillis;
         return new RolloutRecord(
                 id,
                 target,
@@ -140,7 +145,7 @@
                 loads,
                 RolloutState.RUNNING,
                 newStep,
-                started,
+                startMillis,
                 newFence,
                 0,
                 author,
@@ -150,13 +155,17 @@
     /**
      * Returns this rollout with its outcome.
      *
-     * @throws IllegalStateException when it has one already
-     * @throws IllegalArgumentException when {@code outcome} is none
+     * @throws IllegalStateException when it already has an outcome
+     * @throws IllegalArgumentException when {@code outcome} is not an outcome
      */
     public RolloutRecord decided(
-            RolloutState outcome, long nowMillis, long newFence, String who, String why) {
+            RolloutState outcome,
+            long nowMillis,
+            long newFence,
+            String newAuthor,
+            String newReason) {
         if (state.isOutcome()) {
-            throw new IllegalStateException("move " + id + " is already " + state);
+            throw new IllegalStateException("rollout " + id + " is already " + state);
         }
         if (!outcome.isOutcome()) {
             throw new IllegalArgumentException("not an outcome: " + outcome);
@@ -175,14 +184,14 @@
                 startedMillis,
                 newFence,
                 nowMillis,
-                who,
-                why);
+                newAuthor,
+                newReason);
     }
 
-    private static String requireText(String text, String what) {
-        if (text == null || text.length() > MAX_TEXT) {
+    private static String requireText(String text, String name) {
+        if (text == null || text.length() > MAX_TEXT_CHARS) {
             throw new IllegalArgumentException(
-                    what + " must be given, at most " + MAX_TEXT + " characters");
+                    name + " must be given, at most " + MAX_TEXT_CHARS + " characters");
         }
         return text;
     }
--- a/src/main/java/org/orioleshed/rollout/RolloutRecordJson.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutRecordJson.java
@@ -55,7 +55,7 @@
             }
             return record(node);
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadRecordException("not a move record: " + e.getMessage(), e);
+            throw new BadRecordException("invalid rollout record: " + e.getMessage(), e);
         }
     }
 
@@ -93,7 +93,7 @@
     private static long number(JsonNode node, String name) {
         JsonNode value = node.get(name);
         if (value == null || !value.canConvertToLong() || !value.isIntegralNumber()) {
-            throw new IllegalArgumentException(name + " must be a whole number");
+            throw new IllegalArgumentException(name + " must be an integer");
         }
         return value.longValue();
     }
--- a/src/main/java/org/orioleshed/rollout/RolloutState.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutState.java
@@ -1,10 +1,10 @@
 package org.orioleshed.rollout;
 
-/** Where a rollout stands. Once an outcome is recorded, it never changes. */
+/** State of a rollout. A recorded outcome never changes. */
 public enum RolloutState {
-    /** Recorded, no traffic on the new version yet. */
+    /** Recorded; no traffic on the new version yet. */
     PLANNED,
-    /** Traffic is moving. */
+    /** Traffic is split between the versions. */
     RUNNING,
     /** Outcome: all traffic is on the new version. */
     COMPLETED,
--- a/src/main/java/org/orioleshed/rollout/RolloutRun.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutTracker.java
@@ -14,8 +14,11 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** One rollout as one host knows it: the newest record, the evidence, and the host's breaker. */
-final class RolloutRun {
+/**
+ * State of one rollout on one host: the newest record, the evidence, and the host's circuit
+ * breaker.
+ */
+final class RolloutTracker {
     private final RolloutLimits limits;
     private final LocalEvidence local;
     private final PooledEvidence pooled;
@@ -23,17 +26,17 @@
     private final Map<ServerId, String> generations = new HashMap<>();
     private RolloutRecord record;
     private long revision;
-    private long stepSinceNanos;
+    private long stepStartNanos;
     private Optional<String> breaker = Optional.empty();
     private boolean superseded;
-    private boolean concludedBack;
+    private boolean rolledBackAtDeadline;
 
-    RolloutRun(
+    RolloutTracker(
             long nowNanos, HostId self, RolloutRecord record, long revision, RolloutLimits limits) {
         this.limits = limits;
         this.record = record;
         this.revision = revision;
-        this.stepSinceNanos = nowNanos;
+        this.stepStartNanos = nowNanos;
         this.local = new LocalEvidence(record.from(), record.to(), limits);
         this.pooled = new PooledEvidence(record, limits);
         this.loadTrial = new LoadTrial(self, limits);
@@ -55,12 +58,12 @@
         return pooled;
     }
 
-    /** Returns why the breaker tripped; empty while it holds. */
+    /** Returns why the breaker tripped; empty while it has not tripped. */
     Optional<String> breaker() {
         return breaker;
     }
 
-    /** Returns whether an earlier move has the same routes. */
+    /** Returns whether another open rollout has precedence on one of its routes. */
     boolean isSuperseded() {
         return superseded;
     }
@@ -73,8 +76,8 @@
         return !record.state().isOutcome();
     }
 
-    /** Returns whether nothing that happens now can change how traffic divides. */
-    boolean isOver(long epochMillis) {
+    /** Returns whether the traffic split can no longer change. */
+    boolean isSettled(long epochMillis) {
         return switch (record.state()) {
             case PLANNED, RUNNING -> false;
             case TAKEN_BACK -> true;
@@ -83,16 +86,16 @@
     }
 
     /**
-     * Takes in a record if it is newer than the known one. An outcome is never replaced.
+     * Replaces the record if {@code newer} has a higher revision. An outcome is never replaced.
      *
-     * @return whether it was taken in
+     * @return whether the record was replaced
      */
-    boolean adopt(long nowNanos, RolloutRecord newer, long newerRevision) {
+    boolean update(long nowNanos, RolloutRecord newer, long newerRevision) {
         if (newerRevision <= revision || !isOpen()) {
             return false;
         }
         if (newer.step() != record.step() || newer.state() != record.state()) {
-            stepSinceNanos = nowNanos;
+            stepStartNanos = nowNanos;
             pooled.restartProof();
         }
         record = newer;
@@ -100,7 +103,7 @@
         return true;
     }
 
-    /** Trips the breaker; it stays tripped. Returns whether it held before. */
+    /** Trips the breaker permanently. Returns false if it had already tripped. */
     boolean trip(String reason) {
         if (breaker.isPresent()) {
             return false;
@@ -109,7 +112,10 @@
         return true;
     }
 
-    /** Returns why the evidence trips the breaker now, if it does. */
+    /**
+     * Returns the reason if the current evidence must trip the breaker; empty if it has already
+     * tripped.
+     */
     Optional<String> alarm() {
         if (breaker.isPresent()) {
             return Optional.empty();
@@ -123,43 +129,46 @@
         return Optional.empty();
     }
 
-    /** Concludes "back" when the time is over. Returns whether that is new. */
-    boolean concludeAtDeadline(long epochMillis) {
-        if (concludedBack || !isOpen() || epochMillis < record.completeByMillis()) {
+    /**
+     * Rolls back on this host when the deadline passes without an outcome. Returns whether this
+     * call did so.
+     */
+    boolean rollBackAtDeadline(long epochMillis) {
+        if (rolledBackAtDeadline || !isOpen() || epochMillis < record.completeByMillis()) {
             return false;
         }
-        concludedBack = true;
+        rolledBackAtDeadline = true;
         return true;
     }
 
-    /** Returns the new version's share of requests on this host now. */
+    /** Returns the new version's current share of requests on this host. */
     double share(long nowNanos, long epochMillis, FleetSnapshot fleet) {
-        if (!isMoving(epochMillis)) {
+        if (!isSplitActive(epochMillis)) {
             return 0;
         }
         double share = stepShare();
         if (isInLoadTrial()) {
-            return loadTrial.share(nowNanos - stepSinceNanos, epochMillis, fleet, share);
+            return loadTrial.share(nowNanos - stepStartNanos, epochMillis, fleet, share);
         }
         return share;
     }
 
-    /** Returns the new version's servers that must get no work for now. */
+    /** Returns the new version's servers that currently must get no work. */
     Set<ServerId> heldBack(
             long nowNanos, long epochMillis, FleetSnapshot fleet, FailureDomain domain) {
-        if (!isMoving(epochMillis) || !isInLoadTrial()) {
+        if (!isSplitActive(epochMillis) || !isInLoadTrial()) {
             return Set.of();
         }
-        if (!loadTrial.isMyTurn(nowNanos - stepSinceNanos, epochMillis, fleet, stepShare())) {
+        if (!loadTrial.isMyTurn(nowNanos - stepStartNanos, epochMillis, fleet, stepShare())) {
             return Set.of();
         }
         return loadTrial.heldBack(newServers(fleet), domain);
     }
 
-    private boolean isMoving(long epochMillis) {
+    private boolean isSplitActive(long epochMillis) {
         return record.state() == RolloutState.RUNNING
                 && breaker.isEmpty()
-                && !concludedBack
+                && !rolledBackAtDeadline
                 && !superseded
                 && epochMillis < record.completeByMillis();
     }
@@ -172,7 +181,7 @@
     private boolean isInLoadTrial() {
         return !isService()
                 && record.step() >= limits.lastStep()
-                && pooled.lacksProofUnderLoad(LoadTrial.PROOF);
+                && pooled.lacksProofUnderLoad(LoadTrial.REQUIRED_PROOF);
     }
 
     boolean isService() {
@@ -194,14 +203,14 @@
         return domains;
     }
 
-    /** Forgets what was derived from an earlier fleet snapshot. */
+    /** Clears the values derived from an earlier fleet snapshot. */
     void fleetChanged() {
         generations.clear();
     }
 
     /**
-     * Returns the server's hardware generation where the old version has servers of the same one;
-     * else the empty string, so that it is compared with all.
+     * Returns the server's hardware generation if both versions have servers of it; otherwise the
+     * empty string, so that the server is compared across generations.
      */
     String generation(ServerId id, FleetSnapshot fleet) {
         return generations.computeIfAbsent(id, server -> comparableGeneration(server, fleet));
--- a/src/main/java/org/orioleshed/rollout/RunResult.java
+++ b/src/main/java/org/orioleshed/rollout/RunResult.java
@@ -3,16 +3,17 @@
 import org.orioleshed.model.Fingerprint;
 
 /**
- * How one run on a backend server went, as evidence about the server's version.
+ * Result of a run on a backend server, used as evidence about the server's version.
  *
  * @param verdict how the run ended
  * @param millis the time from the engine's acceptance to the end, in milliseconds
  * @param firstTokenMillis the time from the engine's acceptance to the first token, in
  *     milliseconds; negative when there was none or it is unknown
  * @param outputTokens the tokens generated; zero for a plain service
- * @param promptTokens the length of the prompt; zero for a plain service
- * @param cachedTokens the part of the prompt that the engine had cached, as far as known
- * @param load the share of the server's places taken when the run started; negative when unknown
+ * @param promptTokens the length of the prompt, in tokens; zero for a plain service
+ * @param cachedTokens the cached part of the prompt, in tokens, as far as known
+ * @param load the fraction of the server's slots that were occupied when the run started; negative
+ *     when unknown
  * @param fingerprint the digest of the content
  */
 public record RunResult(
@@ -24,11 +25,11 @@
         int cachedTokens,
         double load,
         Fingerprint fingerprint) {
-    /** Prompt tokens that take an engine about as long as one output token. */
-    private static final int PREFILL_PER_OUTPUT = 16;
+    /** Number of prompt tokens that take an engine about as long as one output token. */
+    private static final int PREFILL_TOKENS_PER_OUTPUT_TOKEN = 16;
 
-    /** The least tokens from which the time between them says enough. */
-    private static final int PACE_TOKENS = 8;
+    /** The least output tokens for a meaningful time per token. */
+    private static final int MIN_DECODE_TOKENS = 8;
 
     /** Checks the arguments. */
     public RunResult {
@@ -36,11 +37,11 @@
             throw new IllegalArgumentException("verdict and fingerprint must be given");
         }
         if (millis < 0 || outputTokens < 0 || promptTokens < 0 || cachedTokens < 0) {
-            throw new IllegalArgumentException("time and tokens must not be negative");
+            throw new IllegalArgumentException("millis and token counts must not be negative");
         }
     }
 
-    /** Makes one whose time to the first token is unknown. */
+    /** Creates a result whose time to the first token is unknown. */
     public RunResult(
             Verdict verdict,
             long millis,
@@ -53,38 +54,43 @@
     }
 
     /**
-     * Returns whether the run can be judged by its tokens after the first alone. They do not depend
-     * on what the engine had cached of the prompt, so that a new version with cold caches is
+     * Returns whether the run can be compared by its time per token after the first. This time does
+     * not depend on how much of the prompt was cached, so a new version with cold caches is
      * compared fairly.
      */
-    boolean hasPace() {
-        return firstTokenMillis >= 0 && firstTokenMillis <= millis && outputTokens >= PACE_TOKENS;
+    boolean hasDecodeTime() {
+        return firstTokenMillis >= 0
+                && firstTokenMillis <= millis
+                && outputTokens >= MIN_DECODE_TOKENS;
     }
 
-    /** Returns the time for a unit of work, in milliseconds. */
-    double pace() {
-        return hasPace()
+    /**
+     * Returns the time per token after the first if it is known, otherwise per token of work, in
+     * milliseconds.
+     */
+    double millisPerToken() {
+        return hasDecodeTime()
                 ? (double) (millis - firstTokenMillis) / (outputTokens - 1)
-                : millis / work();
+                : millis / workTokens();
     }
 
-    /** Returns the work that the run took, in output tokens; at least one. */
-    double work() {
+    /** Returns the work of the run in equivalent output tokens; at least one. */
+    double workTokens() {
         int uncached = Math.max(0, promptTokens - cachedTokens);
-        return Math.max(1, outputTokens + (double) uncached / PREFILL_PER_OUTPUT);
+        return Math.max(1, outputTokens + (double) uncached / PREFILL_TOKENS_PER_OUTPUT_TOKEN);
     }
 
     /** How a run ended. */
     public enum Verdict {
-        /** The whole answer came. */
+        /** The answer was complete. */
         OK,
-        /** The backend server answered with an error, or went silent. */
+        /** The backend server answered with an error or stopped sending. */
         FAILED,
-        /** The backend server went down while the run was on it. */
+        /** The backend server crashed during the run. */
         CRASHED,
         /**
-         * The run was ended from outside: deadline, caller gone, preempted. Never a failure; its
-         * time still counts as slow when it was already too long.
+         * The run was ended from outside: deadline exceeded, caller disconnected, or preempted.
+         * Never counts as a failure, but counts as slow if it had already taken too long.
          */
         CUT
     }
--- a/src/main/java/org/orioleshed/rollout/Tally.java
+++ b/src/main/java/org/orioleshed/rollout/Tally.java
@@ -1,12 +1,12 @@
 package org.orioleshed.rollout;
 
 /**
- * Counters of runs. Each only grows, so tallies of one host's one incarnation merge by maximum,
- * whatever the order and however often they arrive.
+ * Counters of runs. They only grow, so tallies of one incarnation of a host can be merged by
+ * maximum, in any order and any number of times.
  *
- * @param runs runs that ended by themselves
- * @param failed failures that the version is blamed for
- * @param excused failures counted before that turned out to be the content's fault
+ * @param runs runs that were not interrupted
+ * @param failed failures attributed to the version
+ * @param excused failures counted before that were later attributed to the content
  * @param timed runs whose time could be compared with the old version's
  * @param slow compared runs that were slow
  */
@@ -31,7 +31,7 @@
                 Math.max(slow, other.slow));
     }
 
-    /** Returns what was counted since {@code earlier}, which this is not below. */
+    /** Returns the difference to {@code earlier}, whose counters must not be larger. */
     Tally since(Tally earlier) {
         return new Tally(
                 runs - earlier.runs,
--- a/src/main/java/org/orioleshed/rollout/TrafficSplits.java
+++ b/src/main/java/org/orioleshed/rollout/TrafficSplits.java
@@ -14,57 +14,60 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** Works out from all rollouts how traffic divides on one host. */
+/** Computes the traffic split of one host from all rollouts. */
 final class TrafficSplits {
     private TrafficSplits() {}
 
     /**
-     * Of open rollouts that share a route, one goes on: the one under way, else the first planned.
+     * Marks all but one of the open rollouts that share a route as superseded. A running rollout
+     * has precedence, then the one planned first.
      */
-    static void settleRaces(Collection<RolloutRun> runs) {
-        Comparator<RolloutRun> order =
+    static void resolveConflicts(Collection<RolloutTracker> trackers) {
+        Comparator<RolloutTracker> order =
                 Comparator.comparing(
-                                (RolloutRun run) -> run.record().state() != RolloutState.RUNNING)
-                        .thenComparing(run -> run.record().plannedMillis())
-                        .thenComparing(run -> run.record().id());
-        Set<RouteId> taken = new HashSet<>();
-        List<RolloutRun> open = runs.stream().filter(RolloutRun::isOpen).sorted(order).toList();
-        for (RolloutRun run : open) {
-            boolean free = run.record().routes().stream().noneMatch(taken::contains);
-            run.setSuperseded(!free);
+                                (RolloutTracker tracker) ->
+                                        tracker.record().state() != RolloutState.RUNNING)
+                        .thenComparing(tracker -> tracker.record().plannedMillis())
+                        .thenComparing(tracker -> tracker.record().id());
+        Set<RouteId> takenRoutes = new HashSet<>();
+        List<RolloutTracker> open =
+                trackers.stream().filter(RolloutTracker::isOpen).sorted(order).toList();
+        for (RolloutTracker tracker : open) {
+            boolean free = tracker.record().routes().stream().noneMatch(takenRoutes::contains);
+            tracker.setSuperseded(!free);
             if (free) {
-                taken.addAll(run.record().routes());
+                takenRoutes.addAll(tracker.record().routes());
             }
         }
     }
 
-    /** Returns the division at this time, for a host in {@code domain}. */
+    /** Returns the current traffic split for a host in {@code domain}. */
     static RolloutAction.SplitChanged of(
-            Collection<RolloutRun> runs,
+            Collection<RolloutTracker> trackers,
             long nowNanos,
             long epochMillis,
             FleetSnapshot fleet,
             FailureDomain domain) {
         Map<RouteId, VersionSplit> splits = new HashMap<>();
         Map<RouteId, VersionId> versions = new HashMap<>();
-        Map<RouteId, Long> decidedAt = new HashMap<>();
+        Map<RouteId, Long> decidedRevisions = new HashMap<>();
         Set<ServerId> heldBack = new HashSet<>();
-        for (RolloutRun run : runs) {
-            RolloutRecord record = run.record();
-            if (run.isOpen() && !run.isSuperseded()) {
-                double share = run.share(nowNanos, epochMillis, fleet);
+        for (RolloutTracker tracker : trackers) {
+            RolloutRecord record = tracker.record();
+            if (tracker.isOpen() && !tracker.isSuperseded()) {
+                double share = tracker.share(nowNanos, epochMillis, fleet);
                 VersionSplit split = new VersionSplit(record.from(), record.to(), share);
                 record.routes().forEach(route -> splits.put(route, split));
-                heldBack.addAll(run.heldBack(nowNanos, epochMillis, fleet, domain));
+                heldBack.addAll(tracker.heldBack(nowNanos, epochMillis, fleet, domain));
                 continue;
             }
-            if (run.isOpen()) {
+            if (tracker.isOpen()) {
                 continue;
             }
-            VersionId version = outcomeVersion(run);
+            VersionId version = outcomeVersion(tracker);
             for (RouteId route : record.routes()) {
-                if (run.revision() > decidedAt.getOrDefault(route, 0L)) {
-                    decidedAt.put(route, run.revision());
+                if (tracker.revision() > decidedRevisions.getOrDefault(route, 0L)) {
+                    decidedRevisions.put(route, tracker.revision());
                     versions.put(route, version);
                 }
             }
@@ -72,8 +75,9 @@
         return new RolloutAction.SplitChanged(splits, versions, heldBack);
     }
 
-    private static VersionId outcomeVersion(RolloutRun run) {
-        boolean onNew = run.record().state() == RolloutState.COMPLETED && run.breaker().isEmpty();
-        return onNew ? run.record().to() : run.record().from();
+    private static VersionId outcomeVersion(RolloutTracker tracker) {
+        boolean onNew =
+                tracker.record().state() == RolloutState.COMPLETED && tracker.breaker().isEmpty();
+        return onNew ? tracker.record().to() : tracker.record().from();
     }
 }
--- a/src/main/java/org/orioleshed/rollout/VersionTest.java
+++ b/src/main/java/org/orioleshed/rollout/VersionComparison.java
@@ -1,30 +1,30 @@
 package org.orioleshed.rollout;
 
-/** Tests of one version against another on one route in one load band. */
-final class VersionTest {
-    private static final double FAILURE_FLOOR = 0.01;
-    private static final double SLOW_FLOOR = 0.12;
+/** Compares the failures and slowness of two versions on one route in one load band. */
+final class VersionComparison {
+    private static final double MIN_FAILURE_RATE = 0.01;
+    private static final double MIN_SLOW_RATE = 0.12;
 
     private final RolloutLimits limits;
-    private final Baseline oldFailures = new Baseline(FAILURE_FLOOR);
-    private final Baseline oldSlowness = new Baseline(SLOW_FLOOR);
-    private final DriftTest failures = new DriftTest();
-    private final DriftTest slowness = new DriftTest();
+    private final Baseline oldFailures = new Baseline(MIN_FAILURE_RATE);
+    private final Baseline oldSlowness = new Baseline(MIN_SLOW_RATE);
+    private final SequentialRateTest failures = new SequentialRateTest();
+    private final SequentialRateTest slowness = new SequentialRateTest();
     private long oldRuns;
     private long newRuns;
 
-    VersionTest(RolloutLimits limits) {
+    VersionComparison(RolloutLimits limits) {
         this.limits = limits;
     }
 
-    /** Counts runs of the old version. */
+    /** Adds runs of the old version. */
     void addOld(Tally runs) {
         oldRuns += runs.runs();
         oldFailures.add(runs.runs(), runs.failed() - runs.excused());
         oldSlowness.add(runs.timed(), runs.slow());
     }
 
-    /** Counts runs of the new version. */
+    /** Adds runs of the new version. */
     void addNew(Tally runs) {
         newRuns += runs.runs();
         long failed = runs.failed() - runs.excused();
--- a/src/main/java/org/orioleshed/rollout/WeightBudget.java
+++ b/src/main/java/org/orioleshed/rollout/WeightBudget.java
@@ -1,27 +1,27 @@
 package org.orioleshed.rollout;
 
-/** Keeps loads of weights within what the platform's weight store allows. */
+/** Limits the number and frequency of weight loads from the platform's weight store. */
 final class WeightBudget {
-    private final int atOnce;
+    private final int maxLoads;
     private final long spacingNanos;
-    private int loading;
+    private int runningLoads;
     private long lastStartNanos;
     private boolean started;
 
     /**
-     * Makes a budget with nothing loading.
+     * Creates a budget without running loads.
      *
-     * @param atOnce the most loads at once
-     * @param spacingNanos the least time between two starts
+     * @param maxLoads the maximum number of loads at once
+     * @param spacingNanos the minimum time between two starts, in nanoseconds
      */
-    WeightBudget(int atOnce, long spacingNanos) {
-        this.atOnce = atOnce;
+    WeightBudget(int maxLoads, long spacingNanos) {
+        this.maxLoads = maxLoads;
         this.spacingNanos = spacingNanos;
     }
 
-    /** Takes a place for a load; false when none is free yet. */
+    /** Starts a load if the limits allow it. Returns whether it was started. */
     boolean tryStart(long nowNanos) {
-        if (loading >= atOnce) {
+        if (runningLoads >= maxLoads) {
             return false;
         }
         if (started && nowNanos - lastStartNanos < spacingNanos) {
@@ -29,15 +29,15 @@
         }
         started = true;
         lastStartNanos = nowNanos;
-        loading++;
+        runningLoads++;
         return true;
     }
 
-    /** Gives a place back. */
+    /** Ends a load. */
     void finished() {
-        if (loading == 0) {
-            throw new IllegalStateException("nothing is loading");
+        if (runningLoads == 0) {
+            throw new IllegalStateException("no load is running");
         }
-        loading--;
+        runningLoads--;
     }
 }
--- a/src/main/java/org/orioleshed/rollout/package-info.java
+++ b/src/main/java/org/orioleshed/rollout/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Rollouts of traffic from one version to the next: evidence, breakers, the coordinator's lease,
- * and exactly one outcome for each rollout. All are state machines without I/O, clock or threads.
+ * Gradual rollouts of traffic from one version to the next: evidence, circuit breakers, the
+ * coordinator's lease, and exactly one outcome per rollout. All classes are free of I/O, clocks and
+ * threads.
  */
 package org.orioleshed.rollout;
--- a/src/test/java/org/orioleshed/rollout/CoordinatorTurnTest.java
+++ b/src/test/java/org/orioleshed/rollout/CoordinatorCandidacyTest.java
@@ -13,8 +13,8 @@
 import org.orioleshed.model.RolloutId;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CoordinatorTurn}. */
-public class CoordinatorTurnTest {
+/** Tests of {@link CoordinatorCandidacy}. */
+public class CoordinatorCandidacyTest {
     private static final HostId SELF = new HostId("entry-1");
     private static final RolloutId ROLLOUT = new RolloutId("m1");
 
@@ -31,13 +31,13 @@
     }
 
     @Test
-    public void hostThatLeavesDoesNotBecomeTheCoordinator() {
-        CoordinatorTurn turn = new CoordinatorTurn(SELF);
-        turn.changeHosts(snapshot(EntryHost.State.ALIVE));
+    public void leavingHostDoesNotBecomeTheCoordinator() {
+        CoordinatorCandidacy candidacy = new CoordinatorCandidacy(SELF);
+        candidacy.changeHosts(snapshot(EntryHost.State.ALIVE));
         long nowNanos = TimeUnit.MINUTES.toNanos(1);
-        turn.rolloutObserved(ROLLOUT, nowNanos);
-        assertTrue(turn.isMine(ROLLOUT, nowNanos));
-        turn.changeHosts(snapshot(EntryHost.State.LEAVING));
-        assertFalse(turn.isMine(ROLLOUT, nowNanos));
+        candidacy.rolloutObserved(ROLLOUT, nowNanos);
+        assertTrue(candidacy.shouldTry(ROLLOUT, nowNanos));
+        candidacy.changeHosts(snapshot(EntryHost.State.LEAVING));
+        assertFalse(candidacy.shouldTry(ROLLOUT, nowNanos));
     }
 }
--- a/src/test/java/org/orioleshed/rollout/FakeFleet.java
+++ b/src/test/java/org/orioleshed/rollout/FakeFleet.java
@@ -28,7 +28,8 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * A few {@link RolloutCore}s with links and a store that can fail, all stepped by a test's clock.
+ * Several {@link RolloutCore}s connected by links and a store that can fail, driven by a simulated
+ * clock.
  */
 final class FakeFleet {
     static final VersionId OLD = new VersionId("v1");
@@ -45,12 +46,12 @@
     double linkLoss;
     long nowNanos;
 
-    private final Deque<Letter> letters = new ArrayDeque<>();
-    private final Map<HostId, Integer> islands = new HashMap<>();
+    private final Deque<Envelope> inFlight = new ArrayDeque<>();
+    private final Map<HostId, Integer> partitions = new HashMap<>();
 
-    private record Letter(HostId from, HostId to, RolloutMessage message) {}
+    private record Envelope(HostId from, HostId to, RolloutMessage message) {}
 
-    /** One host, what it last said, and what it told the operators. */
+    /** A host with its latest traffic split, its notices and its orders. */
     static final class Host {
         final HostId id;
         final FailureDomain domain;
@@ -75,7 +76,7 @@
             return traffic == null ? 0 : traffic.toShare();
         }
 
-        boolean wasTold(RolloutAction.Notice.Kind kind) {
+        boolean hasNotice(RolloutAction.Notice.Kind kind) {
             return count(kind) > 0;
         }
 
@@ -121,7 +122,7 @@
     }
 
     /**
-     * Returns {@code snapshot} with backend servers that all check fencing numbers, or none does.
+     * Returns {@code snapshot} in which all backend servers check fencing numbers, or none does.
      */
     static FleetSnapshot withFencing(FleetSnapshot snapshot, boolean checks) {
         Map<ServerId, BackendServer> servers = new HashMap<>();
@@ -159,7 +160,7 @@
         return routes;
     }
 
-    RolloutRecord plan(RolloutId id, List<RouteId> routes, long lengthMillis) {
+    RolloutRecord plan(RolloutId id, List<RouteId> routes, long durationMillis) {
         RolloutRecord record =
                 RolloutRecord.plan(
                         id,
@@ -168,7 +169,7 @@
                         NEW,
                         routes,
                         epochMillis(),
-                        epochMillis() + lengthMillis,
+                        epochMillis() + durationMillis,
                         List.of(),
                         "operator",
                         "test");
@@ -180,16 +181,16 @@
         return START_MILLIS + nowNanos / RolloutCore.NANOS_PER_MILLI;
     }
 
-    /** Puts a host on an island; hosts of different islands do not hear each other. */
-    void island(HostId host, int island) {
-        islands.put(host, island);
+    /** Assigns a host to a network partition; messages between partitions are lost. */
+    void partition(HostId host, int partition) {
+        partitions.put(host, partition);
     }
 
-    private int island(HostId host) {
-        return islands.getOrDefault(host, 0);
+    private int partition(HostId host) {
+        return partitions.getOrDefault(host, 0);
     }
 
-    /** Lets time pass and every host that is not paused tick. */
+    /** Advances the clock, ticks every host that is not paused, and delivers messages. */
     void step(long millis) {
         nowNanos += millis * RolloutCore.NANOS_PER_MILLI;
         store.now(nowNanos);
@@ -243,7 +244,7 @@
     private Optional<RolloutEvent> perform(Host host, RolloutAction action) {
         return switch (action) {
             case RolloutAction.SendMessage send -> {
-                letters.add(new Letter(host.id, send.to(), send.message()));
+                inFlight.add(new Envelope(host.id, send.to(), send.message()));
                 yield Optional.empty();
             }
             case RolloutAction.SplitChanged split -> {
@@ -268,14 +269,14 @@
     }
 
     private void deliver() {
-        while (!letters.isEmpty()) {
-            Letter letter = letters.poll();
-            boolean cut = island(letter.from) != island(letter.to);
-            if (cut || paused.contains(letter.to) || random.nextDouble() < linkLoss) {
+        while (!inFlight.isEmpty()) {
+            Envelope envelope = inFlight.poll();
+            boolean cut = partition(envelope.from) != partition(envelope.to);
+            if (cut || paused.contains(envelope.to) || random.nextDouble() < linkLoss) {
                 continue;
             }
-            if (hosts.containsKey(letter.to)) {
-                feed(letter.to, new RolloutEvent.PeerReceived(letter.from, letter.message));
+            if (hosts.containsKey(envelope.to)) {
+                feed(envelope.to, new RolloutEvent.PeerReceived(envelope.from, envelope.message));
             }
         }
     }
--- a/src/test/java/org/orioleshed/rollout/FakeStore.java
+++ b/src/test/java/org/orioleshed/rollout/FakeStore.java
@@ -12,7 +12,10 @@
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.RolloutId;
 
-/** The platform's store for tests: swaps and leases, which can be away or lose answers. */
+/**
+ * In-memory store for tests, with compare-and-swap and leases, which can be unavailable or lose
+ * answers.
+ */
 final class FakeStore {
     private final Map<String, Value> values = new TreeMap<>();
     private final Map<Long, Long> leaseEnds = new HashMap<>();
@@ -24,8 +27,8 @@
     /** Hosts that cannot reach the store. */
     final Set<HostId> cutOff = new HashSet<>();
 
-    /** Whether the store answers nobody. */
-    boolean away;
+    /** Whether the store is unavailable to all hosts. */
+    boolean unavailable;
 
     /** How many of the next answers to swaps of records are lost. */
     int loseAnswers;
@@ -33,7 +36,7 @@
     /** Whether a swap whose answer is lost takes effect. */
     boolean lostTakeEffect = true;
 
-    /** Outcomes that were written, by move. */
+    /** The number of outcomes written, by record key. */
     final Map<String, Integer> outcomes = new HashMap<>();
 
     private record Value(Payload payload, long revision, long lease) {}
@@ -60,12 +63,12 @@
         }
     }
 
-    private boolean isAway(HostId host) {
-        return away || cutOff.contains(host);
+    private boolean isUnavailable(HostId host) {
+        return unavailable || cutOff.contains(host);
     }
 
     RolloutEvent swap(HostId host, RolloutAction.SwapRecord swap) {
-        if (isAway(host)) {
+        if (isUnavailable(host)) {
             return answer(swap, new RolloutEvent.SwapAnswer.Unavailable("away"));
         }
         boolean isRecord = swap.key().startsWith(RolloutRecord.KEY_PREFIX);
@@ -110,7 +113,7 @@
     }
 
     Optional<RolloutEvent> read(HostId host, RolloutId rollout) {
-        if (isAway(host)) {
+        if (isUnavailable(host)) {
             return Optional.empty();
         }
         return Optional.of(read(rollout));
@@ -124,7 +127,7 @@
     }
 
     Optional<RolloutEvent> list(HostId host) {
-        if (isAway(host)) {
+        if (isUnavailable(host)) {
             return Optional.empty();
         }
         List<RolloutEvent.RecordRead> records = new ArrayList<>();
@@ -137,7 +140,7 @@
     }
 
     RolloutEvent grant(HostId host, RolloutAction.GrantLease grant) {
-        if (isAway(host)) {
+        if (isUnavailable(host)) {
             return new RolloutEvent.LeaseResult(
                     grant.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
         }
@@ -148,7 +151,7 @@
     }
 
     RolloutEvent keep(HostId host, RolloutAction.KeepLease keep) {
-        if (isAway(host)) {
+        if (isUnavailable(host)) {
             return new RolloutEvent.LeaseResult(
                     keep.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
         }
--- a/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
+++ b/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
@@ -32,9 +32,13 @@
         };
     }
 
-    /** All hosts carry like traffic; the share of all of it is the mean of the hosts' shares. */
+    /**
+     * All hosts have the same traffic, so the share of all requests is the mean of the hosts'
+     * shares.
+     */
     @Test(dataProvider = "fleets")
-    public void shareOfAllRequestsStaysAtTheSteps(int domains, int hostsPerDomain, long seconds) {
+    public void meanShareOfAllHostsStaysAtTheStepsShare(
+            int domains, int hostsPerDomain, long seconds) {
         FakeFleet fleet = fleet(domains, hostsPerDomain);
         FleetSnapshot snapshot = fleet.snapshot;
         long roundMillis = 4_000L * snapshot.hosts().size();
@@ -53,7 +57,7 @@
     }
 
     @Test
-    public void turnsGetStronger() {
+    public void burstShareGrowsOverTime() {
         FakeFleet fleet = fleet(3, 2);
         HostId first = fleet.hosts.keySet().iterator().next();
         LoadTrial trial = new LoadTrial(first, RolloutLimits.DEFAULT);
@@ -64,7 +68,7 @@
     }
 
     @Test
-    public void oneServerOfTheHostsOwnDomainGetsTheWork() {
+    public void onlyOneServerOfTheHostsDomainIsNotHeldBack() {
         FakeFleet fleet = fleet(3, 1);
         HostId host = fleet.hosts.keySet().iterator().next();
         LoadTrial trial = new LoadTrial(host, RolloutLimits.DEFAULT);
--- a/src/test/java/org/orioleshed/rollout/PlacementTest.java
+++ b/src/test/java/org/orioleshed/rollout/PlacementTest.java
@@ -12,42 +12,44 @@
 
 /** Tests of {@link Placement} and {@link WeightBudget}. */
 public class PlacementTest {
-    private static Placement.Room room(String id, String domain, long memory, long used) {
-        return new Placement.Room(new ServerId(id), new FailureDomain(domain), memory, used);
+    private static Placement.Candidate candidate(String id, String domain, long memory, long used) {
+        return new Placement.Candidate(new ServerId(id), new FailureDomain(domain), memory, used);
     }
 
     @DataProvider
     Object[][] placements() {
-        List<Placement.Room> rooms =
+        List<Placement.Candidate> candidates =
                 List.of(
-                        room("a1", "a", 80, 10),
-                        room("a2", "a", 80, 0),
-                        room("b1", "b", 80, 30),
-                        room("c1", "c", 80, 60));
+                        candidate("a1", "a", 80, 10),
+                        candidate("a2", "a", 80, 0),
+                        candidate("b1", "b", 80, 30),
+                        candidate("c1", "c", 80, 60));
         return new Object[][] {
-            {rooms, 40, 1, List.of("a2")},
-            {rooms, 40, 2, List.of("a2", "b1")},
-            {rooms, 40, 3, List.of("a2", "b1", "a1")},
-            {rooms, 20, 3, List.of("a2", "b1", "c1")},
+            {candidates, 40, 1, List.of("a2")},
+            {candidates, 40, 2, List.of("a2", "b1")},
+            {candidates, 40, 3, List.of("a2", "b1", "a1")},
+            {candidates, 20, 3, List.of("a2", "b1", "c1")},
         };
     }
 
     @Test(dataProvider = "placements")
     public void spreadsOverDomainsWithinMemory(
-            List<Placement.Room> rooms, long bytes, int wanted, List<String> expected) {
-        Placement.Result result = Placement.place(bytes, wanted, rooms);
+            List<Placement.Candidate> candidates, long bytes, int wanted, List<String> expected) {
+        Placement.Result result = Placement.place(bytes, wanted, candidates);
         List<ServerId> servers = expected.stream().map(ServerId::new).toList();
         assertEquals(result, new Placement.Result.Placed(servers));
     }
 
     @Test
-    public void tellsWhenMemoryIsTooLittle() {
-        List<Placement.Room> rooms = List.of(room("a1", "a", 80, 50), room("a2", "a", 80, 0));
-        assertEquals(Placement.place(40, 2, rooms), new Placement.Result.TooLittleMemory(2, 1));
+    public void reportsTooLittleMemory() {
+        List<Placement.Candidate> candidates =
+                List.of(candidate("a1", "a", 80, 50), candidate("a2", "a", 80, 0));
+        assertEquals(
+                Placement.place(40, 2, candidates), new Placement.Result.TooLittleMemory(2, 1));
     }
 
     @Test
-    public void weightStoreGetsFewLoadsAtOnceAndSpaced() {
+    public void weightLoadsAreLimitedInNumberAndSpaced() {
         WeightBudget budget = new WeightBudget(2, 10);
         assertTrue(budget.tryStart(0));
         assertFalse(budget.tryStart(9), "spaced");
--- a/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
@@ -19,7 +19,7 @@
 
 /** Tests of rollouts while links, the store and hosts fail. */
 public class RolloutFailuresTest {
-    private static final long LENGTH_MILLIS = 120_000;
+    private static final long DURATION_MILLIS = 120_000;
     private static final List<RouteId> ROUTES = FakeFleet.routes(2);
     private static final String KEY = RolloutRecord.key(FakeFleet.ROLLOUT);
 
@@ -27,12 +27,13 @@
         FakeFleet fleet =
                 new FakeFleet(
                         new SplittableRandom(7), RolloutLimits.DEFAULT, domains, hostsPerDomain);
-        fleet.plan(FakeFleet.ROLLOUT, ROUTES, LENGTH_MILLIS);
+        fleet.plan(FakeFleet.ROLLOUT, ROUTES, DURATION_MILLIS);
         return fleet;
     }
 
     /**
-     * Lets time pass with healthy traffic; the new version gets runs only where a share says so.
+     * Advances the clock with healthy traffic; the new version gets runs only where its share is
+     * positive.
      */
     private static void healthy(FakeFleet fleet, long millis) {
         traffic(fleet, millis, RunResult.Verdict.OK);
@@ -63,18 +64,18 @@
                 return host.id;
             }
         }
-        throw new AssertionError("no mover");
+        throw new AssertionError("no coordinator");
     }
 
     private static void assertOneOutcome(FakeFleet fleet, RolloutState expected) {
         assertEquals(state(fleet), expected);
         assertEquals(fleet.store.outcomes.get(KEY), Integer.valueOf(1));
-        RolloutAction.Notice.Kind told =
+        RolloutAction.Notice.Kind kind =
                 expected == RolloutState.COMPLETED
                         ? RolloutAction.Notice.Kind.COMPLETED
                         : RolloutAction.Notice.Kind.TAKEN_BACK;
         for (FakeFleet.Host host : fleet.hosts.values()) {
-            assertEquals(host.count(told), 1, host.id + " told " + host.notices);
+            assertEquals(host.count(kind), 1, host.id + " kind " + host.notices);
             assertEquals(
                     host.split.currentVersions().get(ROUTES.get(0)),
                     expected == RolloutState.COMPLETED ? FakeFleet.NEW : FakeFleet.OLD);
@@ -82,16 +83,16 @@
     }
 
     @Test
-    public void healthyVersionCompletesBeforeItsTime() {
+    public void healthyVersionCompletesBeforeTheDeadline() {
         FakeFleet fleet = fleet(2, 2);
-        healthy(fleet, LENGTH_MILLIS - RolloutLimits.DEFAULT.spreadMillis());
+        healthy(fleet, DURATION_MILLIS - RolloutLimits.DEFAULT.propagationMillis());
         assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
     @Test
-    public void noTrafficAtAllIsNoProof() {
+    public void rolloutWithoutTrafficIsRolledBack() {
         FakeFleet fleet = fleet(2, 1);
-        fleet.run(LENGTH_MILLIS, 500);
+        fleet.run(DURATION_MILLIS, 500);
         assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
@@ -105,28 +106,28 @@
         FakeFleet fleet = fleet(2, 3);
         healthy(fleet, 20_000);
         fleet.linkLoss = loss;
-        fleet.store.away = true;
+        fleet.store.unavailable = true;
         FakeFleet.Host first = fleet.hosts.values().iterator().next();
         for (int i = 0; i < 10; i++) {
             RunResult failed = fleet.result(RunResult.Verdict.FAILED, 0.2);
             fleet.observe(first, ROUTES.get(0), FakeFleet.NEW, failed);
         }
-        assertEquals(first.share(ROUTES.get(0)), 0.0, "own fuse works at once");
+        assertEquals(first.share(ROUTES.get(0)), 0.0, "own breaker trips at once");
         fleet.run(1_000, 100);
         for (FakeFleet.Host host : fleet.hosts.values()) {
             assertEquals(host.share(ROUTES.get(1)), 0.0, host.id + " within a second");
         }
         fleet.linkLoss = 0;
-        fleet.store.away = false;
+        fleet.store.unavailable = false;
         healthy(fleet, 30_000);
         assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
-    public void breakerNeverClosesAgain() {
+    public void trippedBreakerStaysTripped() {
         FakeFleet fleet = fleet(1, 2);
         healthy(fleet, 20_000);
-        fleet.store.away = true;
+        fleet.store.unavailable = true;
         traffic(fleet, 20_000, RunResult.Verdict.FAILED);
         healthy(fleet, 40_000);
         for (FakeFleet.Host host : fleet.hosts.values()) {
@@ -136,22 +137,22 @@
     }
 
     @Test
-    public void storeOutageOverTheDeadlineMeansBack() {
+    public void storeOutagePastTheDeadlineRollsBack() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 30_000);
-        fleet.store.away = true;
-        healthy(fleet, LENGTH_MILLIS);
+        fleet.store.unavailable = true;
+        healthy(fleet, DURATION_MILLIS);
         for (FakeFleet.Host host : fleet.hosts.values()) {
             assertEquals(host.share(ROUTES.get(0)), 0.0);
-            assertTrue(host.wasTold(RolloutAction.Notice.Kind.CONCLUDED_BACK));
+            assertTrue(host.hasNotice(RolloutAction.Notice.Kind.CONCLUDED_BACK));
         }
-        fleet.store.away = false;
+        fleet.store.unavailable = false;
         healthy(fleet, 30_000);
         assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
-    public void pausedCoordinatorStopsFirst() {
+    public void pausedCoordinatorStopsBeforeItActs() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 10_000);
         HostId coordinator = coordinator(fleet);
@@ -165,8 +166,9 @@
                 core.on(fleet.nowNanos, new RolloutEvent.Tick(fleet.epochMillis()));
         assertFalse(actions.stream().anyMatch(RolloutAction.SwapRecord.class::isInstance));
         assertTrue(
-                fleet.store.record(FakeFleet.ROLLOUT).fence() > fence, "another mover took over");
-        healthy(fleet, LENGTH_MILLIS - 45_000);
+                fleet.store.record(FakeFleet.ROLLOUT).fence() > fence,
+                "another coordinator took over");
+        healthy(fleet, DURATION_MILLIS - 45_000);
         assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
@@ -180,23 +182,23 @@
         FakeFleet fleet = fleet(2, 2);
         fleet.store.lostTakeEffect = takeEffect;
         fleet.store.loseAnswers = count;
-        healthy(fleet, LENGTH_MILLIS);
+        healthy(fleet, DURATION_MILLIS);
         assertOneOutcome(fleet, RolloutState.COMPLETED);
     }
 
     @Test
-    public void earlierOfTwoRacingRolloutsGoesOn() {
+    public void earlierOfTwoConflictingRolloutsContinues() {
         FakeFleet fleet = fleet(2, 2);
         RolloutId second = new RolloutId("m2");
-        fleet.plan(second, ROUTES.subList(0, 1), LENGTH_MILLIS);
-        healthy(fleet, LENGTH_MILLIS);
+        fleet.plan(second, ROUTES.subList(0, 1), DURATION_MILLIS);
+        healthy(fleet, DURATION_MILLIS);
         assertOneOutcome(fleet, RolloutState.COMPLETED);
         assertEquals(fleet.store.record(second).state(), RolloutState.TAKEN_BACK);
         assertEquals(fleet.store.outcomes.get(RolloutRecord.key(second)), Integer.valueOf(1));
     }
 
     @Test
-    public void plainServiceMovesLastAndLeast() {
+    public void plainServiceRollsOutLastWithTheSmallestShare() {
         FakeFleet fleet = fleet(1, 2);
         RouteId bookings = new RouteId("bookings");
         RolloutId service = new RolloutId("m2");
@@ -208,14 +210,14 @@
                         FakeFleet.NEW,
                         List.of(bookings),
                         fleet.epochMillis(),
-                        fleet.epochMillis() + 3 * LENGTH_MILLIS,
+                        fleet.epochMillis() + 3 * DURATION_MILLIS,
                         List.of(),
                         "operator",
                         "test");
         fleet.store.put(RolloutRecord.key(service), record.toPayload());
-        healthy(fleet, LENGTH_MILLIS / 2);
+        healthy(fleet, DURATION_MILLIS / 2);
         assertEquals(fleet.store.record(service).state(), RolloutState.PLANNED);
-        healthy(fleet, LENGTH_MILLIS / 2);
+        healthy(fleet, DURATION_MILLIS / 2);
         assertOneOutcome(fleet, RolloutState.COMPLETED);
         healthy(fleet, 5_000);
         assertEquals(fleet.store.record(service).state(), RolloutState.RUNNING);
@@ -225,51 +227,54 @@
     }
 
     @Test
-    public void noPromotionWhileADomainIsCutOff() {
+    public void noStepWhileADomainIsPartitioned() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 2_000);
-        HostId cut = cutOff(fleet, "d1");
+        HostId cutHost = partitionDomain(fleet, "d1");
         healthy(fleet, RolloutLimits.DEFAULT.freshMillis() + 500);
         int step = fleet.store.record(FakeFleet.ROLLOUT).step();
         assertTrue(step < RolloutLimits.DEFAULT.lastStep(), "steps are left: " + step);
-        healthy(fleet, LENGTH_MILLIS / 2);
+        healthy(fleet, DURATION_MILLIS / 2);
         assertEquals(fleet.store.record(FakeFleet.ROLLOUT).step(), step);
-        healthy(fleet, LENGTH_MILLIS);
+        healthy(fleet, DURATION_MILLIS);
         assertEquals(state(fleet), RolloutState.TAKEN_BACK);
-        FakeFleet.Host alone = fleet.hosts.get(cut);
-        assertEquals(alone.share(ROUTES.get(0)), 0.0);
-        assertTrue(alone.wasTold(RolloutAction.Notice.Kind.CONCLUDED_BACK));
-        heal(fleet);
+        FakeFleet.Host partitioned = fleet.hosts.get(cutHost);
+        assertEquals(partitioned.share(ROUTES.get(0)), 0.0);
+        assertTrue(partitioned.hasNotice(RolloutAction.Notice.Kind.CONCLUDED_BACK));
+        healPartitions(fleet);
         healthy(fleet, 10_000);
         assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
     @Test
-    public void faultInADomainThatIsCutOffStopsTheVersionThere() {
+    public void faultInAPartitionedDomainTripsTheBreakerThere() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 20_000);
-        HostId cut = cutOff(fleet, "d1");
-        FakeFleet.Host alone = fleet.hosts.get(cut);
+        HostId cutHost = partitionDomain(fleet, "d1");
+        FakeFleet.Host partitioned = fleet.hosts.get(cutHost);
         for (int i = 0; i < 10; i++) {
             RunResult failed = fleet.result(RunResult.Verdict.FAILED, 0.2);
-            fleet.observe(alone, ROUTES.get(0), FakeFleet.NEW, failed);
+            fleet.observe(partitioned, ROUTES.get(0), FakeFleet.NEW, failed);
         }
-        assertEquals(alone.share(ROUTES.get(0)), 0.0);
+        assertEquals(partitioned.share(ROUTES.get(0)), 0.0);
         fleet.run(1_000, 100);
         for (FakeFleet.Host host : fleet.hosts.values()) {
-            boolean inside = host.domain.equals(alone.domain);
-            assertEquals(host.share(ROUTES.get(0)) == 0, inside, host.id + " knows of the fault");
+            boolean expectTripped = host.domain.equals(partitioned.domain);
+            assertEquals(
+                    host.share(ROUTES.get(0)) == 0,
+                    expectTripped,
+                    host.id + " has tripped its breaker");
         }
-        heal(fleet);
+        healPartitions(fleet);
         healthy(fleet, 10_000);
         assertOneOutcome(fleet, RolloutState.TAKEN_BACK);
     }
 
-    private static HostId cutOff(FakeFleet fleet, String domain) {
+    private static HostId partitionDomain(FakeFleet fleet, String domain) {
         HostId last = null;
         for (FakeFleet.Host host : fleet.hosts.values()) {
             if (host.domain.value().equals(domain)) {
-                fleet.island(host.id, 1);
+                fleet.partition(host.id, 1);
                 fleet.store.cutOff.add(host.id);
                 last = host.id;
             }
@@ -277,21 +282,21 @@
         return last;
     }
 
-    private static void heal(FakeFleet fleet) {
-        fleet.hosts.keySet().forEach(id -> fleet.island(id, 0));
+    private static void healPartitions(FakeFleet fleet) {
+        fleet.hosts.keySet().forEach(id -> fleet.partition(id, 0));
         fleet.store.cutOff.clear();
     }
 
     @Test
-    public void contentThatCrashesServersDoesNotCondemnAVersion() {
+    public void contentThatCrashesServersDoesNotTripTheBreaker() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 30_000);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
         Fingerprint poison = new Fingerprint(1, 1);
         for (int crash = 0; crash < 20; crash++) {
             crashOnNew(host, fleet, poison);
-            for (int innocent = 0; innocent < 6; innocent++) {
-                crashOnNew(host, fleet, new Fingerprint(crash, 100 + innocent));
+            for (int other = 0; other < 6; other++) {
+                crashOnNew(host, fleet, new Fingerprint(crash, 100 + other));
             }
             healthy(fleet, 3_000);
         }
@@ -304,7 +309,7 @@
     }
 
     @Test
-    public void versionThatCrashesOnAnyContentIsTakenBack() {
+    public void versionThatCrashesOnAnyContentIsRolledBack() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 30_000);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
@@ -317,7 +322,7 @@
     }
 
     @Test
-    public void runsCutFromOutsideAreNotBlamed() {
+    public void interruptedRunsDoNotTripTheBreaker() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 20_000);
         traffic(fleet, 40_000, RunResult.Verdict.CUT);
@@ -326,7 +331,7 @@
     }
 
     @Test
-    public void versionThatHangsUntilRunsAreCutTripsTheBreaker() {
+    public void versionThatHangsUntilRunsAreInterruptedTripsTheBreaker() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 20_000);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
@@ -335,13 +340,13 @@
             RunResult hung = new RunResult(RunResult.Verdict.CUT, 9_000, 0, 0, 0, 0.2, content);
             fleet.observe(host, ROUTES.get(0), FakeFleet.NEW, hung);
         }
-        assertTrue(host.wasTold(RolloutAction.Notice.Kind.FUSE));
+        assertTrue(host.hasNotice(RolloutAction.Notice.Kind.FUSE));
     }
 
     @Test
-    public void faultAfterCompletionGoesBackAndKeepsTheOutcome() {
+    public void faultAfterCompletionRestoresTheOldVersionAndKeepsTheOutcome() {
         FakeFleet fleet = fleet(1, 2);
-        healthy(fleet, LENGTH_MILLIS);
+        healthy(fleet, DURATION_MILLIS);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
         for (int i = 0; i < 10; i++) {
             RunResult failed = fleet.result(RunResult.Verdict.FAILED, 0.2);
@@ -349,7 +354,7 @@
         }
         fleet.run(1_000, 100);
         for (FakeFleet.Host each : fleet.hosts.values()) {
-            assertTrue(each.wasTold(RolloutAction.Notice.Kind.FAULT_AFTER_COMPLETION));
+            assertTrue(each.hasNotice(RolloutAction.Notice.Kind.FAULT_AFTER_COMPLETION));
             assertEquals(each.split.currentVersions().get(ROUTES.get(0)), FakeFleet.OLD);
         }
         assertEquals(state(fleet), RolloutState.COMPLETED);
@@ -357,7 +362,7 @@
     }
 
     @Test
-    public void serverIsGivenToTheNewCoordinatorOnlyAfterTheOldLease() {
+    public void newCoordinatorOrdersLoadsOnlyAfterTheOldLeaseHasEnded() {
         RolloutRecord record =
                 RolloutRecord.plan(
                         FakeFleet.ROLLOUT,
@@ -371,20 +376,20 @@
                         "operator",
                         "test");
         FakeFleet fleet = new FakeFleet(new SplittableRandom(1), RolloutLimits.DEFAULT, 2, 1);
-        OrderPlan plan = new OrderPlan(record, RolloutLimits.DEFAULT);
-        assertEquals(plan.tick(0, 5, 0, ignoringFences(fleet)), List.of());
+        LoadOrderScheduler plan = new LoadOrderScheduler(record, RolloutLimits.DEFAULT);
+        assertEquals(plan.tick(0, 5, 0, withoutFencing(fleet)), List.of());
         long oldLeaseMillis =
                 RolloutLimits.DEFAULT.leaseMillis() + RolloutLimits.DEFAULT.leaseMarginMillis();
         List<RolloutAction> late =
                 plan.tick(
-                        oldLeaseMillis * RolloutCore.NANOS_PER_MILLI, 5, 0, ignoringFences(fleet));
+                        oldLeaseMillis * RolloutCore.NANOS_PER_MILLI, 5, 0, withoutFencing(fleet));
         assertEquals(late.size(), 1, "one load at a time: " + late);
         plan.onState(new ServerId("d0-new"), FakeFleet.NEW);
         plan.onState(new ServerId("d1-new"), FakeFleet.NEW);
         assertTrue(plan.isDone());
     }
 
-    private static FleetSnapshot ignoringFences(FakeFleet fleet) {
+    private static FleetSnapshot withoutFencing(FakeFleet fleet) {
         return FakeFleet.withFencing(fleet.snapshot, false);
     }
 }
--- a/src/test/java/org/orioleshed/rollout/RolloutProperties.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutProperties.java
@@ -19,7 +19,7 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of evidence, tests and messages of rollouts. */
+/** Properties of the evidence, sequential tests, records and messages of rollouts. */
 class RolloutProperties {
     private static final FailureDomain DOMAIN = new FailureDomain("d");
 
@@ -110,7 +110,7 @@
     void alarmNeverFallsBelowZeroAndGoodRunsLowerIt(
             @ForAll @DoubleRange(min = 0.01, max = 0.5) double goodRate,
             @ForAll @IntRange(min = 0, max = 50) int bad) {
-        DriftTest test = new DriftTest();
+        SequentialRateTest test = new SequentialRateTest();
         test.add(bad, bad, goodRate, 0.1);
         double before = test.alarm();
         test.add(10, 0, goodRate, 0.1);
--- a/src/test/java/org/orioleshed/rollout/RolloutSimulation.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutSimulation.java
@@ -9,21 +9,21 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * One rollout of three hosts in three failure domains, fed outcomes drawn from stated
- * distributions; no queues and no engines, only draws. Fifty requests a second over ten minutes on
- * three routes with 50, 30 and 20 in 100 of the requests; 30 in 100 meet a server under load.
+ * Simulates one rollout on three hosts in three failure domains. Results of runs are drawn from
+ * fixed distributions, without queues and engines: 50 requests per second for ten minutes on three
+ * routes with 50%, 30% and 20% of the requests; 30% of the requests meet a server under load.
  */
 final class RolloutSimulation {
-    static final long LENGTH_MILLIS = 600_000;
+    static final long DURATION_MILLIS = 600_000;
     private static final int REQUESTS_PER_SECOND = 50;
     private static final long STEP_MILLIS = 500;
-    private static final double HIGH_LOAD_PART = 0.3;
+    private static final double HIGH_LOAD_FRACTION = 0.3;
     private static final double SIGMA = 0.4;
     private static final double COLD_FACTOR = 3;
     private static final int COLD_RUNS = 3;
     private static final List<RouteId> ROUTES = FakeFleet.routes(3);
 
-    /** When and where a version's fault shows. */
+    /** When and where a version's fault occurs. */
     enum Fault {
         NONE,
         AT_ONCE,
@@ -32,11 +32,11 @@
         ONE_ROUTE
     }
 
-    /** What one rollout came to. */
+    /** The result of one simulated rollout. */
     record Result(
             Fault fault,
             boolean slow,
-            double size,
+            double faultSize,
             RolloutState outcome,
             long requests,
             long newRequests,
@@ -49,11 +49,11 @@
     private final SplittableRandom random;
     private final Fault fault;
     private final boolean slow;
-    private final double size;
-    private final double onset;
+    private final double faultSize;
+    private final double onsetProgress;
     private final RouteId badRoute;
     private final double baseFailures;
-    private final double incidentAt;
+    private final double incidentProgress;
     private final FakeFleet fleet;
     private final List<FakeFleet.Host> hosts;
     private final int[] newRunsByHost;
@@ -62,42 +62,42 @@
     private long badRequests;
     private long naiveBadRequests;
     private long lateRequests;
-    private long breakerNanos = Long.MAX_VALUE;
+    private long firstTripNanos = Long.MAX_VALUE;
 
     RolloutSimulation(long seed, Fault fault) {
         random = new SplittableRandom(seed);
         this.fault = fault;
         slow = random.nextBoolean();
-        size = slow ? random.nextDouble(1.8, 5) : random.nextDouble(0.2, 1);
-        onset = fault == Fault.LATER ? random.nextDouble(0.05, 0.5) : 0;
+        faultSize = slow ? random.nextDouble(1.8, 5) : random.nextDouble(0.2, 1);
+        onsetProgress = fault == Fault.LATER ? random.nextDouble(0.05, 0.5) : 0;
         badRoute = ROUTES.get(random.nextInt(ROUTES.size()));
         baseFailures = random.nextDouble(0, 0.02);
-        incidentAt = random.nextDouble() < 0.3 ? random.nextDouble(0.1, 0.8) : 2;
+        incidentProgress = random.nextDouble() < 0.3 ? random.nextDouble(0.1, 0.8) : 2;
         fleet = new FakeFleet(random, RolloutLimits.DEFAULT, 3, 1);
         hosts = new ArrayList<>(fleet.hosts.values());
         newRunsByHost = new int[hosts.size()];
     }
 
     Result run() {
-        fleet.plan(FakeFleet.ROLLOUT, ROUTES, LENGTH_MILLIS);
+        fleet.plan(FakeFleet.ROLLOUT, ROUTES, DURATION_MILLIS);
         int perStep = (int) (REQUESTS_PER_SECOND * STEP_MILLIS / 1_000);
-        long passed = 0;
-        while (passed < LENGTH_MILLIS && !isDecided()) {
+        long passedMillis = 0;
+        while (passedMillis < DURATION_MILLIS && !isDecided()) {
             for (int i = 0; i < perStep; i++) {
-                request((double) passed / LENGTH_MILLIS);
+                request((double) passedMillis / DURATION_MILLIS);
             }
-            noteBreaker();
+            recordBreaker();
             fleet.step(STEP_MILLIS);
-            passed += STEP_MILLIS;
+            passedMillis += STEP_MILLIS;
         }
         RolloutRecord record = fleet.store.record(FakeFleet.ROLLOUT);
-        for (; passed < LENGTH_MILLIS; passed += STEP_MILLIS) {
-            countNaive((double) passed / LENGTH_MILLIS, perStep);
+        for (; passedMillis < DURATION_MILLIS; passedMillis += STEP_MILLIS) {
+            countNaive((double) passedMillis / DURATION_MILLIS, perStep);
         }
         return new Result(
                 fault,
                 slow,
-                size,
+                faultSize,
                 record.state(),
                 requests,
                 newRequests,
@@ -108,10 +108,10 @@
                 record.reason());
     }
 
-    private void noteBreaker() {
-        boolean tripped = hosts.stream().anyMatch(h -> h.wasTold(RolloutAction.Notice.Kind.FUSE));
+    private void recordBreaker() {
+        boolean tripped = hosts.stream().anyMatch(h -> h.hasNotice(RolloutAction.Notice.Kind.FUSE));
         if (tripped) {
-            breakerNanos = Math.min(breakerNanos, fleet.nowNanos);
+            firstTripNanos = Math.min(firstTripNanos, fleet.nowNanos);
         }
     }
 
@@ -122,7 +122,7 @@
     private void countNaive(double progress, int count) {
         for (int i = 0; i < count; i++) {
             if (random.nextDouble() < NaiveRollout.share(progress)) {
-                countNaive(progress, route(), random.nextDouble() < HIGH_LOAD_PART);
+                countNaive(progress, route(), random.nextDouble() < HIGH_LOAD_FRACTION);
             }
         }
     }
@@ -142,7 +142,7 @@
         return switch (fault) {
             case NONE -> false;
             case AT_ONCE -> true;
-            case LATER -> progress >= onset;
+            case LATER -> progress >= onsetProgress;
             case UNDER_LOAD -> high;
             case ONE_ROUTE -> route.equals(badRoute);
         };
@@ -152,7 +152,7 @@
         int index = random.nextInt(hosts.size());
         FakeFleet.Host host = hosts.get(index);
         RouteId route = route();
-        boolean high = random.nextDouble() < HIGH_LOAD_PART;
+        boolean high = random.nextDouble() < HIGH_LOAD_FRACTION;
         VersionSplit split = host.split.splits().get(route);
         VersionId version = split == null ? FakeFleet.OLD : split.choose(random.nextDouble());
         boolean onNew = version.equals(FakeFleet.NEW);
@@ -160,7 +160,7 @@
         if (onNew) {
             newRequests++;
             newRunsByHost[index]++;
-            if (fleet.nowNanos - breakerNanos > 1_000 * RolloutCore.NANOS_PER_MILLI) {
+            if (fleet.nowNanos - firstTripNanos > 1_000 * RolloutCore.NANOS_PER_MILLI) {
                 lateRequests++;
             }
         }
@@ -176,10 +176,10 @@
     }
 
     private RunResult result(double progress, boolean high, boolean faulty, boolean cold) {
-        boolean incident = progress >= incidentAt && progress < incidentAt + 0.05;
-        double failures = baseFailures + (incident ? 0.2 : 0) + (faulty && !slow ? size : 0);
+        boolean incident = progress >= incidentProgress && progress < incidentProgress + 0.05;
+        double failures = baseFailures + (incident ? 0.2 : 0) + (faulty && !slow ? faultSize : 0);
         int tokens = 20 + (int) Math.exp(random.nextDouble(0, 6));
-        double perToken = 20 * (high ? 1.6 : 1) * (faulty && slow ? size : 1);
+        double perToken = 20 * (high ? 1.6 : 1) * (faulty && slow ? faultSize : 1);
         double noise = Math.exp(random.nextGaussian() * SIGMA);
         long millis = (long) (tokens * perToken * noise * (cold ? COLD_FACTOR : 1));
         RunResult.Verdict verdict =
--- a/src/test/java/org/orioleshed/rollout/RolloutStatisticsTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutStatisticsTest.java
@@ -12,14 +12,17 @@
 import java.util.concurrent.Future;
 import org.testng.annotations.Test;
 
-/** Measures the outcomes of many rollouts against the stated targets and {@link NaiveRollout}. */
+/**
+ * Checks the outcomes of many simulated rollouts against fixed targets and prints a comparison with
+ * {@link NaiveRollout}.
+ */
 public class RolloutStatisticsTest {
-    private static final int GOOD_MOVES = Integer.getInteger("moves.good", 1_000);
-    private static final int BAD_MOVES = Integer.getInteger("moves.bad", 1_000);
+    private static final int GOOD_ROLLOUTS = Integer.getInteger("moves.good", 1_000);
+    private static final int BAD_ROLLOUTS = Integer.getInteger("moves.bad", 1_000);
     private static final int THREADS = 3;
 
     @Test
-    public void goodVersionsCompleteAndBadOnesAreTakenBack() throws Exception {
+    public void goodVersionsCompleteAndBadOnesAreRolledBack() throws Exception {
         List<RolloutSimulation.Result> results = runAll();
         int good = 0;
         int goodCompleted = 0;
@@ -28,7 +31,7 @@
         double worstShare = 0;
         long late = 0;
         for (RolloutSimulation.Result result : results) {
-            assertEquals(result.outcomes(), 1, "outcomes of one move");
+            assertEquals(result.outcomes(), 1, "outcomes of one rollout");
             boolean completed = result.outcome() == RolloutState.COMPLETED;
             late += result.lateRequests();
             if (result.fault() == RolloutSimulation.Fault.NONE) {
@@ -40,8 +43,8 @@
                 worstShare =
                         Math.max(worstShare, (double) result.newRequests() / result.requests());
             }
-            boolean wrong = completed != (result.fault() == RolloutSimulation.Fault.NONE);
-            if (wrong) {
+            boolean unexpected = completed != (result.fault() == RolloutSimulation.Fault.NONE);
+            if (unexpected) {
                 print("wrong %s", result);
             }
         }
@@ -49,10 +52,10 @@
         print(
                 "good=%d completed=%d bad=%d completed=%d worstShare=%.4f lateRequests=%d",
                 good, goodCompleted, bad, badCompleted, worstShare, late);
-        assertTrue(good - goodCompleted <= 0.01 * good, "false take-backs");
+        assertTrue(good - goodCompleted <= 0.01 * good, "good versions rolled back");
         assertTrue(badCompleted <= 0.001 * bad, "bad versions completed");
         assertTrue(worstShare <= 0.05, "share of a bad version: " + worstShare);
-        assertEquals(late, 0, "requests to a bad version a second after a fuse blew");
+        assertEquals(late, 0, "requests to a bad version one second after a breaker tripped");
     }
 
     private static void printByFault(List<RolloutSimulation.Result> results) {
@@ -88,7 +91,7 @@
             throws InterruptedException, ExecutionException {
         List<Future<RolloutSimulation.Result>> futures = new ArrayList<>();
         try (ExecutorService threads = Executors.newFixedThreadPool(THREADS)) {
-            for (int i = 0; i < GOOD_MOVES; i++) {
+            for (int i = 0; i < GOOD_ROLLOUTS; i++) {
                 long seed = i;
                 futures.add(
                         threads.submit(
@@ -97,7 +100,7 @@
                                                 .run()));
             }
             RolloutSimulation.Fault[] faults = RolloutSimulation.Fault.values();
-            for (int i = 0; i < BAD_MOVES; i++) {
+            for (int i = 0; i < BAD_ROLLOUTS; i++) {
                 long seed = 1_000_000L + i;
                 RolloutSimulation.Fault fault = faults[1 + i % (faults.length - 1)];
                 futures.add(threads.submit(() -> new RolloutSimulation(seed, fault).run()));
