--- a/src/main/java/org/orioleshed/host/RunEvidence.java
+++ b/src/main/java/org/orioleshed/host/RunEvidence.java
@@ -119,8 +119,8 @@
     private void end(long nowNanos, RunId run, RunEnd end) {
         switch (end) {
             case RunEnd.Finished finished -> close(nowNanos, run, RunResult.Verdict.OK);
-            case RunEnd.Cancelled cancelled -> close(nowNanos, run, RunResult.Verdict.CUT);
-            case RunEnd.Preempted preempted -> close(nowNanos, run, RunResult.Verdict.CUT);
+            case RunEnd.Cancelled cancelled -> close(nowNanos, run, RunResult.Verdict.INTERRUPTED);
+            case RunEnd.Preempted preempted -> close(nowNanos, run, RunResult.Verdict.INTERRUPTED);
             case RunEnd.NeverStarted never -> runs.remove(run.request());
             case RunEnd.EngineError error -> close(nowNanos, run, RunResult.Verdict.FAILED);
             case RunEnd.Broken broken ->
@@ -155,7 +155,7 @@
         }
         Run run = runs.get(request);
         if (run != null) {
-            close(nowNanos, run.id, RunResult.Verdict.CUT);
+            close(nowNanos, run.id, RunResult.Verdict.INTERRUPTED);
         }
     }
 
--- a/src/main/java/org/orioleshed/rollout/CoordinatorLease.java
+++ b/src/main/java/org/orioleshed/rollout/CoordinatorLease.java
@@ -53,7 +53,7 @@
         this.tickets = tickets;
     }
 
-    /** Returns whether the lease is held. Must be checked before each write or order. */
+    /** Returns whether the lease is held. Checked before each order. */
     boolean isHeld(long nowNanos) {
         return state instanceof Held held && nowNanos < held.validUntilNanos;
     }
@@ -63,9 +63,7 @@
         return state instanceof Held held && nowNanos < held.validUntilNanos ? held.fence : 0;
     }
 
-    /**
-     * Returns the time from which the lease is held; {@link Long#MAX_VALUE} when it is not held.
-     */
+    /** Returns the time from which the lease is held. */
     long sinceNanos() {
         return state instanceof Held held ? held.sinceNanos : Long.MAX_VALUE;
     }
--- a/src/main/java/org/orioleshed/rollout/LocalEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/LocalEvidence.java
@@ -21,7 +21,7 @@
     private final SlownessClassifier slowness = new SlownessClassifier();
     private final FailureAttribution attribution = new FailureAttribution();
     private final Map<RolloutMessage.Key, Tally> tallies = new HashMap<>();
-    private final Map<Stratum, VersionComparison> tests = new HashMap<>();
+    private final Map<Stratum, VersionComparison> comparisons = new HashMap<>();
     private final Map<ServerId, Integer> coldRuns = new HashMap<>();
 
     LocalEvidence(VersionId from, VersionId to, RolloutLimits limits) {
@@ -64,7 +64,7 @@
                             key,
                             attribution.attributeCrash(
                                     nowNanos, onNew, key, server, result.fingerprint()));
-            case CUT -> recordInterrupted(key, generation, result);
+            case INTERRUPTED -> recordInterrupted(key, generation, result);
         }
     }
 
@@ -76,8 +76,8 @@
     /** Returns the strongest evidence against the new version. */
     double alarm() {
         double strongest = 0;
-        for (VersionComparison test : tests.values()) {
-            strongest = Math.max(strongest, test.alarm());
+        for (VersionComparison comparison : comparisons.values()) {
+            strongest = Math.max(strongest, comparison.alarm());
         }
         return strongest;
     }
@@ -117,14 +117,14 @@
 
     private void count(RolloutMessage.Key key, Tally added) {
         tallies.merge(key, added, Tally::plus);
-        VersionComparison test =
-                tests.computeIfAbsent(
+        VersionComparison comparison =
+                comparisons.computeIfAbsent(
                         new Stratum(key.route(), key.band()),
-                        cell -> new VersionComparison(limits));
+                        stratum -> new VersionComparison(limits));
         if (key.version().equals(to)) {
-            test.addNew(added);
+            comparison.addNew(added);
         } else {
-            test.addOld(added);
+            comparison.addOld(added);
         }
     }
 }
--- a/src/main/java/org/orioleshed/rollout/PooledEvidence.java
+++ b/src/main/java/org/orioleshed/rollout/PooledEvidence.java
@@ -31,7 +31,7 @@
     private final RolloutRecord rollout;
     private final RolloutLimits limits;
     private final Map<HostId, HostEvidence> evidenceByHost = new HashMap<>();
-    private final Map<Stratum, VersionComparison> tests = new HashMap<>();
+    private final Map<Stratum, VersionComparison> comparisons = new HashMap<>();
     private final Map<DomainRoute, VersionRuns> runsByDomainRoute = new HashMap<>();
 
     PooledEvidence(RolloutRecord rollout, RolloutLimits limits) {
@@ -76,21 +76,21 @@
 
     private void countOld(FailureDomain domain, RolloutMessage.Key key, Tally added) {
         if (key.version().equals(rollout.from())) {
-            testOf(key).addOld(added);
+            comparisonOf(key).addOld(added);
             runsOf(domain, key).ofOld += added.runs();
         }
     }
 
     private void countNew(FailureDomain domain, RolloutMessage.Key key, Tally added) {
         if (key.version().equals(rollout.to())) {
-            testOf(key).addNew(added);
+            comparisonOf(key).addNew(added);
             runsOf(domain, key).ofNew += added.runs();
         }
     }
 
-    private VersionComparison testOf(RolloutMessage.Key key) {
-        return tests.computeIfAbsent(
-                new Stratum(key.route(), key.band()), cell -> new VersionComparison(limits));
+    private VersionComparison comparisonOf(RolloutMessage.Key key) {
+        return comparisons.computeIfAbsent(
+                new Stratum(key.route(), key.band()), stratum -> new VersionComparison(limits));
     }
 
     private VersionRuns runsOf(FailureDomain domain, RolloutMessage.Key key) {
@@ -101,8 +101,8 @@
     /** Returns the strongest evidence against the new version. */
     double alarm() {
         double strongest = 0;
-        for (VersionComparison test : tests.values()) {
-            strongest = Math.max(strongest, test.alarm());
+        for (VersionComparison comparison : comparisons.values()) {
+            strongest = Math.max(strongest, comparison.alarm());
         }
         return strongest;
     }
@@ -111,9 +111,9 @@
     double proofOverall() {
         double failures = 0;
         double slowness = 0;
-        for (VersionComparison test : tests.values()) {
-            failures += test.failureProof();
-            slowness += test.slownessProof();
+        for (VersionComparison comparison : comparisons.values()) {
+            failures += comparison.failureProof();
+            slowness += comparison.slownessProof();
         }
         return -Math.max(failures, slowness);
     }
@@ -131,10 +131,10 @@
         double failures = 0;
         double slowness = 0;
         for (LoadBand band : LoadBand.values()) {
-            VersionComparison test = tests.get(new Stratum(route, band));
-            if (test != null) {
-                failures += test.failureProof();
-                slowness += test.slownessProof();
+            VersionComparison comparison = comparisons.get(new Stratum(route, band));
+            if (comparison != null) {
+                failures += comparison.failureProof();
+                slowness += comparison.slownessProof();
             }
         }
         return -Math.max(failures, slowness);
@@ -146,21 +146,22 @@
      * per route.
      */
     boolean lacksProofUnderLoad(double level) {
-        long all = 0;
-        long high = 0;
+        long runs = 0;
+        long runsUnderHighLoad = 0;
         double failures = 0;
         double slowness = 0;
-        for (Map.Entry<Stratum, VersionComparison> entry : tests.entrySet()) {
-            VersionComparison test = entry.getValue();
-            all += test.oldRuns();
+        for (Map.Entry<Stratum, VersionComparison> entry : comparisons.entrySet()) {
+            VersionComparison comparison = entry.getValue();
+            runs += comparison.oldRuns();
             if (entry.getKey().band() == LoadBand.HIGH) {
-                high += test.oldRuns();
-                failures += test.failureProof();
-                slowness += test.slownessProof();
+                runsUnderHighLoad += comparison.oldRuns();
+                failures += comparison.failureProof();
+                slowness += comparison.slownessProof();
             }
         }
-        boolean often = all >= MIN_RUNS_FOR_BANDS && high >= MIN_HIGH_LOAD_FRACTION * all;
-        return often && -Math.max(failures, slowness) < level;
+        boolean oftenUnderLoad =
+                runs >= MIN_RUNS_FOR_BANDS && runsUnderHighLoad >= MIN_HIGH_LOAD_FRACTION * runs;
+        return oftenUnderLoad && -Math.max(failures, slowness) < level;
     }
 
     /**
@@ -196,7 +197,7 @@
 
     /** Resets the proof, as for a new step. Alarms continue. */
     void restartProof() {
-        tests.values().forEach(VersionComparison::restartProof);
+        comparisons.values().forEach(VersionComparison::restartProof);
         runsByDomainRoute.clear();
     }
 
--- a/src/main/java/org/orioleshed/rollout/RolloutCoordinator.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCoordinator.java
@@ -50,26 +50,31 @@
         return lease.onLease(nowNanos, result);
     }
 
-    /** Advances timers and returns the lease, order and record actions that are due. */
+    /**
+     * Advances timers and returns the lease, order and record actions that are due.
+     *
+     * @param wanted whether this host should become the coordinator if it is not
+     * @param holdStart whether a planned rollout must not start yet
+     */
     List<RolloutAction> tick(
             long nowNanos,
             long epochMillis,
             FleetSnapshot fleet,
             boolean wanted,
-            boolean mustWait) {
+            boolean holdStart) {
         if (!tracker.isOpen()) {
             return List.of();
         }
         List<RolloutAction> actions = new ArrayList<>(lease.tick(nowNanos, wanted));
-        if (!lease.isHeld(nowNanos) || awaitsAnswer(nowNanos, actions)) {
+        if (!lease.isHeld(nowNanos) || mustWaitForStore(nowNanos, actions)) {
             return actions;
         }
-        Optional<RolloutRecord> next = decide(nowNanos, epochMillis, fleet, mustWait, actions);
+        Optional<RolloutRecord> next = decide(nowNanos, epochMillis, fleet, holdStart, actions);
         next.ifPresent(value -> actions.add(swap(nowNanos, value)));
         return actions;
     }
 
-    private boolean awaitsAnswer(long nowNanos, List<RolloutAction> actions) {
+    private boolean mustWaitForStore(long nowNanos, List<RolloutAction> actions) {
         if (nowNanos < retryNanos) {
             return true;
         }
@@ -87,17 +92,17 @@
             long nowNanos,
             long epochMillis,
             FleetSnapshot fleet,
-            boolean mustWait,
+            boolean holdStart,
             List<RolloutAction> actions) {
         RolloutRecord record = tracker.record();
-        Optional<String> rollBack = rollBackReason(epochMillis);
-        if (rollBack.isPresent()) {
+        Optional<String> reason = rollBackReason(epochMillis);
+        if (reason.isPresent()) {
             return Optional.of(
-                    outcome(nowNanos, epochMillis, RolloutState.TAKEN_BACK, rollBack.get()));
+                    outcome(nowNanos, epochMillis, RolloutState.TAKEN_BACK, reason.get()));
         }
         if (record.state() == RolloutState.PLANNED) {
             actions.addAll(orders.tick(nowNanos, lease.fence(nowNanos), lease.sinceNanos(), fleet));
-            return orders.isDone() && !mustWait
+            return orders.isDone() && !holdStart
                     ? Optional.of(step(nowNanos, epochMillis, 0))
                     : Optional.empty();
         }
--- a/src/main/java/org/orioleshed/rollout/RolloutCore.java
+++ b/src/main/java/org/orioleshed/rollout/RolloutCore.java
@@ -349,8 +349,8 @@
         for (RolloutTracker tracker : trackers.values()) {
             RolloutCoordinator coordinator = coordinators.get(tracker.record().id());
             boolean wanted = candidacy.shouldTry(tracker.record().id(), nowNanos);
-            boolean mustWait = tracker.isService() && isModelRolloutOpen();
-            actions.addAll(coordinator.tick(nowNanos, epochMillis, fleet, wanted, mustWait));
+            boolean holdStart = tracker.isService() && isModelRolloutOpen();
+            actions.addAll(coordinator.tick(nowNanos, epochMillis, fleet, wanted, holdStart));
         }
     }
 
--- a/src/main/java/org/orioleshed/rollout/RunResult.java
+++ b/src/main/java/org/orioleshed/rollout/RunResult.java
@@ -92,6 +92,6 @@
          * The run was ended from outside: deadline exceeded, caller disconnected, or preempted.
          * Never counts as a failure, but counts as slow if it had already taken too long.
          */
-        CUT
+        INTERRUPTED
     }
 }
--- a/src/test/java/org/orioleshed/rollout/FakeFleet.java
+++ b/src/test/java/org/orioleshed/rollout/FakeFleet.java
@@ -271,8 +271,8 @@
     private void deliver() {
         while (!inFlight.isEmpty()) {
             Envelope envelope = inFlight.poll();
-            boolean cut = partition(envelope.from) != partition(envelope.to);
-            if (cut || paused.contains(envelope.to) || random.nextDouble() < linkLoss) {
+            boolean separated = partition(envelope.from) != partition(envelope.to);
+            if (separated || paused.contains(envelope.to) || random.nextDouble() < linkLoss) {
                 continue;
             }
             if (hosts.containsKey(envelope.to)) {
--- a/src/test/java/org/orioleshed/rollout/FakeStore.java
+++ b/src/test/java/org/orioleshed/rollout/FakeStore.java
@@ -25,7 +25,7 @@
     private long nowNanos;
 
     /** Hosts that cannot reach the store. */
-    final Set<HostId> cutOff = new HashSet<>();
+    final Set<HostId> disconnected = new HashSet<>();
 
     /** Whether the store is unavailable to all hosts. */
     boolean unavailable;
@@ -64,12 +64,12 @@
     }
 
     private boolean isUnavailable(HostId host) {
-        return unavailable || cutOff.contains(host);
+        return unavailable || disconnected.contains(host);
     }
 
     RolloutEvent swap(HostId host, RolloutAction.SwapRecord swap) {
         if (isUnavailable(host)) {
-            return answer(swap, new RolloutEvent.SwapAnswer.Unavailable("away"));
+            return answer(swap, new RolloutEvent.SwapAnswer.Unavailable("unavailable"));
         }
         boolean isRecord = swap.key().startsWith(RolloutRecord.KEY_PREFIX);
         boolean lost = isRecord && loseAnswers > 0;
@@ -142,7 +142,7 @@
     RolloutEvent grant(HostId host, RolloutAction.GrantLease grant) {
         if (isUnavailable(host)) {
             return new RolloutEvent.LeaseResult(
-                    grant.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
+                    grant.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("unavailable"));
         }
         leaseEnds.put(++lastLease, nowNanos + grant.ttlMillis() * RolloutCore.NANOS_PER_MILLI);
         leaseMillis.put(lastLease, grant.ttlMillis());
@@ -153,11 +153,11 @@
     RolloutEvent keep(HostId host, RolloutAction.KeepLease keep) {
         if (isUnavailable(host)) {
             return new RolloutEvent.LeaseResult(
-                    keep.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("away"));
+                    keep.ticket(), new RolloutEvent.LeaseAnswer.Unavailable("unavailable"));
         }
         if (!leaseEnds.containsKey(keep.leaseId())) {
             return new RolloutEvent.LeaseResult(
-                    keep.ticket(), new RolloutEvent.LeaseAnswer.Lost("gone"));
+                    keep.ticket(), new RolloutEvent.LeaseAnswer.Lost("expired"));
         }
         long millis = leaseMillis.get(keep.leaseId());
         leaseEnds.put(keep.leaseId(), nowNanos + millis * RolloutCore.NANOS_PER_MILLI);
--- a/src/test/java/org/orioleshed/rollout/PlacementTest.java
+++ b/src/test/java/org/orioleshed/rollout/PlacementTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test(dataProvider = "placements")
-    public void spreadsOverDomainsWithinMemory(
+    public void distributesOverDomainsWithinMemory(
             List<Placement.Candidate> candidates, long bytes, int wanted, List<String> expected) {
         Placement.Result result = Placement.place(bytes, wanted, candidates);
         List<ServerId> servers = expected.stream().map(ServerId::new).toList();
--- a/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
@@ -230,7 +230,7 @@
     public void noStepWhileADomainIsPartitioned() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 2_000);
-        HostId cutHost = partitionDomain(fleet, "d1");
+        HostId partitionedHost = partitionDomain(fleet, "d1");
         healthy(fleet, RolloutLimits.DEFAULT.freshMillis() + 500);
         int step = fleet.store.record(FakeFleet.ROLLOUT).step();
         assertTrue(step < RolloutLimits.DEFAULT.lastStep(), "steps are left: " + step);
@@ -238,7 +238,7 @@
         assertEquals(fleet.store.record(FakeFleet.ROLLOUT).step(), step);
         healthy(fleet, DURATION_MILLIS);
         assertEquals(state(fleet), RolloutState.TAKEN_BACK);
-        FakeFleet.Host partitioned = fleet.hosts.get(cutHost);
+        FakeFleet.Host partitioned = fleet.hosts.get(partitionedHost);
         assertEquals(partitioned.share(ROUTES.get(0)), 0.0);
         assertTrue(partitioned.hasNotice(RolloutAction.Notice.Kind.CONCLUDED_BACK));
         healPartitions(fleet);
@@ -250,8 +250,8 @@
     public void faultInAPartitionedDomainTripsTheBreakerThere() {
         FakeFleet fleet = fleet(2, 2);
         healthy(fleet, 20_000);
-        HostId cutHost = partitionDomain(fleet, "d1");
-        FakeFleet.Host partitioned = fleet.hosts.get(cutHost);
+        HostId partitionedHost = partitionDomain(fleet, "d1");
+        FakeFleet.Host partitioned = fleet.hosts.get(partitionedHost);
         for (int i = 0; i < 10; i++) {
             RunResult failed = fleet.result(RunResult.Verdict.FAILED, 0.2);
             fleet.observe(partitioned, ROUTES.get(0), FakeFleet.NEW, failed);
@@ -275,7 +275,7 @@
         for (FakeFleet.Host host : fleet.hosts.values()) {
             if (host.domain.value().equals(domain)) {
                 fleet.partition(host.id, 1);
-                fleet.store.cutOff.add(host.id);
+                fleet.store.disconnected.add(host.id);
                 last = host.id;
             }
         }
@@ -284,7 +284,7 @@
 
     private static void healPartitions(FakeFleet fleet) {
         fleet.hosts.keySet().forEach(id -> fleet.partition(id, 0));
-        fleet.store.cutOff.clear();
+        fleet.store.disconnected.clear();
     }
 
     @Test
@@ -325,7 +325,7 @@
     public void interruptedRunsDoNotTripTheBreaker() {
         FakeFleet fleet = fleet(1, 1);
         healthy(fleet, 20_000);
-        traffic(fleet, 40_000, RunResult.Verdict.CUT);
+        traffic(fleet, 40_000, RunResult.Verdict.INTERRUPTED);
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
         assertEquals(host.count(RolloutAction.Notice.Kind.FUSE), 0);
     }
@@ -337,7 +337,8 @@
         FakeFleet.Host host = fleet.hosts.values().iterator().next();
         for (int i = 0; i < 20; i++) {
             Fingerprint content = new Fingerprint(i, 5);
-            RunResult hung = new RunResult(RunResult.Verdict.CUT, 9_000, 0, 0, 0, 0.2, content);
+            RunResult hung =
+                    new RunResult(RunResult.Verdict.INTERRUPTED, 9_000, 0, 0, 0, 0.2, content);
             fleet.observe(host, ROUTES.get(0), FakeFleet.NEW, hung);
         }
         assertTrue(host.hasNotice(RolloutAction.Notice.Kind.FUSE));
--- a/src/test/java/org/orioleshed/rollout/RolloutSimulation.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutSimulation.java
@@ -86,7 +86,7 @@
             for (int i = 0; i < perStep; i++) {
                 request((double) passedMillis / DURATION_MILLIS);
             }
-            recordBreaker();
+            recordTrip();
             fleet.step(STEP_MILLIS);
             passedMillis += STEP_MILLIS;
         }
@@ -108,7 +108,7 @@
                 record.reason());
     }
 
-    private void recordBreaker() {
+    private void recordTrip() {
         boolean tripped = hosts.stream().anyMatch(h -> h.hasNotice(RolloutAction.Notice.Kind.FUSE));
         if (tripped) {
             firstTripNanos = Math.min(firstTripNanos, fleet.nowNanos);
--- a/src/test/java/org/orioleshed/rollout/RolloutStatisticsTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutStatisticsTest.java
@@ -45,7 +45,7 @@
             }
             boolean unexpected = completed != (result.fault() == RolloutSimulation.Fault.NONE);
             if (unexpected) {
-                print("wrong %s", result);
+                print("unexpected outcome: %s", result);
             }
         }
         printByFault(results);
