--- a/src/test/java/org/orioleshed/rollout/CoordinatorCandidacyTest.java
+++ b/src/test/java/org/orioleshed/rollout/CoordinatorCandidacyTest.java
@@ -13,7 +13,10 @@
 import org.orioleshed.model.RolloutId;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CoordinatorCandidacy}. */
+/**
+ * Guards against a leaving host that takes the coordinator's lease, which would stall the rollout
+ * until the lease expires.
+ */
 public class CoordinatorCandidacyTest {
     private static final HostId SELF = new HostId("entry-1");
     private static final RolloutId ROLLOUT = new RolloutId("m1");
--- a/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
+++ b/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link LoadTrial}. */
+/**
+ * Guards against load trials that raise the share of all requests above that of the step, or that
+ * never load a single server.
+ */
 public class LoadTrialTest {
     private static final double AVERAGE = 0.04;
     private static final long TICK_MILLIS = 20;
--- a/src/test/java/org/orioleshed/rollout/PlacementTest.java
+++ b/src/test/java/org/orioleshed/rollout/PlacementTest.java
@@ -10,7 +10,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Placement} and {@link WeightBudget}. */
+/**
+ * Guards against versions placed beyond the memory of servers or in few failure domains, and
+ * against too many or too frequent weight loads.
+ */
 public class PlacementTest {
     private static Placement.Candidate candidate(String id, String domain, long memory, long used) {
         return new Placement.Candidate(new ServerId(id), new FailureDomain(domain), memory, used);
--- a/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutFailuresTest.java
@@ -17,7 +17,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of rollouts while links, the store and hosts fail. */
+/**
+ * Guards against missing, repeated or wrong outcomes, and against traffic on a faulty version,
+ * while links, the store and hosts fail.
+ */
 public class RolloutFailuresTest {
     private static final long DURATION_MILLIS = 120_000;
     private static final List<RouteId> ROUTES = FakeFleet.routes(2);
--- a/src/test/java/org/orioleshed/rollout/RolloutProperties.java
+++ b/src/test/java/org/orioleshed/rollout/RolloutProperties.java
@@ -19,7 +19,10 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of the evidence, sequential tests, records and messages of rollouts. */
+/**
+ * Guards against evidence that depends on the order or number of messages, against malformed
+ * messages and records, and against a negative alarm.
+ */
 class RolloutProperties {
     private static final FailureDomain DOMAIN = new FailureDomain("d");
 
