--- a/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
+++ b/src/test/java/org/orioleshed/rollout/LoadTrialTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link LoadTrial}. */
+/**
+ * Guards against load trials that raise the share of all requests above that of the step, or that
+ * never load a single server.
+ */
 public class LoadTrialTest {
     private static final double AVERAGE = 0.04;
     private static final long TICK_MILLIS = 20;
@@ -32,9 +35,13 @@
         };
     }
 
-    /** All hosts carry like traffic; the share of all of it is the mean of the hosts' shares. */
+    /**
+     * All hosts have the same traffic, so the share of all requests is the mean of the hosts'
+     * shares.
+     */
     @Test(dataProvider = "fleets")
-    public void shareOfAllRequestsStaysAtTheSteps(int domains, int hostsPerDomain, long seconds) {
+    public void meanShareOfAllHostsStaysAtTheStepsShare(
+            int domains, int hostsPerDomain, long seconds) {
         FakeFleet fleet = fleet(domains, hostsPerDomain);
         FleetSnapshot snapshot = fleet.snapshot;
         long roundMillis = 4_000L * snapshot.hosts().size();
@@ -53,7 +60,7 @@
     }
 
     @Test
-    public void turnsGetStronger() {
+    public void burstShareGrowsOverTime() {
         FakeFleet fleet = fleet(3, 2);
         HostId first = fleet.hosts.keySet().iterator().next();
         LoadTrial trial = new LoadTrial(first, RolloutLimits.DEFAULT);
@@ -64,7 +71,7 @@
     }
 
     @Test
-    public void oneServerOfTheHostsOwnDomainGetsTheWork() {
+    public void onlyOneServerOfTheHostsDomainIsNotHeldBack() {
         FakeFleet fleet = fleet(3, 1);
         HostId host = fleet.hosts.keySet().iterator().next();
         LoadTrial trial = new LoadTrial(host, RolloutLimits.DEFAULT);
