--- a/src/main/java/org/orioleshed/entry/EntryProcess.java
+++ b/src/main/java/org/orioleshed/entry/EntryProcess.java
@@ -212,7 +212,7 @@
     private void changed(FleetSnapshot newFleet) {
         actions.fleet(newFleet);
         handler.fleet(newFleet);
-        owners = owners.in(newFleet);
+        owners = owners.withFleet(newFleet);
         ownServers = newFleet.servers().values().stream().filter(this::isOwnerOf).toList();
         duty.add(new HostEvent.FleetChanged(newFleet));
         // Readiness goes by this: last, so that a host that is ready knows its callers and servers.
--- a/src/main/java/org/orioleshed/host/HostCore.java
+++ b/src/main/java/org/orioleshed/host/HostCore.java
@@ -146,7 +146,7 @@
             case HostEvent.FleetChanged changed -> fleet = changed.fleet();
             case HostEvent.DrainRequested asked -> draining = true;
             case HostEvent.RoutingReceived received -> {
-                chooser.learn(nowNanos, received.message());
+                chooser.observe(nowNanos, received.message());
                 if (refusePoison(nowNanos, received)) {
                     return;
                 }
--- a/src/main/java/org/orioleshed/routing/Running.java
+++ b/src/main/java/org/orioleshed/routing/ActiveRun.java
@@ -4,24 +4,24 @@
 import org.orioleshed.model.RunId;
 
 /** A run that holds a place on an engine, until the engine is known to be done with it. */
-final class Running {
+final class ActiveRun {
     /** What a run is on its way to. */
-    enum Stop {
+    enum StopReason {
         /** Not to be stopped. */
         NONE,
         /** The accepting host wished it. */
-        WISHED,
+        REQUESTED,
         /** A more urgent request needs the place. */
         PREEMPTED,
         /** The engine sent nothing for too long. */
-        SILENT,
+        STALLED,
         /** The connection broke and the engine may still be at it. */
         BROKEN,
         /** The accepting host is gone, or the deadline is long past. */
-        ORPHANED
+        ABANDONED
     }
 
-    private final Waiting waiting;
+    private final WaitingOffer waiting;
     private final int resumeFromToken;
     private final int uncachedTokens;
     private final long startedNanos;
@@ -32,14 +32,14 @@
     private int sentTokens;
     private int creditTokens;
     private boolean paused;
-    private boolean gapSpoiled;
-    private Stop stop = Stop.NONE;
-    private boolean told;
+    private boolean gapInvalid;
+    private StopReason stop = StopReason.NONE;
+    private boolean endReported;
     private long stopNanos;
     private long lastCancelNanos;
 
-    Running(
-            Waiting waiting,
+    ActiveRun(
+            WaitingOffer waiting,
             int resumeFromToken,
             int creditTokens,
             int uncachedTokens,
@@ -55,7 +55,7 @@
         nextToken = resumeFromToken;
     }
 
-    Waiting waiting() {
+    WaitingOffer waiting() {
         return waiting;
     }
 
@@ -105,12 +105,12 @@
         return paused;
     }
 
-    Stop stop() {
+    StopReason stop() {
         return stop;
     }
 
     boolean stopping() {
-        return stop != Stop.NONE;
+        return stop != StopReason.NONE;
     }
 
     long stopNanos() {
@@ -122,16 +122,16 @@
     }
 
     /** Returns whether the accepting host was told of the end before the engine confirmed it. */
-    boolean told() {
-        return told;
+    boolean endReported() {
+        return endReported;
     }
 
-    void tell() {
-        told = true;
+    void markEndReported() {
+        endReported = true;
     }
 
-    void stop(Stop reason, long nowNanos) {
-        if (stop == Stop.NONE) {
+    void stop(StopReason reason, long nowNanos) {
+        if (stop == StopReason.NONE) {
             stopNanos = nowNanos;
         }
         stop = reason;
@@ -150,15 +150,15 @@
      */
     long tokens(int firstToken, int count, long nowNanos) {
         long micros = (nowNanos - lastTokenNanos) / 1_000 / Math.max(1, count);
-        boolean telling = hasTokens() && !gapSpoiled;
+        boolean valid = hasTokens() && !gapInvalid;
         if (!hasTokens()) {
             firstTokenNanos = nowNanos;
         }
         lastTokenNanos = nowNanos;
-        gapSpoiled = paused;
+        gapInvalid = paused;
         nextToken = Math.max(nextToken, firstToken + count);
         sentTokens += count;
-        return telling ? micros : -1;
+        return valid ? micros : -1;
     }
 
     void addCredit(int tokens) {
@@ -171,7 +171,7 @@
 
     void setPaused(boolean nowPaused, long nowNanos) {
         paused = nowPaused;
-        gapSpoiled = true;
+        gapInvalid = true;
         lastTokenNanos = nowNanos;
     }
 
@@ -186,7 +186,7 @@
         int tokens = Math.max(expected - generatedTokens(), expected / 4);
         long prefill = 0;
         if (!hasTokens()) {
-            long elapsedMillis = (nowNanos - startedNanos) / Moment.NANOS_PER_MILLI;
+            long elapsedMillis = (nowNanos - startedNanos) / DecisionContext.NANOS_PER_MILLI;
             prefill = Math.max(0, prefillMillis - elapsedMillis);
         }
         return prefill + tokens * gapMicros / 1_000;
@@ -194,7 +194,7 @@
 
     /** Returns the work that would be done again if the run were stopped now, in milliseconds. */
     long wasteMillis(long nowNanos, boolean canResume, long gapMicros) {
-        long elapsedMillis = (nowNanos - startedNanos) / Moment.NANOS_PER_MILLI;
+        long elapsedMillis = (nowNanos - startedNanos) / DecisionContext.NANOS_PER_MILLI;
         long prefill = hasTokens() ? prefillMillis : Math.min(prefillMillis, elapsedMillis);
         return prefill + (canResume ? 0 : generatedTokens() * gapMicros / 1_000);
     }
--- a/src/main/java/org/orioleshed/routing/AdaptiveLimit.java
+++ b/src/main/java/org/orioleshed/routing/AdaptiveLimit.java
@@ -12,33 +12,33 @@
  */
 final class AdaptiveLimit {
     private static final long WINDOW_NANOS = 500_000_000L;
-    private static final long LONGEST_WINDOW_NANOS = 4 * WINDOW_NANOS;
-    private static final long BASE_MEMORY_NANOS = 60_000_000_000L;
-    private static final int FEWEST_GAPS = 10;
-    private static final int FEWEST_FIRST_TOKENS = 4;
-    private static final double DECREASE = 0.75;
-    private static final double RAISE_BELOW = 0.85;
+    private static final long MAX_WINDOW_NANOS = 4 * WINDOW_NANOS;
+    private static final long BASE_RETENTION_NANOS = 60_000_000_000L;
+    private static final int MIN_GAPS = 10;
+    private static final int MIN_FIRST_TOKENS = 4;
+    private static final double DECREASE_FACTOR = 0.75;
+    private static final double RAISE_THRESHOLD = 0.85;
     private static final double BASE_FACTOR = 2.0;
-    private static final int HIGHEST_MICROS = 60_000_000;
+    private static final int MAX_MICROS = 60_000_000;
 
     private final long gapTargetMicros;
     private final long firstTokenTargetMicros;
-    private final IntCountsHistogram gaps = new IntCountsHistogram(HIGHEST_MICROS, 2);
-    private final IntCountsHistogram firstTokens = new IntCountsHistogram(HIGHEST_MICROS, 2);
-    private int places;
+    private final IntCountsHistogram gaps = new IntCountsHistogram(MAX_MICROS, 2);
+    private final IntCountsHistogram firstTokens = new IntCountsHistogram(MAX_MICROS, 2);
+    private int slots;
     private double limit;
     private long windowStartNanos;
     private boolean started;
     private boolean wanted;
-    private int mostRunning;
+    private int maxRunning;
     private long baseGapMicros = Long.MAX_VALUE;
-    private long baseSeenNanos;
+    private long baseUpdatedNanos;
 
-    AdaptiveLimit(RoutingLimits limits, int places) {
+    AdaptiveLimit(RoutingLimits limits, int slots) {
         gapTargetMicros = limits.tokenGapMillis() * 1_000L;
         firstTokenTargetMicros = limits.firstTokenMillis() * 1_000L;
-        this.places = Math.max(1, places);
-        limit = this.places;
+        this.slots = Math.max(1, slots);
+        limit = this.slots;
     }
 
     /** Returns the limit, from 1 to the server's places. */
@@ -46,14 +46,14 @@
         return (int) limit;
     }
 
-    void setPlaces(int newPlaces) {
-        places = Math.max(1, newPlaces);
-        limit = Math.min(limit, places);
+    void setSlots(int newSlots) {
+        slots = Math.max(1, newSlots);
+        limit = Math.min(limit, slots);
     }
 
     /** Notes the time between two tokens of one stream. */
     void gap(long micros) {
-        gaps.recordValue(Math.clamp(micros, 0, HIGHEST_MICROS));
+        gaps.recordValue(Math.clamp(micros, 0, MAX_MICROS));
     }
 
     /**
@@ -65,13 +65,13 @@
     void firstToken(long micros, long alone) {
         // A long prompt is late by itself; that is no reason to run fewer.
         long excusedMicros = Math.max(0, alone - firstTokenTargetMicros / 2);
-        firstTokens.recordValue(Math.clamp(micros - excusedMicros, 0, HIGHEST_MICROS));
+        firstTokens.recordValue(Math.clamp(micros - excusedMicros, 0, MAX_MICROS));
     }
 
     /** Notes how many requests are on the engine and whether more wait. */
-    void load(int running, boolean moreWait) {
-        mostRunning = Math.max(mostRunning, running);
-        wanted |= moreWait || running >= current();
+    void load(int running, boolean moreWaiting) {
+        maxRunning = Math.max(maxRunning, running);
+        wanted |= moreWaiting || running >= current();
     }
 
     /** Adjusts the limit when a window of observation is over. */
@@ -79,12 +79,12 @@
         if (!started) {
             started = true;
             windowStartNanos = nowNanos;
-            baseSeenNanos = nowNanos;
+            baseUpdatedNanos = nowNanos;
             return;
         }
         long age = nowNanos - windowStartNanos;
-        boolean enough = gaps.getTotalCount() >= FEWEST_GAPS;
-        if (age < WINDOW_NANOS || (!enough && age < LONGEST_WINDOW_NANOS)) {
+        boolean enough = gaps.getTotalCount() >= MIN_GAPS;
+        if (age < WINDOW_NANOS || (!enough && age < MAX_WINDOW_NANOS)) {
             return;
         }
         if (enough) {
@@ -93,12 +93,12 @@
         gaps.reset();
         firstTokens.reset();
         wanted = false;
-        mostRunning = 0;
+        maxRunning = 0;
         windowStartNanos = nowNanos;
     }
 
     private void adjust(long nowNanos) {
-        learnBase(nowNanos);
+        updateBase(nowNanos);
         double target = gapTargetMicros;
         if (baseGapMicros != Long.MAX_VALUE && baseGapMicros > target) {
             target = BASE_FACTOR * baseGapMicros;
@@ -106,28 +106,28 @@
         long gapMicros = gaps.getValueAtPercentile(95);
         if (gapMicros > target || firstTokensLate()) {
             // While more run than the limit allows, the last decrease has not shown its effect.
-            if (mostRunning <= current()) {
-                limit = Math.max(1, limit * DECREASE);
+            if (maxRunning <= current()) {
+                limit = Math.max(1, limit * DECREASE_FACTOR);
             }
             return;
         }
-        if (wanted && gapMicros < RAISE_BELOW * target) {
-            limit = Math.min(places, limit + 1);
+        if (wanted && gapMicros < RAISE_THRESHOLD * target) {
+            limit = Math.min(slots, limit + 1);
         }
     }
 
-    private void learnBase(long nowNanos) {
-        if (nowNanos - baseSeenNanos > BASE_MEMORY_NANOS) {
+    private void updateBase(long nowNanos) {
+        if (nowNanos - baseUpdatedNanos > BASE_RETENTION_NANOS) {
             baseGapMicros = Long.MAX_VALUE;
         }
-        if (mostRunning <= 1) {
+        if (maxRunning <= 1) {
             baseGapMicros = gaps.getValueAtPercentile(95);
-            baseSeenNanos = nowNanos;
+            baseUpdatedNanos = nowNanos;
         }
     }
 
     private boolean firstTokensLate() {
-        return firstTokens.getTotalCount() >= FEWEST_FIRST_TOKENS
+        return firstTokens.getTotalCount() >= MIN_FIRST_TOKENS
                 && firstTokens.getValueAtPercentile(95) > firstTokenTargetMicros;
     }
 }
--- a/src/main/java/org/orioleshed/routing/Moment.java
+++ b/src/main/java/org/orioleshed/routing/DecisionContext.java
@@ -15,7 +15,7 @@
  * @param epochMillis the host's wall clock, empty until it is known
  * @param fleet the fleet
  */
-record Moment(long nowNanos, OptionalLong epochMillis, FleetSnapshot fleet) {
+record DecisionContext(long nowNanos, OptionalLong epochMillis, FleetSnapshot fleet) {
     /** Returns the workspace's share against others; one when it is unknown. */
     int weight(WorkspaceId id) {
         Workspace workspace = fleet.workspaces().get(id);
--- a/src/main/java/org/orioleshed/routing/FairQueue.java
+++ b/src/main/java/org/orioleshed/routing/FairQueue.java
@@ -16,13 +16,13 @@
  * an order of its own within each workspace.
  */
 final class FairQueue {
-    private final Comparator<Waiting> order;
-    private final Map<WorkspaceId, Lane> lanes = new TreeMap<>();
-    private double virtualMillis;
+    private final Comparator<WaitingOffer> order;
+    private final Map<WorkspaceId, WorkspaceQueue> queues = new TreeMap<>();
+    private double virtualTimeMillis;
     private int size;
     private long workMillis;
 
-    FairQueue(Comparator<Waiting> order) {
+    FairQueue(Comparator<WaitingOffer> order) {
         this.order = order;
     }
 
@@ -35,85 +35,87 @@
         return workMillis;
     }
 
-    void add(Waiting waiting, int weight) {
-        Lane lane = lanes.computeIfAbsent(waiting.offer().workspace(), id -> new Lane(order));
-        if (lane.offers.isEmpty()) {
-            lane.virtualMillis = Math.max(lane.virtualMillis, virtualMillis);
+    void add(WaitingOffer waiting, int weight) {
+        WorkspaceQueue queue =
+                queues.computeIfAbsent(
+                        waiting.offer().workspace(), id -> new WorkspaceQueue(order));
+        if (queue.offers.isEmpty()) {
+            queue.virtualTimeMillis = Math.max(queue.virtualTimeMillis, virtualTimeMillis);
         }
-        lane.weight = weight;
-        if (lane.offers.add(waiting)) {
+        queue.weight = weight;
+        if (queue.offers.add(waiting)) {
             size++;
             workMillis += waiting.workMillis();
         }
     }
 
-    boolean remove(Waiting waiting) {
-        Lane lane = lanes.get(waiting.offer().workspace());
-        if (lane == null || !lane.offers.remove(waiting)) {
+    boolean remove(WaitingOffer waiting) {
+        WorkspaceQueue queue = queues.get(waiting.offer().workspace());
+        if (queue == null || !queue.offers.remove(waiting)) {
             return false;
         }
         size--;
         workMillis -= waiting.workMillis();
-        forget(waiting.offer().workspace(), lane);
+        removeIfIdle(waiting.offer().workspace(), queue);
         return true;
     }
 
     /** Returns the offer whose turn it is among the workspaces that {@code eligible} accepts. */
-    Optional<Waiting> next(Predicate<WorkspaceId> eligible) {
-        Lane best = null;
-        for (Map.Entry<WorkspaceId, Lane> entry : lanes.entrySet()) {
-            Lane lane = entry.getValue();
-            if (!lane.offers.isEmpty()
+    Optional<WaitingOffer> next(Predicate<WorkspaceId> eligible) {
+        WorkspaceQueue best = null;
+        for (Map.Entry<WorkspaceId, WorkspaceQueue> entry : queues.entrySet()) {
+            WorkspaceQueue queue = entry.getValue();
+            if (!queue.offers.isEmpty()
                     && eligible.test(entry.getKey())
-                    && (best == null || lane.goesBefore(best, order))) {
-                best = lane;
+                    && (best == null || queue.precedes(best, order))) {
+                best = queue;
             }
         }
-        return Optional.ofNullable(best).map(lane -> lane.offers.first());
+        return Optional.ofNullable(best).map(queue -> queue.offers.first());
     }
 
     /** Returns the offer that comes first in the order, whatever its workspace. */
-    Optional<Waiting> earliest() {
-        return lanes.values().stream()
-                .filter(lane -> !lane.offers.isEmpty())
-                .map(lane -> lane.offers.first())
+    Optional<WaitingOffer> earliest() {
+        return queues.values().stream()
+                .filter(queue -> !queue.offers.isEmpty())
+                .map(queue -> queue.offers.first())
                 .min(order);
     }
 
     /** Returns the offer that comes last in the order. */
-    Optional<Waiting> latest() {
-        return lanes.values().stream()
-                .filter(lane -> !lane.offers.isEmpty())
-                .map(lane -> lane.offers.last())
+    Optional<WaitingOffer> latest() {
+        return queues.values().stream()
+                .filter(queue -> !queue.offers.isEmpty())
+                .map(queue -> queue.offers.last())
                 .max(order);
     }
 
     /** Removes an offer that gets a place, and charges its workspace. */
-    void take(Waiting waiting) {
-        Lane lane = lanes.get(waiting.offer().workspace());
-        if (lane == null || !lane.offers.contains(waiting)) {
+    void take(WaitingOffer waiting) {
+        WorkspaceQueue queue = queues.get(waiting.offer().workspace());
+        if (queue == null || !queue.offers.contains(waiting)) {
             throw new IllegalArgumentException("not in the queue: " + waiting.run());
         }
-        virtualMillis = Math.max(virtualMillis, lane.virtualMillis);
-        lane.virtualMillis += charge(waiting, lane);
+        virtualTimeMillis = Math.max(virtualTimeMillis, queue.virtualTimeMillis);
+        queue.virtualTimeMillis += charge(waiting, queue);
         remove(waiting);
     }
 
     /** Gives back what {@link #take} charged: the place was not used. */
-    void refund(Waiting waiting) {
-        Lane lane = lanes.get(waiting.offer().workspace());
-        if (lane != null) {
-            lane.virtualMillis -= charge(waiting, lane);
+    void refund(WaitingOffer waiting) {
+        WorkspaceQueue queue = queues.get(waiting.offer().workspace());
+        if (queue != null) {
+            queue.virtualTimeMillis -= charge(waiting, queue);
         }
     }
 
-    void forEach(Consumer<Waiting> action) {
-        lanes.values().forEach(lane -> lane.offers.forEach(action));
+    void forEach(Consumer<WaitingOffer> action) {
+        queues.values().forEach(queue -> queue.offers.forEach(action));
     }
 
     /** Returns the offers that {@code condition} holds for. */
-    List<Waiting> matching(Predicate<Waiting> condition) {
-        List<Waiting> found = new ArrayList<>();
+    List<WaitingOffer> matching(Predicate<WaitingOffer> condition) {
+        List<WaitingOffer> found = new ArrayList<>();
         forEach(
                 waiting -> {
                     if (condition.test(waiting)) {
@@ -123,27 +125,27 @@
         return found;
     }
 
-    private static double charge(Waiting waiting, Lane lane) {
-        return (double) Math.max(1, waiting.workMillis()) / lane.weight;
+    private static double charge(WaitingOffer waiting, WorkspaceQueue queue) {
+        return (double) Math.max(1, waiting.workMillis()) / queue.weight;
     }
 
-    private void forget(WorkspaceId id, Lane lane) {
-        if (lane.offers.isEmpty() && lane.virtualMillis <= virtualMillis) {
-            lanes.remove(id);
+    private void removeIfIdle(WorkspaceId id, WorkspaceQueue queue) {
+        if (queue.offers.isEmpty() && queue.virtualTimeMillis <= virtualTimeMillis) {
+            queues.remove(id);
         }
     }
 
-    private static final class Lane {
-        private final TreeSet<Waiting> offers;
-        private double virtualMillis;
+    private static final class WorkspaceQueue {
+        private final TreeSet<WaitingOffer> offers;
+        private double virtualTimeMillis;
         private int weight = 1;
 
-        Lane(Comparator<Waiting> order) {
+        WorkspaceQueue(Comparator<WaitingOffer> order) {
             offers = new TreeSet<>(order);
         }
 
-        boolean goesBefore(Lane other, Comparator<Waiting> order) {
-            int byTurn = Double.compare(virtualMillis, other.virtualMillis);
+        boolean precedes(WorkspaceQueue other, Comparator<WaitingOffer> order) {
+            int byTurn = Double.compare(virtualTimeMillis, other.virtualTimeMillis);
             return byTurn < 0
                     || (byTurn == 0 && order.compare(offers.first(), other.offers.first()) < 0);
         }
--- a/src/main/java/org/orioleshed/routing/ForeignLoad.java
+++ b/src/main/java/org/orioleshed/routing/ForeignLoad.java
@@ -5,26 +5,26 @@
  * engine's late reports show beyond all that the owner had there lately.
  */
 final class ForeignLoad {
-    private static final long MEMORY_NANOS = 2_000_000_000L;
-    private static final long OLDEST_REPORT_MILLIS = 2_000;
+    private static final long PERIOD_NANOS = 2_000_000_000L;
+    private static final long MAX_REPORT_AGE_MILLIS = 2_000;
 
     private long periodStartNanos;
-    private int mostInPeriod;
-    private int mostBefore;
+    private int maxInPeriod;
+    private int maxBefore;
     private int requests;
 
-    void own(int inFlight, long nowNanos) {
-        if (nowNanos - periodStartNanos > MEMORY_NANOS) {
+    void recordOwn(int inFlight, long nowNanos) {
+        if (nowNanos - periodStartNanos > PERIOD_NANOS) {
             periodStartNanos = nowNanos;
-            mostBefore = mostInPeriod;
-            mostInPeriod = 0;
+            maxBefore = maxInPeriod;
+            maxInPeriod = 0;
         }
-        mostInPeriod = Math.max(mostInPeriod, inFlight);
+        maxInPeriod = Math.max(maxInPeriod, inFlight);
     }
 
     void reported(int onEngine, long ageMillis) {
-        if (ageMillis <= OLDEST_REPORT_MILLIS) {
-            requests = Math.max(0, onEngine - Math.max(mostInPeriod, mostBefore));
+        if (ageMillis <= MAX_REPORT_AGE_MILLIS) {
+            requests = Math.max(0, onEngine - Math.max(maxInPeriod, maxBefore));
         }
     }
 
--- a/src/main/java/org/orioleshed/routing/Spread.java
+++ b/src/main/java/org/orioleshed/routing/HashMix.java
@@ -1,8 +1,8 @@
 package org.orioleshed.routing;
 
 /** Spreads numbers evenly and repeatably over all 64 bits, to break ties without randomness. */
-final class Spread {
-    private Spread() {}
+final class HashMix {
+    private HashMix() {}
 
     /** Returns the finaliser of SplitMix64 over {@code value}. */
     static long mix(long value) {
--- a/src/main/java/org/orioleshed/routing/LoadBoard.java
+++ b/src/main/java/org/orioleshed/routing/LoadExchange.java
@@ -26,36 +26,40 @@
  * Spreads loads: those of an owner's servers to the hosts of its own failure domain, and sums by
  * model from one host of each failure domain to one host of each other, which passes them on.
  */
-final class LoadBoard {
-    private static final long DETAIL_NANOS = 250_000_000L;
-    private static final long SUM_NANOS = 1_000_000_000L;
-    private static final long FORGET_NANOS = 5_000_000_000L;
+final class LoadExchange {
+    private static final long DETAIL_INTERVAL_NANOS = 250_000_000L;
+    private static final long SUM_INTERVAL_NANOS = 1_000_000_000L;
+    private static final long LOAD_EXPIRY_NANOS = 5_000_000_000L;
     private static final long LOAD_BYTES = 24;
-    private static final long DETAIL_BYTES_PER_SECOND = 6_000;
+    private static final long MAX_DETAIL_BYTES_PER_SECOND = 6_000;
     private static final int BEST_SERVERS = 4;
 
     private final HostId self;
-    private final Map<ServerId, Heard> heard = new HashMap<>();
+    private final Map<ServerId, ReceivedLoad> received = new HashMap<>();
     private long nextDetailNanos = Long.MIN_VALUE;
     private long nextSumNanos = Long.MIN_VALUE;
 
-    LoadBoard(HostId self) {
+    LoadExchange(HostId self) {
         this.self = self;
     }
 
     /** Takes in the detail of another owner. */
-    void learn(Moment moment, ServerLoads loads) {
-        loads.loads().forEach(load -> heard.put(load.server(), new Heard(load, moment.nowNanos())));
+    void observe(DecisionContext context, ServerLoads loads) {
+        loads.loads()
+                .forEach(
+                        load ->
+                                received.put(
+                                        load.server(), new ReceivedLoad(load, context.nowNanos())));
     }
 
     /** Passes a sum from another failure domain on to the hosts of this one. */
-    void passOn(Moment moment, HostId from, DomainLoads loads, Outbox outbox) {
-        EntryHost sender = moment.fleet().hosts().get(from);
-        Optional<FailureDomain> own = ownDomain(moment.fleet());
+    void forward(DecisionContext context, HostId from, DomainLoads loads, Outbox outbox) {
+        EntryHost sender = context.fleet().hosts().get(from);
+        Optional<FailureDomain> own = ownDomain(context.fleet());
         if (sender == null || own.isEmpty() || sender.domain().equals(own.get())) {
             return;
         }
-        for (HostId host : hostsOf(moment.fleet(), own.get())) {
+        for (HostId host : hostsOf(context.fleet(), own.get())) {
             if (!host.equals(self)) {
                 outbox.send(host, loads);
             }
@@ -63,33 +67,33 @@
     }
 
     /** Sends what is due; {@code loads} are those of the servers that this host is owner of. */
-    void tick(Moment moment, Collection<OwnedServer> servers, Outbox outbox) {
-        Optional<FailureDomain> own = ownDomain(moment.fleet());
+    void tick(DecisionContext context, Collection<OwnedServer> servers, Outbox outbox) {
+        Optional<FailureDomain> own = ownDomain(context.fleet());
         if (own.isEmpty()) {
             return;
         }
-        List<HostId> hosts = hostsOf(moment.fleet(), own.get());
-        if (due(nextDetailNanos, moment)) {
-            List<ServerLoad> loads = servers.stream().map(s -> s.load(moment)).toList();
+        List<HostId> hosts = hostsOf(context.fleet(), own.get());
+        if (due(nextDetailNanos, context)) {
+            List<ServerLoad> loads = servers.stream().map(s -> s.load(context)).toList();
             ServerLoads message = new ServerLoads(loads);
-            learn(moment, message);
+            observe(context, message);
             hosts.forEach(host -> outbox.send(host, message));
-            nextDetailNanos = moment.nowNanos() + detailNanos(hosts.size(), loads.size());
+            nextDetailNanos = context.nowNanos() + detailIntervalNanos(hosts.size(), loads.size());
         }
-        if (due(nextSumNanos, moment)) {
-            nextSumNanos = moment.nowNanos() + SUM_NANOS;
-            if (isSpeaker(hosts, own.get())) {
-                sendSums(moment, own.get(), outbox);
+        if (due(nextSumNanos, context)) {
+            nextSumNanos = context.nowNanos() + SUM_INTERVAL_NANOS;
+            if (isDomainSender(hosts, own.get())) {
+                sendSums(context, own.get(), outbox);
             }
         }
     }
 
-    /** Returns the load of each model in this host's failure domain, as far as it was heard. */
-    List<ModelLoad> sums(Moment moment, FailureDomain domain) {
-        heard.values().removeIf(h -> moment.nowNanos() - h.atNanos() > FORGET_NANOS);
+    /** Returns the load of each model in this host's failure domain, as far as it was received. */
+    List<ModelLoad> sums(DecisionContext context, FailureDomain domain) {
+        received.values().removeIf(h -> context.nowNanos() - h.atNanos() > LOAD_EXPIRY_NANOS);
         Map<ModelId, List<ServerLoad>> byModel = new TreeMap<>();
-        for (Heard h : heard.values()) {
-            BackendServer server = moment.fleet().servers().get(h.load().server());
+        for (ReceivedLoad h : received.values()) {
+            BackendServer server = context.fleet().servers().get(h.load().server());
             if (server != null
                     && !server.leaving()
                     && server.domain().equals(domain)
@@ -102,23 +106,24 @@
         return sums;
     }
 
-    private static boolean due(long atNanos, Moment moment) {
-        return atNanos == Long.MIN_VALUE || atNanos - moment.nowNanos() <= 0;
+    private static boolean due(long atNanos, DecisionContext context) {
+        return atNanos == Long.MIN_VALUE || atNanos - context.nowNanos() <= 0;
     }
 
-    private static long detailNanos(int hosts, int loads) {
+    private static long detailIntervalNanos(int hosts, int loads) {
         long bytes = (hosts - 1L) * loads * LOAD_BYTES;
-        return Math.max(DETAIL_NANOS, bytes * 1_000_000_000L / DETAIL_BYTES_PER_SECOND);
+        return Math.max(
+                DETAIL_INTERVAL_NANOS, bytes * 1_000_000_000L / MAX_DETAIL_BYTES_PER_SECOND);
     }
 
-    private boolean isSpeaker(List<HostId> hosts, FailureDomain domain) {
+    private boolean isDomainSender(List<HostId> hosts, FailureDomain domain) {
         return Rendezvous.choose(hosts, domain.value()).filter(self::equals).isPresent();
     }
 
-    private void sendSums(Moment moment, FailureDomain own, Outbox outbox) {
-        DomainLoads message = new DomainLoads(own, sums(moment, own));
+    private void sendSums(DecisionContext context, FailureDomain own, Outbox outbox) {
+        DomainLoads message = new DomainLoads(own, sums(context, own));
         Map<FailureDomain, List<HostId>> byDomain = new TreeMap<>();
-        for (EntryHost host : moment.fleet().hosts().values()) {
+        for (EntryHost host : context.fleet().hosts().values()) {
             if (host.takesWork() && !host.domain().equals(own)) {
                 byDomain.computeIfAbsent(host.domain(), d -> new ArrayList<>()).add(host.id());
             }
@@ -133,8 +138,7 @@
         List<ServerLoad> sorted = new ArrayList<>(loads);
         sorted.sort(
                 Comparator.comparingLong(
-                                (ServerLoad load) ->
-                                        KnownServer.forRank(load.waitMillisByRank(), 0))
+                                (ServerLoad load) -> ServerView.forRank(load.waitMillisByRank(), 0))
                         .thenComparingInt(ServerLoad::tokenGapMillis)
                         .thenComparingInt(load -> load.running() - load.limit())
                         .thenComparing(ServerLoad::server));
@@ -143,7 +147,7 @@
             free += Math.max(0, load.limit() - load.running());
         }
         List<Long> waits = new ArrayList<>();
-        for (int rank = 0; rank <= Admission.PATIENT_RANK; rank++) {
+        for (int rank = 0; rank <= SlotScheduler.PATIENT_RANK; rank++) {
             waits.add(shortestWait(sorted, rank));
         }
         List<ServerId> best = sorted.stream().limit(BEST_SERVERS).map(ServerLoad::server).toList();
@@ -152,7 +156,7 @@
 
     private static long shortestWait(List<ServerLoad> loads, int rank) {
         return loads.stream()
-                .mapToLong(load -> KnownServer.forRank(load.waitMillisByRank(), rank))
+                .mapToLong(load -> ServerView.forRank(load.waitMillisByRank(), rank))
                 .min()
                 .orElse(0);
     }
@@ -170,5 +174,5 @@
     }
 
     /** A load and when it came in. */
-    private record Heard(ServerLoad load, long atNanos) {}
+    private record ReceivedLoad(ServerLoad load, long atNanos) {}
 }
--- a/src/main/java/org/orioleshed/routing/OfferIntake.java
+++ b/src/main/java/org/orioleshed/routing/OfferAdmission.java
@@ -8,8 +8,8 @@
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
 /** Estimates what an offer asks of one backend server, and decides whether it may wait there. */
-final class OfferIntake {
-    private static final long LONGEST_REMAINING_MILLIS = 30L * 24 * 3_600_000;
+final class OfferAdmission {
+    private static final long MAX_REMAINING_MILLIS = 30L * 24 * 3_600_000;
 
     private final RoutingLimits limits;
     private final OfferQueue queue;
@@ -19,7 +19,7 @@
     private final ServerRuns runs;
     private final Refusals refusals;
 
-    OfferIntake(
+    OfferAdmission(
             RoutingLimits limits,
             OfferQueue queue,
             PrefixIndex prefixes,
@@ -37,17 +37,17 @@
     }
 
     /** Returns an offer as it would wait here. */
-    Waiting waiting(Moment moment, HostId from, RunId run, Offer offer) {
-        long now = moment.nowNanos();
-        long remainingMillis = Math.clamp(offer.remainingMillis(), -1, LONGEST_REMAINING_MILLIS);
-        long ageMillis = Math.clamp(offer.ageMillis(), 0, LONGEST_REMAINING_MILLIS);
+    WaitingOffer waiting(DecisionContext context, HostId from, RunId run, Offer offer) {
+        long now = context.nowNanos();
+        long remainingMillis = Math.clamp(offer.remainingMillis(), -1, MAX_REMAINING_MILLIS);
+        long ageMillis = Math.clamp(offer.ageMillis(), 0, MAX_REMAINING_MILLIS);
         int uncached = prefixes.uncachedTokens(offer);
-        return new Waiting(
+        return new WaitingOffer(
                 run,
                 from,
                 offer,
-                now + remainingMillis * Moment.NANOS_PER_MILLI,
-                now - ageMillis * Moment.NANOS_PER_MILLI,
+                now + remainingMillis * DecisionContext.NANOS_PER_MILLI,
+                now - ageMillis * DecisionContext.NANOS_PER_MILLI,
                 now,
                 uncached,
                 speed.workMillis(offer, uncached),
@@ -55,30 +55,30 @@
     }
 
     /** Returns why an offer may not wait; empty when there is time and room for it. */
-    Optional<RefusalReason> refusal(Moment moment, Waiting waiting) {
-        boolean late = waiting.deadlineNanos() - moment.nowNanos() <= 0;
-        return late || !hasRoom(moment, waiting)
+    Optional<RefusalReason> refusal(DecisionContext context, WaitingOffer waiting) {
+        boolean late = waiting.deadlineNanos() - context.nowNanos() <= 0;
+        return late || !hasRoom(context, waiting)
                 ? Optional.of(RefusalReason.OVERLOAD)
                 : Optional.empty();
     }
 
     /** Makes room in a full queue at the cost of lower tiers, as far as there are any. */
-    private boolean hasRoom(Moment moment, Waiting waiting) {
+    private boolean hasRoom(DecisionContext context, WaitingOffer waiting) {
         if (queue.size() < limits.queueLength()) {
             return true;
         }
         if (limits.policy() == Policy.NAIVE) {
             return false;
         }
-        Optional<Waiting> yielding = queue.leastUrgentBelow(waiting.rank());
-        if (yielding.isPresent()) {
-            queue.remove(yielding.get().run());
-            refusals.refuse(moment, yielding.get(), RefusalReason.OVERLOAD);
+        Optional<WaitingOffer> lowerTier = queue.leastUrgentBelow(waiting.rank());
+        if (lowerTier.isPresent()) {
+            queue.remove(lowerTier.get().run());
+            refusals.refuse(context, lowerTier.get(), RefusalReason.OVERLOAD);
             return true;
         }
         // Each run that yields makes room for one more, so the queue stays bounded.
-        List<Running> below = preemption.allBelow(waiting.rank());
-        below.forEach(run -> runs.preempt(moment.nowNanos(), run, "queue-full"));
+        List<ActiveRun> below = preemption.allBelow(waiting.rank());
+        below.forEach(run -> runs.preempt(context.nowNanos(), run, "queue-full"));
         return !below.isEmpty();
     }
 }
--- a/src/main/java/org/orioleshed/routing/OfferQueue.java
+++ b/src/main/java/org/orioleshed/routing/OfferQueue.java
@@ -20,7 +20,7 @@
 final class OfferQueue {
     private final Policy policy;
     private final NavigableMap<Integer, FairQueue> tiers = new TreeMap<>();
-    private final Map<RunId, Waiting> byRun = new HashMap<>();
+    private final Map<RunId, WaitingOffer> byRun = new HashMap<>();
 
     OfferQueue(Policy policy) {
         this.policy = policy;
@@ -35,23 +35,23 @@
         return tier == null ? 0 : tier.size();
     }
 
-    Optional<Waiting> get(RunId run) {
+    Optional<WaitingOffer> get(RunId run) {
         return Optional.ofNullable(byRun.get(run));
     }
 
-    Collection<Waiting> all() {
+    Collection<WaitingOffer> all() {
         return Collections.unmodifiableCollection(byRun.values());
     }
 
-    void add(Waiting waiting, int weight) {
+    void add(WaitingOffer waiting, int weight) {
         if (byRun.putIfAbsent(waiting.run(), waiting) == null) {
             tiers.computeIfAbsent(rankOf(waiting), rank -> new FairQueue(order()))
                     .add(waiting, weight);
         }
     }
 
-    Optional<Waiting> remove(RunId run) {
-        Waiting waiting = byRun.remove(run);
+    Optional<WaitingOffer> remove(RunId run) {
+        WaitingOffer waiting = byRun.remove(run);
         if (waiting != null) {
             tiers.get(rankOf(waiting)).remove(waiting);
         }
@@ -59,13 +59,13 @@
     }
 
     /** Removes an offer that gets a place. */
-    void take(Waiting waiting) {
+    void take(WaitingOffer waiting) {
         tiers.get(rankOf(waiting)).take(waiting);
         byRun.remove(waiting.run());
     }
 
     /** Notes that a place given by {@link #take} was not used. */
-    void refund(Waiting waiting) {
+    void refund(WaitingOffer waiting) {
         FairQueue tier = tiers.get(rankOf(waiting));
         if (tier != null) {
             tier.refund(waiting);
@@ -89,7 +89,7 @@
     }
 
     /** Returns the last offer of the least urgent tier, if that tier is below {@code rank}. */
-    Optional<Waiting> leastUrgentBelow(int rank) {
+    Optional<WaitingOffer> leastUrgentBelow(int rank) {
         return ranks().reversed().stream()
                 .filter(lower -> lower > rank)
                 .findFirst()
@@ -102,16 +102,16 @@
     }
 
     /** Returns the offer whose turn it is when tiers and windows don't matter. */
-    Optional<Waiting> firstOfAll() {
+    Optional<WaitingOffer> firstOfAll() {
         return ranks().stream().findFirst().flatMap(rank -> tiers.get(rank).earliest());
     }
 
-    private int rankOf(Waiting waiting) {
+    private int rankOf(WaitingOffer waiting) {
         return policy == Policy.NAIVE ? 0 : waiting.rank();
     }
 
-    private Comparator<Waiting> order() {
-        return policy == Policy.NAIVE ? Waiting.BY_ARRIVAL_HERE : Waiting.BY_DEADLINE;
+    private Comparator<WaitingOffer> order() {
+        return policy == Policy.NAIVE ? WaitingOffer.BY_QUEUED : WaitingOffer.BY_DEADLINE;
     }
 
     static boolean anyWorkspace(WorkspaceId workspace) {
--- a/src/main/java/org/orioleshed/routing/Outbox.java
+++ b/src/main/java/org/orioleshed/routing/Outbox.java
@@ -20,19 +20,19 @@
  * Collects the actions of one event; remembers the latest grants, and how the latest runs ended.
  */
 final class Outbox {
-    private static final int REMEMBERED = 4_096;
+    private static final int MAX_ENTRIES = 4_096;
 
-    private final Map<RunId, RunEnd> ends = new Latest<>();
-    private final Set<RunId> granted = Collections.newSetFromMap(new Latest<>());
+    private final Map<RunId, RunEnd> ends = new BoundedMap<>();
+    private final Set<RunId> granted = Collections.newSetFromMap(new BoundedMap<>());
     private List<HostAction> actions = new ArrayList<>();
 
     /** What is known of the latest runs. */
-    private static final class Latest<V> extends LinkedHashMap<RunId, V> {
+    private static final class BoundedMap<V> extends LinkedHashMap<RunId, V> {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RunId, V> eldest) {
-            return size() > REMEMBERED;
+            return size() > MAX_ENTRIES;
         }
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Returns whether this process granted the run a place, as far as it remembers. */
-    boolean granted(RunId run) {
+    boolean wasGranted(RunId run) {
         return granted.contains(run);
     }
 
@@ -60,12 +60,12 @@
         actions.add(new HostAction.SendRouting(to, message));
     }
 
-    void granted(Waiting waiting, ServerId server, long reservedMillis) {
+    void sendGranted(WaitingOffer waiting, ServerId server, long reservedMillis) {
         granted.add(waiting.run());
         send(waiting.from(), new RoutingMessage.Granted(waiting.run(), server, reservedMillis));
     }
 
-    void refused(
+    void sendRefused(
             HostId to,
             RunId run,
             Tier tier,
@@ -74,11 +74,11 @@
             boolean lowerTierRuns,
             long waitMillis) {
         send(to, new RoutingMessage.Refused(run, server, reason, lowerTierRuns, waitMillis));
-        String why = reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
-        log("refuse", run, tier, server, server + ":" + waitMillis, why);
+        String reasonText = reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        log("refuse", run, tier, server, server + ":" + waitMillis, reasonText);
     }
 
-    void ended(HostId to, RunId run, RunEnd end) {
+    void sendEnded(HostId to, RunId run, RunEnd end) {
         ends.put(run, end);
         send(to, new RoutingMessage.Ended(run, end));
     }
--- a/src/main/java/org/orioleshed/routing/OwnedServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -17,37 +17,39 @@
 final class OwnedServer {
     private final Outbox outbox;
     private final OfferQueue queue;
-    private final Places places = new Places();
-    private final HoldOff holdOff = new HoldOff();
+    private final Slots slots = new Slots();
+    private final ServerBackoff backoff = new ServerBackoff();
     private final PrefixIndex prefixes;
     private final ServerSpeed speed;
-    private final PlaceLimit limit;
-    private final Admission admission;
+    private final SlotLimit limit;
+    private final SlotScheduler scheduler;
     private final Preemption preemption;
     private final WaitEstimate waits;
     private final ServerRuns runs;
     private final Refusals refusals;
-    private final OfferIntake intake;
-    private final Grants grants;
+    private final OfferAdmission offerAdmission;
+    private final SlotGranter granter;
     private BackendServer server;
     private Optional<RefusalReason> closed = Optional.empty();
 
-    OwnedServer(RoutingLimits limits, SpeedBook book, Outbox outbox, BackendServer server) {
+    OwnedServer(
+            RoutingLimits limits, SpeedHistory speedHistory, Outbox outbox, BackendServer server) {
         ServerId id = server.id();
         AdaptiveLimit adaptive = new AdaptiveLimit(limits, server.places());
         this.outbox = outbox;
         this.server = server;
         queue = new OfferQueue(limits.policy());
         prefixes = new PrefixIndex(server.cacheTokens());
-        speed = new ServerSpeed(book, server);
-        limit = new PlaceLimit(limits.policy(), adaptive, holdOff, server.places());
-        admission = new Admission(limits.policy(), queue, places);
-        preemption = new Preemption(limits, queue, places, speed, id);
-        waits = new WaitEstimate(limits, queue, places, speed, admission);
-        runs = new ServerRuns(limits, id, outbox, places, prefixes, speed, adaptive, holdOff);
-        refusals = new Refusals(id, outbox, queue, places, waits, holdOff, limit);
-        intake = new OfferIntake(limits, queue, prefixes, speed, preemption, runs, refusals);
-        grants = new Grants(limits, id, outbox, queue, places, admission, limit, refusals);
+        speed = new ServerSpeed(speedHistory, server);
+        limit = new SlotLimit(limits.policy(), adaptive, backoff, server.places());
+        scheduler = new SlotScheduler(limits.policy(), queue, slots);
+        preemption = new Preemption(limits, queue, slots, speed, id);
+        waits = new WaitEstimate(limits, queue, slots, speed, scheduler);
+        runs = new ServerRuns(limits, id, outbox, slots, prefixes, speed, adaptive, backoff);
+        refusals = new Refusals(id, outbox, queue, slots, waits, backoff, limit);
+        offerAdmission =
+                new OfferAdmission(limits, queue, prefixes, speed, preemption, runs, refusals);
+        granter = new SlotGranter(limits, id, outbox, queue, slots, scheduler, limit, refusals);
     }
 
     ServerId id() {
@@ -66,7 +68,7 @@
         }
         server = now;
         speed.setServer(now);
-        limit.setPlaces(now.places());
+        limit.setSlots(now.places());
     }
 
     /** Takes offers from now on. */
@@ -79,107 +81,108 @@
     }
 
     /** Takes no more offers and turns down those that wait; what runs goes on. */
-    void close(Moment moment, RefusalReason reason) {
+    void close(DecisionContext context, RefusalReason reason) {
         closed = Optional.of(reason);
-        refusals.refuseAll(moment, reason);
+        refusals.refuseAll(context, reason);
     }
 
     /** Returns whether no accepting host waits for anything here. */
     boolean isIdle() {
-        return queue.size() == 0 && places.isIdle();
+        return queue.size() == 0 && slots.isIdle();
     }
 
     /** Returns whether nothing waits, runs or has a place reserved. */
     boolean isEmpty() {
-        return queue.size() == 0 && places.isEmpty();
+        return queue.size() == 0 && slots.isEmpty();
     }
 
-    void offered(Moment moment, HostId from, RunId run, Offer offer) {
-        if (places.run(run).isPresent() || queue.get(run).isPresent()) {
+    void offered(DecisionContext context, HostId from, RunId run, Offer offer) {
+        if (slots.run(run).isPresent() || queue.get(run).isPresent()) {
             return;
         }
-        Optional<Places.Reservation> reservation = places.reservation(run);
+        Optional<Slots.Reservation> reservation = slots.reservation(run);
         if (reservation.isPresent()) {
-            grants.repeat(moment, reservation.get());
+            granter.repeat(context, reservation.get());
             return;
         }
-        Waiting waiting = intake.waiting(moment, from, run, offer);
-        Optional<RefusalReason> refusal = refusal(moment).or(() -> intake.refusal(moment, waiting));
+        WaitingOffer waiting = offerAdmission.waiting(context, from, run, offer);
+        Optional<RefusalReason> refusal =
+                refusal(context).or(() -> offerAdmission.refusal(context, waiting));
         if (refusal.isPresent()) {
-            refusals.refuse(moment, waiting, refusal.get());
+            refusals.refuse(context, waiting, refusal.get());
             return;
         }
-        queue.add(waiting, moment.weight(offer.workspace()));
-        admission.offered(waiting.rank(), moment.nowNanos());
-        dispatch(moment);
+        queue.add(waiting, context.weight(offer.workspace()));
+        scheduler.offered(waiting.rank(), context.nowNanos());
+        dispatch(context);
     }
 
-    void withdrawn(Moment moment, RunId run) {
+    void withdrawn(DecisionContext context, RunId run) {
         queue.remove(run);
-        places.release(run).ifPresent(unused -> admission.unused(unused.waiting()));
-        dispatch(moment);
+        slots.release(run).ifPresent(unused -> scheduler.unused(unused.waiting()));
+        dispatch(context);
     }
 
-    void placed(Moment moment, HostId from, RoutingMessage.Placed message) {
-        if (places.run(message.run()).isPresent()) {
+    void placed(DecisionContext context, HostId from, RoutingMessage.Placed message) {
+        if (slots.run(message.run()).isPresent()) {
             return;
         }
-        Optional<Places.Reservation> reservation = places.reservation(message.run());
+        Optional<Slots.Reservation> reservation = slots.reservation(message.run());
         if (reservation.isEmpty()) {
             queue.remove(message.run());
             RunEnd end = outbox.endOf(message.run()).orElse(new RunEnd.NeverStarted());
-            outbox.ended(from, message.run(), end);
+            outbox.sendEnded(from, message.run(), end);
             return;
         }
-        runs.start(moment.nowNanos(), reservation.get().waiting(), message, server.canResume());
+        runs.start(context.nowNanos(), reservation.get().waiting(), message, server.canResume());
     }
 
     /** Returns whether the run was here. */
-    boolean credit(Moment moment, RunId run, int tokens) {
-        return runs.credit(moment.nowNanos(), run, tokens);
+    boolean credit(DecisionContext context, RunId run, int tokens) {
+        return runs.credit(context.nowNanos(), run, tokens);
     }
 
     /** Stops a run on the accepting host's wish; returns whether it was here. */
-    boolean cancelled(Moment moment, RunId run) {
-        if (places.run(run).isPresent()) {
-            runs.stop(moment.nowNanos(), places.run(run).get(), Running.Stop.WISHED);
+    boolean cancelled(DecisionContext context, RunId run) {
+        if (slots.run(run).isPresent()) {
+            runs.stop(context.nowNanos(), slots.run(run).get(), ActiveRun.StopReason.REQUESTED);
             return true;
         }
-        Optional<Waiting> dropped = queue.remove(run);
+        Optional<WaitingOffer> dropped = queue.remove(run);
         if (dropped.isEmpty()) {
-            dropped = places.release(run).map(Places.Reservation::waiting);
-            dropped.ifPresent(admission::unused);
+            dropped = slots.release(run).map(Slots.Reservation::waiting);
+            dropped.ifPresent(scheduler::unused);
         }
-        dropped.ifPresent(w -> outbox.ended(w.from(), run, new RunEnd.NeverStarted()));
-        dispatch(moment);
+        dropped.ifPresent(w -> outbox.sendEnded(w.from(), run, new RunEnd.NeverStarted()));
+        dispatch(context);
         return dropped.isPresent();
     }
 
     void accepted(RunId run) {
-        if (places.run(run).isPresent()) {
-            holdOff.succeeded();
+        if (slots.run(run).isPresent()) {
+            backoff.succeeded();
         }
     }
 
-    void tokens(Moment moment, HostEvent.RunTokens event) {
-        runs.tokens(moment.nowNanos(), event);
+    void tokens(DecisionContext context, HostEvent.RunTokens event) {
+        runs.tokens(context.nowNanos(), event);
     }
 
-    void ended(Moment moment, RunId run, RunEnd end) {
-        Optional<Running> ended = places.run(run);
+    void ended(DecisionContext context, RunId run, RunEnd end) {
+        Optional<ActiveRun> ended = slots.run(run);
         if (ended.isEmpty()) {
             return;
         }
-        boolean wasActive = holdOff.active(moment.nowNanos());
-        runs.ended(moment.nowNanos(), ended.get(), end);
-        if (ended.get().stop() == Running.Stop.PREEMPTED && places.run(run).isEmpty()) {
-            admission.preempted();
+        boolean wasActive = backoff.active(context.nowNanos());
+        runs.ended(context.nowNanos(), ended.get(), end);
+        if (ended.get().stop() == ActiveRun.StopReason.PREEMPTED && slots.run(run).isEmpty()) {
+            scheduler.preempted();
         }
-        if (!wasActive && holdOff.active(moment.nowNanos())) {
+        if (!wasActive && backoff.active(context.nowNanos())) {
             prefixes.clear();
-            refusals.refuseAll(moment, RefusalReason.NO_SERVER);
+            refusals.refuseAll(context, RefusalReason.NO_SERVER);
         }
-        dispatch(moment);
+        dispatch(context);
     }
 
     void loadReported(HostEvent.LoadReported report) {
@@ -191,45 +194,45 @@
     }
 
     /** Forgets what waits and stops what runs for hosts that are gone. */
-    void hostsGone(Moment moment, Predicate<RunId> gone) {
-        for (Waiting waiting : List.copyOf(queue.all())) {
+    void hostsGone(DecisionContext context, Predicate<RunId> gone) {
+        for (WaitingOffer waiting : List.copyOf(queue.all())) {
             if (gone.test(waiting.run())) {
                 queue.remove(waiting.run());
             }
         }
-        for (Places.Reservation reservation : List.copyOf(places.reserved())) {
+        for (Slots.Reservation reservation : List.copyOf(slots.reserved())) {
             if (gone.test(reservation.waiting().run())) {
-                places.release(reservation.waiting().run());
+                slots.release(reservation.waiting().run());
             }
         }
-        for (Running run : List.copyOf(places.running())) {
+        for (ActiveRun run : List.copyOf(slots.running())) {
             if (gone.test(run.run())) {
-                runs.stop(moment.nowNanos(), run, Running.Stop.ORPHANED);
+                runs.stop(context.nowNanos(), run, ActiveRun.StopReason.ABANDONED);
             }
         }
-        dispatch(moment);
+        dispatch(context);
     }
 
-    void tick(Moment moment) {
-        refusals.refuseLate(moment);
-        grants.expire(moment);
-        runs.tick(moment.nowNanos());
-        limit.tick(moment.nowNanos(), places.inFlight(), queue.size() > 0);
-        admission.reservePatient(moment, limit.current());
-        dispatch(moment);
-        preempt(moment);
+    void tick(DecisionContext context) {
+        refusals.refuseLate(context);
+        granter.expire(context);
+        runs.tick(context.nowNanos());
+        limit.tick(context.nowNanos(), slots.inFlight(), queue.size() > 0);
+        scheduler.reservePatient(context, limit.current());
+        dispatch(context);
+        preempt(context);
     }
 
-    ServerLoad load(Moment moment) {
-        long now = moment.nowNanos();
-        boolean held = holdOff.active(now);
+    ServerLoad load(DecisionContext context) {
+        long now = context.nowNanos();
+        boolean held = backoff.active(now);
         List<Long> waitMillis = new ArrayList<>();
-        for (long wait : waits.byRank(now, limit.current(), limit.places())) {
-            waitMillis.add(wait + holdOff.remainingMillis(now));
+        for (long wait : waits.byRank(now, limit.current(), limit.slots())) {
+            waitMillis.add(wait + backoff.remainingMillis(now));
         }
         return new ServerLoad(
                 id(),
-                places.inFlight(),
+                slots.inFlight(),
                 held ? 0 : limit.current(),
                 waitMillis,
                 speed.prefillTokensPerSecond(),
@@ -237,29 +240,29 @@
     }
 
     /** Returns why the server takes no offers now; empty when it does. */
-    private Optional<RefusalReason> refusal(Moment moment) {
-        boolean held = holdOff.active(moment.nowNanos());
+    private Optional<RefusalReason> refusal(DecisionContext context) {
+        boolean held = backoff.active(context.nowNanos());
         return closed.or(() -> held ? Optional.of(RefusalReason.NO_SERVER) : Optional.empty());
     }
 
     /**
      * Gives the free places; stops runs of lower tiers at once when urgent work fills the queue.
      */
-    private void dispatch(Moment moment) {
-        if (refusal(moment).isPresent()) {
+    private void dispatch(DecisionContext context) {
+        if (refusal(context).isPresent()) {
             return;
         }
-        grants.giveAll(moment);
-        if (queue.size(0) > 0 && queue.size(0) >= places.inFlight()) {
-            preempt(moment);
+        granter.grantAll(context);
+        if (queue.size(0) > 0 && queue.size(0) >= slots.inFlight()) {
+            preempt(context);
         }
     }
 
-    private void preempt(Moment moment) {
-        long now = moment.nowNanos();
-        int allowed = admission.allowance(0, now, limit.current(), limit.places());
-        int free = Math.max(0, allowed - places.inFlight()) + admission.swaps();
-        for (Running victim : preemption.victims(moment, free)) {
+    private void preempt(DecisionContext context) {
+        long now = context.nowNanos();
+        int allowed = scheduler.allowance(0, now, limit.current(), limit.slots());
+        int free = Math.max(0, allowed - slots.inFlight()) + scheduler.freedForUrgent();
+        for (ActiveRun victim : preemption.victims(context, free)) {
             runs.preempt(now, victim, "place-needed");
         }
     }
--- a/src/main/java/org/orioleshed/routing/OwnerCore.java
+++ b/src/main/java/org/orioleshed/routing/OwnerCore.java
@@ -32,21 +32,21 @@
  */
 public final class OwnerCore implements StateMachine<HostEvent, HostAction> {
     /** The end of a run that may still be on an engine. */
-    private static final RunEnd UNKNOWN = new RunEnd.Broken(false, false);
+    private static final RunEnd UNKNOWN_END = new RunEnd.Broken(false, false);
 
     private final HostId self;
     private final RoutingLimits limits;
     private final Outbox outbox = new Outbox();
-    private final SpeedBook book = new SpeedBook();
-    private final LoadBoard board;
+    private final SpeedHistory speedHistory = new SpeedHistory();
+    private final LoadExchange loadExchange;
     private final Map<ServerId, OwnedServer> servers = new TreeMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private ServerOwners owners = ServerOwners.NONE;
     private boolean draining;
     private boolean drained;
-    private boolean wallKnown;
-    private long wallEpochMillis;
-    private long wallAtNanos;
+    private boolean wallClockSet;
+    private long wallClockMillis;
+    private long wallClockSetNanos;
 
     /**
      * Makes a core that is owner of no server until it hears of the fleet snapshot.
@@ -60,25 +60,25 @@
         }
         this.self = self;
         this.limits = limits;
-        board = new LoadBoard(self);
+        loadExchange = new LoadExchange(self);
     }
 
     @Override
     public List<HostAction> on(long nowNanos, HostEvent event) {
-        Moment moment = moment(nowNanos);
+        DecisionContext context = context(nowNanos);
         switch (event) {
-            case HostEvent.RoutingReceived e -> received(moment, e.from(), e.message());
+            case HostEvent.RoutingReceived e -> received(context, e.from(), e.message());
             case HostEvent.RunAccepted e -> at(e.server()).ifPresent(s -> s.accepted(e.run()));
-            case HostEvent.RunTokens e -> at(e.server()).ifPresent(s -> s.tokens(moment, e));
+            case HostEvent.RunTokens e -> at(e.server()).ifPresent(s -> s.tokens(context, e));
             case HostEvent.RunEnded e ->
-                    at(e.server()).ifPresent(s -> s.ended(moment, e.run(), e.end()));
+                    at(e.server()).ifPresent(s -> s.ended(context, e.run(), e.end()));
             case HostEvent.LoadReported e -> at(e.server()).ifPresent(s -> s.loadReported(e));
             case HostEvent.CacheReported e -> at(e.server()).ifPresent(s -> s.cacheReported(e));
             case HostEvent.FleetChanged e -> fleetChanged(nowNanos, e.fleet());
             case HostEvent.WallClock e -> wallClock(nowNanos, e.epochMillis());
-            case HostEvent.DrainRequested e -> drain(moment);
+            case HostEvent.DrainRequested e -> drain(context);
             case HostEvent.DrainTimedOut e -> {}
-            case HostEvent.Tick e -> tick(moment);
+            case HostEvent.Tick e -> tick(context);
             case HostEvent.RequestArrived e -> {}
             case HostEvent.CallerGone e -> {}
             case HostEvent.CallerConsumed e -> {}
@@ -105,8 +105,8 @@
      * @param nowNanos the time on the host's monotonic clock
      */
     public ServerLoads serverLoads(long nowNanos) {
-        Moment moment = moment(nowNanos);
-        List<ServerLoad> loads = openServers().stream().map(s -> s.load(moment)).toList();
+        DecisionContext context = context(nowNanos);
+        List<ServerLoad> loads = openServers().stream().map(s -> s.load(context)).toList();
         return new ServerLoads(loads);
     }
 
@@ -118,32 +118,32 @@
      */
     public List<ModelLoad> modelLoads(long nowNanos) {
         EntryHost own = fleet.hosts().get(self);
-        return own == null ? List.of() : board.sums(moment(nowNanos), own.domain());
+        return own == null ? List.of() : loadExchange.sums(context(nowNanos), own.domain());
     }
 
-    private Moment moment(long nowNanos) {
+    private DecisionContext context(long nowNanos) {
         OptionalLong wall = OptionalLong.empty();
-        if (wallKnown) {
-            long sinceMillis = (nowNanos - wallAtNanos) / Moment.NANOS_PER_MILLI;
-            wall = OptionalLong.of(wallEpochMillis + sinceMillis);
+        if (wallClockSet) {
+            long sinceMillis = (nowNanos - wallClockSetNanos) / DecisionContext.NANOS_PER_MILLI;
+            wall = OptionalLong.of(wallClockMillis + sinceMillis);
         }
-        return new Moment(nowNanos, wall, fleet);
+        return new DecisionContext(nowNanos, wall, fleet);
     }
 
     private Optional<OwnedServer> at(ServerId server) {
         return Optional.ofNullable(servers.get(server));
     }
 
-    private void received(Moment moment, HostId from, RoutingMessage message) {
+    private void received(DecisionContext context, HostId from, RoutingMessage message) {
         switch (message) {
-            case RoutingMessage.Offered m -> offered(moment, from, m);
+            case RoutingMessage.Offered m -> offered(context, from, m);
             case RoutingMessage.Withdrawn m ->
-                    at(m.server()).ifPresent(s -> s.withdrawn(moment, m.run()));
-            case RoutingMessage.Placed m -> placed(moment, from, m);
-            case RoutingMessage.Credit m -> credit(moment, m);
-            case RoutingMessage.Cancelled m -> cancelled(moment, from, m.run());
-            case ServerLoads m -> board.learn(moment, m);
-            case DomainLoads m -> board.passOn(moment, from, m, outbox);
+                    at(m.server()).ifPresent(s -> s.withdrawn(context, m.run()));
+            case RoutingMessage.Placed m -> placed(context, from, m);
+            case RoutingMessage.Credit m -> credit(context, m);
+            case RoutingMessage.Cancelled m -> cancelled(context, from, m.run());
+            case ServerLoads m -> loadExchange.observe(context, m);
+            case DomainLoads m -> loadExchange.forward(context, from, m, outbox);
             case RoutingMessage.Granted m -> {}
             case RoutingMessage.Refused m -> {}
             case RoutingMessage.Tokens m -> {}
@@ -151,22 +151,22 @@
         }
     }
 
-    private void offered(Moment moment, HostId from, RoutingMessage.Offered message) {
+    private void offered(DecisionContext context, HostId from, RoutingMessage.Offered message) {
         RunId run = message.run();
         if (outbox.endOf(run).isPresent()) {
-            outbox.ended(from, run, outbox.endOf(run).get());
+            outbox.sendEnded(from, run, outbox.endOf(run).get());
             return;
         }
         OwnedServer server = servers.get(message.server());
         if (server != null) {
-            server.offered(moment, from, run, message.offer());
+            server.offered(context, from, run, message.offer());
             return;
         }
         RefusalReason reason =
                 fleet.servers().containsKey(message.server())
                         ? RefusalReason.NOT_HOME
                         : RefusalReason.NO_SERVER;
-        outbox.refused(
+        outbox.sendRefused(
                 from,
                 run,
                 message.offer().tier(),
@@ -176,77 +176,77 @@
                 0);
     }
 
-    private void placed(Moment moment, HostId from, RoutingMessage.Placed message) {
+    private void placed(DecisionContext context, HostId from, RoutingMessage.Placed message) {
         Optional<RunEnd> end = outbox.endOf(message.run());
         if (end.isPresent()) {
-            outbox.ended(from, message.run(), end.get());
+            outbox.sendEnded(from, message.run(), end.get());
             return;
         }
-        if (!outbox.granted(message.run())) {
+        if (!outbox.wasGranted(message.run())) {
             // Granted by an earlier incarnation, which may have started the run.
-            outbox.ended(from, message.run(), UNKNOWN);
+            outbox.sendEnded(from, message.run(), UNKNOWN_END);
             return;
         }
         OwnedServer server = servers.get(message.server());
         if (server == null) {
-            outbox.ended(from, message.run(), new RunEnd.NeverStarted());
+            outbox.sendEnded(from, message.run(), new RunEnd.NeverStarted());
             return;
         }
-        server.placed(moment, from, message);
+        server.placed(context, from, message);
     }
 
-    private void credit(Moment moment, RoutingMessage.Credit message) {
+    private void credit(DecisionContext context, RoutingMessage.Credit message) {
         for (OwnedServer server : servers.values()) {
-            if (server.credit(moment, message.run(), message.tokens())) {
+            if (server.credit(context, message.run(), message.tokens())) {
                 return;
             }
         }
     }
 
-    private void cancelled(Moment moment, HostId from, RunId run) {
+    private void cancelled(DecisionContext context, HostId from, RunId run) {
         boolean found = false;
         for (OwnedServer server : servers.values()) {
-            found |= server.cancelled(moment, run);
+            found |= server.cancelled(context, run);
         }
         if (found) {
             return;
         }
         // A run that this incarnation never saw may still be on an engine since an earlier one.
-        RunEnd end = outbox.endOf(run).orElse(UNKNOWN);
-        outbox.ended(from, run, end);
+        RunEnd end = outbox.endOf(run).orElse(UNKNOWN_END);
+        outbox.sendEnded(from, run, end);
     }
 
     private void fleetChanged(long nowNanos, FleetSnapshot now) {
         fleet = now;
-        owners = owners.in(now);
-        Moment moment = moment(nowNanos);
+        owners = owners.withFleet(now);
+        DecisionContext context = context(nowNanos);
         for (OwnedServer server : List.copyOf(servers.values())) {
-            settle(moment, server);
+            updateServer(context, server);
         }
         for (BackendServer server : now.servers().values()) {
             if (isOwner(server.id()) && !server.leaving() && !servers.containsKey(server.id())) {
-                OwnedServer owned = new OwnedServer(limits, book, outbox, server);
+                OwnedServer owned = new OwnedServer(limits, speedHistory, outbox, server);
                 servers.put(server.id(), owned);
-                settle(moment, owned);
+                updateServer(context, owned);
             }
         }
         servers.values()
-                .forEach(s -> s.hostsGone(moment, run -> isGone(run.request().host(), run)));
+                .forEach(s -> s.hostsGone(context, run -> isGone(run.request().host(), run)));
         servers.values().removeIf(s -> !s.isOpen() && s.isEmpty());
     }
 
     /** Opens or closes a server as the fleet snapshot now has it. */
-    private void settle(Moment moment, OwnedServer owned) {
+    private void updateServer(DecisionContext context, OwnedServer owned) {
         BackendServer server = fleet.servers().get(owned.id());
         if (server != null) {
             owned.change(server);
         }
         if (server == null || server.leaving()) {
-            owned.close(moment, RefusalReason.NO_SERVER);
+            owned.close(context, RefusalReason.NO_SERVER);
         } else if (!isOwner(owned.id())) {
-            owned.close(moment, RefusalReason.NOT_HOME);
+            owned.close(context, RefusalReason.NOT_HOME);
         } else if (draining) {
-            owned.close(moment, RefusalReason.DRAINING);
+            owned.close(context, RefusalReason.DRAINING);
         } else {
             owned.open();
         }
@@ -260,29 +260,29 @@
         if (host.equals(self)) {
             return false;
         }
-        EntryHost known = fleet.hosts().get(host);
-        return known == null
-                || known.state() == EntryHost.State.DEAD
-                || known.incarnation() > run.request().incarnation();
+        EntryHost entry = fleet.hosts().get(host);
+        return entry == null
+                || entry.state() == EntryHost.State.DEAD
+                || entry.incarnation() > run.request().incarnation();
     }
 
-    private void drain(Moment moment) {
+    private void drain(DecisionContext context) {
         draining = true;
         servers.values().stream()
                 .filter(OwnedServer::isOpen)
-                .forEach(server -> server.close(moment, RefusalReason.DRAINING));
+                .forEach(server -> server.close(context, RefusalReason.DRAINING));
     }
 
     private void wallClock(long nowNanos, long epochMillis) {
-        wallKnown = true;
-        wallEpochMillis = epochMillis;
-        wallAtNanos = nowNanos;
+        wallClockSet = true;
+        wallClockMillis = epochMillis;
+        wallClockSetNanos = nowNanos;
     }
 
-    private void tick(Moment moment) {
-        servers.values().forEach(server -> server.tick(moment));
+    private void tick(DecisionContext context) {
+        servers.values().forEach(server -> server.tick(context));
         servers.values().removeIf(s -> !s.isOpen() && s.isEmpty());
-        board.tick(moment, openServers(), outbox);
+        loadExchange.tick(context, openServers(), outbox);
     }
 
     private List<OwnedServer> openServers() {
--- a/src/main/java/org/orioleshed/routing/Preemption.java
+++ b/src/main/java/org/orioleshed/routing/Preemption.java
@@ -9,33 +9,33 @@
  * among them those whose stop wastes least.
  */
 final class Preemption {
-    private static final double SAFETY = 1.25;
+    private static final double SAFETY_FACTOR = 1.25;
     private static final long REQUEUE_MILLIS = 500;
 
     /** An engine that did not confirm a cancel for so long is not counted on. */
-    private static final long CANCEL_NANOS = 500_000_000L;
+    private static final long CANCEL_CONFIRM_NANOS = 500_000_000L;
 
     /** How long an urgent request waits at least for a place to become free by itself. */
-    private static final long SHORTEST_DELAY_MILLIS = 100;
+    private static final long MIN_DELAY_MILLIS = 100;
 
-    private static final long DELAY_SPREAD_MILLIS = 300;
+    private static final long DELAY_JITTER_MILLIS = 300;
 
     private final RoutingLimits limits;
     private final OfferQueue queue;
-    private final Places places;
+    private final Slots slots;
     private final ServerSpeed speed;
     private final long salt;
 
     Preemption(
             RoutingLimits limits,
             OfferQueue queue,
-            Places places,
+            Slots slots,
             ServerSpeed speed,
             ServerId server) {
-        salt = Spread.mix(server.hashCode());
+        salt = HashMix.mix(server.hashCode());
         this.limits = limits;
         this.queue = queue;
-        this.places = places;
+        this.slots = slots;
         this.speed = speed;
     }
 
@@ -44,70 +44,70 @@
      *
      * @param free places that urgent work may take without any stop
      */
-    List<Running> victims(Moment moment, int free) {
-        if (limits.policy() == Policy.NAIVE || places.running().isEmpty()) {
+    List<ActiveRun> victims(DecisionContext context, int free) {
+        if (limits.policy() == Policy.NAIVE || slots.running().isEmpty()) {
             return List.of();
         }
-        int onTheWay = free + places.stoppedSince(moment.nowNanos() - CANCEL_NANOS);
-        List<Waiting> pressed = queue.tier(0).matching(w -> presses(w, moment));
-        int needed = pressed.size() - onTheWay;
+        int becomingFree = free + slots.stoppedSince(context.nowNanos() - CANCEL_CONFIRM_NANOS);
+        List<WaitingOffer> pressing = queue.tier(0).matching(w -> needsPreemption(w, context));
+        int needed = pressing.size() - becomingFree;
         if (needed <= 0) {
             return List.of();
         }
-        boolean lastResort = pressed.stream().anyMatch(w -> wouldBeShed(w, moment));
-        return choose(moment, needed, lastResort);
+        boolean lastResort = pressing.stream().anyMatch(w -> wouldBeShed(w, context));
+        return choose(context, needed, lastResort);
     }
 
     /** Returns all runs of lower tiers than {@code rank}, the protected ones included. */
-    List<Running> allBelow(int rank) {
+    List<ActiveRun> allBelow(int rank) {
         if (limits.policy() == Policy.NAIVE) {
             return List.of();
         }
-        return places.running().stream().filter(r -> r.rank() > rank && !r.stopping()).toList();
+        return slots.running().stream().filter(r -> r.rank() > rank && !r.stopping()).toList();
     }
 
-    private List<Running> choose(Moment moment, int needed, boolean lastResort) {
-        Comparator<Running> order =
-                Comparator.comparing((Running r) -> isProtected(r, moment))
-                        .thenComparing(Running::rank, Comparator.reverseOrder())
-                        .thenComparingLong(r -> speed.wasteMillis(r, moment.nowNanos()))
-                        .thenComparing(Running::run, Waiting.BY_RUN);
-        return places.running().stream()
+    private List<ActiveRun> choose(DecisionContext context, int needed, boolean lastResort) {
+        Comparator<ActiveRun> order =
+                Comparator.comparing((ActiveRun r) -> isProtected(r, context))
+                        .thenComparing(ActiveRun::rank, Comparator.reverseOrder())
+                        .thenComparingLong(r -> speed.wasteMillis(r, context.nowNanos()))
+                        .thenComparing(ActiveRun::run, WaitingOffer.BY_RUN);
+        return slots.running().stream()
                 .filter(r -> r.rank() > 0 && !r.stopping())
-                .filter(r -> lastResort || !isProtected(r, moment))
+                .filter(r -> lastResort || !isProtected(r, context))
                 .sorted(order)
                 .limit(needed)
                 .toList();
     }
 
-    private boolean presses(Waiting waiting, Moment moment) {
+    private boolean needsPreemption(WaitingOffer waiting, DecisionContext context) {
         // Owners that hold the same offer wait for different times, so that not all of them
         // preempt.
-        long spread = Spread.mix(salt ^ waiting.run().hashCode());
-        long delayMillis = SHORTEST_DELAY_MILLIS + Math.floorMod(spread, DELAY_SPREAD_MILLIS);
-        return queue.size(0) >= places.inFlight()
-                || -moment.millisUntil(waiting.queuedNanos()) >= delayMillis
-                || wouldBeShed(waiting, moment);
+        long spread = HashMix.mix(salt ^ waiting.run().hashCode());
+        long delayMillis = MIN_DELAY_MILLIS + Math.floorMod(spread, DELAY_JITTER_MILLIS);
+        return queue.size(0) >= slots.inFlight()
+                || -context.millisUntil(waiting.queuedNanos()) >= delayMillis
+                || wouldBeShed(waiting, context);
     }
 
-    private boolean wouldBeShed(Waiting waiting, Moment moment) {
-        long leftMillis = moment.millisUntil(waiting.deadlineNanos());
-        return leftMillis < waiting.safeMillis() * SAFETY + REQUEUE_MILLIS;
+    private boolean wouldBeShed(WaitingOffer waiting, DecisionContext context) {
+        long leftMillis = context.millisUntil(waiting.deadlineNanos());
+        return leftMillis < waiting.safeMillis() * SAFETY_FACTOR + REQUEUE_MILLIS;
     }
 
     /**
      * Returns whether a run must be let alone unless an urgent request would be shed otherwise: it
      * was preempted often enough, or it would miss a deadline that it can meet if it goes on.
      */
-    boolean isProtected(Running run, Moment moment) {
+    boolean isProtected(ActiveRun run, DecisionContext context) {
         if (run.waiting().offer().preemptions() >= limits.maxPreemptions()) {
             return true;
         }
-        long remaining = speed.remainingMillis(run, moment.nowNanos());
-        long again = remaining + speed.wasteMillis(run, moment.nowNanos());
-        long leftMillis = moment.millisUntil(run.waiting().deadlineNanos());
-        boolean meetsIt = leftMillis >= remaining;
-        boolean wouldMiss = leftMillis < again * SAFETY + REQUEUE_MILLIS;
-        return meetsIt && wouldMiss;
+        long remaining = speed.remainingMillis(run, context.nowNanos());
+        long restartMillis = remaining + speed.wasteMillis(run, context.nowNanos());
+        long leftMillis = context.millisUntil(run.waiting().deadlineNanos());
+        boolean meetsDeadline = leftMillis >= remaining;
+        boolean wouldMiss = leftMillis < restartMillis * SAFETY_FACTOR + REQUEUE_MILLIS;
+        return meetsDeadline && wouldMiss;
     }
 }
--- a/src/main/java/org/orioleshed/routing/PrefixMemory.java
+++ b/src/main/java/org/orioleshed/routing/PrefixHistory.java
@@ -8,10 +8,10 @@
 import org.orioleshed.model.Work;
 
 /** Remembers which servers were sent which prompt prefixes, bounded, the oldest forgotten first. */
-final class PrefixMemory {
+final class PrefixHistory {
     private final Lru lru;
 
-    PrefixMemory(int maxBlocks) {
+    PrefixHistory(int maxBlocks) {
         lru = new Lru(maxBlocks);
     }
 
--- a/src/main/java/org/orioleshed/routing/Quantiles.java
+++ b/src/main/java/org/orioleshed/routing/Quantiles.java
@@ -9,7 +9,7 @@
     private static final int REFRESH_SAMPLES = 16;
     private static final int SIGNIFICANT_DIGITS = 2;
 
-    private final long highest;
+    private final long maxValue;
     private IntCountsHistogram current;
     private IntCountsHistogram previous;
     private int sinceRefresh;
@@ -17,15 +17,15 @@
     private long p90;
     private long mean;
 
-    /** Makes one for values from 0 to {@code highest}; larger ones count as {@code highest}. */
-    Quantiles(long highest) {
-        this.highest = highest;
-        current = new IntCountsHistogram(highest, SIGNIFICANT_DIGITS);
-        previous = new IntCountsHistogram(highest, SIGNIFICANT_DIGITS);
+    /** Makes one for values from 0 to {@code maxValue}; larger ones count as {@code maxValue}. */
+    Quantiles(long maxValue) {
+        this.maxValue = maxValue;
+        current = new IntCountsHistogram(maxValue, SIGNIFICANT_DIGITS);
+        previous = new IntCountsHistogram(maxValue, SIGNIFICANT_DIGITS);
     }
 
     void add(long value) {
-        current.recordValue(Math.clamp(value, 0, highest));
+        current.recordValue(Math.clamp(value, 0, maxValue));
         sinceRefresh++;
         if (current.getTotalCount() >= HALF_SAMPLES) {
             IntCountsHistogram oldest = previous;
@@ -56,7 +56,7 @@
     }
 
     private void refresh() {
-        Histogram both = new Histogram(highest, SIGNIFICANT_DIGITS);
+        Histogram both = new Histogram(maxValue, SIGNIFICANT_DIGITS);
         both.add(current);
         both.add(previous);
         median = both.getValueAtPercentile(50);
--- a/src/main/java/org/orioleshed/routing/Refusals.java
+++ b/src/main/java/org/orioleshed/routing/Refusals.java
@@ -9,35 +9,35 @@
     private final ServerId server;
     private final Outbox outbox;
     private final OfferQueue queue;
-    private final Places places;
+    private final Slots slots;
     private final WaitEstimate waits;
-    private final HoldOff holdOff;
-    private final PlaceLimit limit;
+    private final ServerBackoff backoff;
+    private final SlotLimit limit;
 
     Refusals(
             ServerId server,
             Outbox outbox,
             OfferQueue queue,
-            Places places,
+            Slots slots,
             WaitEstimate waits,
-            HoldOff holdOff,
-            PlaceLimit limit) {
+            ServerBackoff backoff,
+            SlotLimit limit) {
         this.server = server;
         this.outbox = outbox;
         this.queue = queue;
-        this.places = places;
+        this.slots = slots;
         this.waits = waits;
-        this.holdOff = holdOff;
+        this.backoff = backoff;
         this.limit = limit;
     }
 
     /** Turns down an offer that is not in the queue. */
-    void refuse(Moment moment, Waiting waiting, RefusalReason reason) {
-        long now = moment.nowNanos();
+    void refuse(DecisionContext context, WaitingOffer waiting, RefusalReason reason) {
+        long now = context.nowNanos();
         long waitMillis =
-                waits.millis(waiting.rank(), now, limit.current(), limit.places())
-                        + holdOff.remainingMillis(now);
-        outbox.refused(
+                waits.millis(waiting.rank(), now, limit.current(), limit.slots())
+                        + backoff.remainingMillis(now);
+        outbox.sendRefused(
                 waiting.from(),
                 waiting.run(),
                 waiting.offer().tier(),
@@ -48,23 +48,23 @@
     }
 
     private boolean lowerTierIsHere(int rank) {
-        return places.holdsBelow(rank) || queue.leastUrgentBelow(rank).isPresent();
+        return slots.holdsLowerTier(rank) || queue.leastUrgentBelow(rank).isPresent();
     }
 
     /** Turns down all that waits. */
-    void refuseAll(Moment moment, RefusalReason reason) {
-        for (Waiting waiting : List.copyOf(queue.all())) {
+    void refuseAll(DecisionContext context, RefusalReason reason) {
+        for (WaitingOffer waiting : List.copyOf(queue.all())) {
             queue.remove(waiting.run());
-            refuse(moment, waiting, reason);
+            refuse(context, waiting, reason);
         }
     }
 
     /** Turns down what waits past its deadline. */
-    void refuseLate(Moment moment) {
-        for (Waiting waiting : List.copyOf(queue.all())) {
-            if (waiting.deadlineNanos() - moment.nowNanos() <= 0) {
+    void refuseLate(DecisionContext context) {
+        for (WaitingOffer waiting : List.copyOf(queue.all())) {
+            if (waiting.deadlineNanos() - context.nowNanos() <= 0) {
                 queue.remove(waiting.run());
-                refuse(moment, waiting, RefusalReason.OVERLOAD);
+                refuse(context, waiting, RefusalReason.OVERLOAD);
             }
         }
     }
--- a/src/main/java/org/orioleshed/routing/HoldOff.java
+++ b/src/main/java/org/orioleshed/routing/ServerBackoff.java
@@ -4,10 +4,10 @@
  * Keeps new work from an engine that went down or fails at once, for a time that doubles with each
  * failure; then lets one run try it.
  */
-final class HoldOff {
-    private static final long SHORTEST_NANOS = 250_000_000L;
-    private static final int MOST_DOUBLINGS = 5;
-    private static final int ERRORS_IN_A_ROW = 3;
+final class ServerBackoff {
+    private static final long INITIAL_BACKOFF_NANOS = 250_000_000L;
+    private static final int MAX_DOUBLINGS = 5;
+    private static final int CONSECUTIVE_ERRORS = 3;
 
     private int failures;
     private int errors;
@@ -19,7 +19,7 @@
         if (active(nowNanos)) {
             return;
         }
-        untilNanos = nowNanos + (SHORTEST_NANOS << Math.min(failures, MOST_DOUBLINGS));
+        untilNanos = nowNanos + (INITIAL_BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS));
         failures++;
         errors = 0;
         probing = true;
@@ -28,7 +28,7 @@
     /** Notes an error of the engine; several in a row count as a failure. */
     void errored(long nowNanos) {
         errors++;
-        if (errors >= ERRORS_IN_A_ROW) {
+        if (errors >= CONSECUTIVE_ERRORS) {
             failed(nowNanos);
         }
     }
@@ -50,6 +50,6 @@
     }
 
     long remainingMillis(long nowNanos) {
-        return active(nowNanos) ? (untilNanos - nowNanos) / Moment.NANOS_PER_MILLI : 0;
+        return active(nowNanos) ? (untilNanos - nowNanos) / DecisionContext.NANOS_PER_MILLI : 0;
     }
 }
--- a/src/main/java/org/orioleshed/routing/ServerChooser.java
+++ b/src/main/java/org/orioleshed/routing/ServerChooser.java
@@ -29,27 +29,27 @@
  * answer takes at the server's present speed. Owned by one thread.
  */
 public final class ServerChooser {
-    private static final int PREFIX_MEMORY_BLOCKS = 1 << 15;
+    private static final int MAX_PREFIX_BLOCKS = 1 << 15;
     private static final int DEFAULT_TOKENS = 150;
 
     /** The most servers of one failure domain that are scored for one choice. */
-    private static final int SAMPLE_SERVERS = 32;
+    private static final int MAX_SAMPLED_SERVERS = 32;
 
     /** Scores closer than this are equal, so that hosts with the same reports spread out. */
     private static final long SCORE_STEP_MILLIS = 10;
 
-    private static final long FAR_MILLIS = 20;
-    private static final long SUSPECT_MILLIS = 2_000;
-    private static final long SLOW_STREAM_MILLIS = 4_000;
-    private static final long UNNAMED_FAR_MILLIS = 300;
+    private static final long REMOTE_DOMAIN_MILLIS = 20;
+    private static final long SUSPECT_PENALTY_MILLIS = 2_000;
+    private static final long SLOW_STREAM_PENALTY_MILLIS = 4_000;
+    private static final long UNLISTED_SERVER_MILLIS = 300;
     private static final long AVOID_NANOS = 1_000_000_000L;
 
     private final HostId self;
     private final RoutingLimits limits;
-    private final PrefixMemory prefixes = new PrefixMemory(PREFIX_MEMORY_BLOCKS);
+    private final PrefixHistory prefixes = new PrefixHistory(MAX_PREFIX_BLOCKS);
     private final Map<RouteId, LengthEstimate> lengths = new HashMap<>();
     private ServerIndex index = ServerIndex.EMPTY;
-    private long turn;
+    private long nextIndex;
 
     /**
      * Makes a chooser that knows nothing yet.
@@ -69,11 +69,11 @@
      * @param nowNanos the time on the host's monotonic clock
      * @param message the message
      */
-    public void learn(long nowNanos, RoutingMessage message) {
+    public void observe(long nowNanos, RoutingMessage message) {
         switch (message) {
-            case ServerLoads loads -> loads.loads().forEach(this::learnLoad);
-            case DomainLoads loads -> loads.loads().forEach(load -> learnDomain(loads, load));
-            case Refused refused -> learnRefusal(nowNanos, refused);
+            case ServerLoads loads -> loads.loads().forEach(this::observeLoad);
+            case DomainLoads loads -> loads.loads().forEach(load -> observeDomain(loads, load));
+            case Refused refused -> observeRefusal(nowNanos, refused);
             default -> {}
         }
     }
@@ -86,7 +86,7 @@
      */
     public void placed(ServerId server, List<Long> prefixHashes) {
         prefixes.sent(server, prefixHashes);
-        index.server(server).ifPresent(KnownServer::sent);
+        index.server(server).ifPresent(ServerView::sent);
     }
 
     /**
@@ -134,165 +134,166 @@
         if (count <= 0) {
             throw new IllegalArgumentException("count must be positive: " + count);
         }
-        index = index.in(self, fleet);
+        index = index.withFleet(self, fleet);
         Route route = fleet.routes().get(request.route());
         if (route == null) {
             return List.of();
         }
         ServerIndex.Pool pool = index.pool(route.target(), version);
         if (limits.policy() == Policy.NAIVE) {
-            return inTurn(pool, excluded, count);
+            return roundRobin(pool, excluded, count);
         }
-        Question question = question(fleet, request, nowNanos);
+        Scoring scoring = scoring(fleet, request, nowNanos);
         List<Candidate> scored = new ArrayList<>();
-        boolean all = count >= SAMPLE_SERVERS;
-        score(question, sample(pool.near(), question.salt(), all), excluded, scored);
-        score(question, far(pool, question, all), excluded, scored);
-        question.cached().keySet().stream()
+        boolean all = count >= MAX_SAMPLED_SERVERS;
+        score(scoring, sample(pool.near(), scoring.salt(), all), excluded, scored);
+        score(scoring, far(pool, scoring, all), excluded, scored);
+        scoring.cached().keySet().stream()
                 .flatMap(id -> index.server(id).stream())
-                .filter(known -> runs(known, route.target(), version))
-                .filter(known -> absent(scored, known))
-                .forEach(known -> score(question, List.of(known), excluded, scored));
-        scored.sort(order(question));
-        return best(scored, question, count);
+                .filter(view -> runs(view, route.target(), version))
+                .filter(view -> absent(scored, view))
+                .forEach(view -> score(scoring, List.of(view), excluded, scored));
+        scored.sort(order(scoring));
+        return best(scored, scoring, count);
     }
 
-    private Question question(FleetSnapshot fleet, Request request, long nowNanos) {
+    private Scoring scoring(FleetSnapshot fleet, Request request, long nowNanos) {
         Map<ServerId, Integer> cached =
                 request.work() instanceof Work.Generate generate
                         ? prefixes.cachedTokens(generate.prefixHashes())
                         : Map.of();
         int promptTokens =
                 request.work() instanceof Work.Generate generate ? generate.promptTokens() : 0;
-        return new Question(
+        return new Scoring(
                 fleet,
                 request.tier().rank(),
                 promptTokens,
                 expectedTokens(request),
                 cached,
-                Spread.mix(request.id().sequence() ^ request.id().host().hashCode()),
+                HashMix.mix(request.id().sequence() ^ request.id().host().hashCode()),
                 nowNanos);
     }
 
     private void score(
-            Question question,
-            List<KnownServer> servers,
+            Scoring scoring,
+            List<ServerView> servers,
             Set<ServerId> excluded,
             List<Candidate> into) {
-        for (KnownServer known : servers) {
-            if (!excluded.contains(known.server().id())) {
-                into.add(candidate(question, known));
+        for (ServerView view : servers) {
+            if (!excluded.contains(view.server().id())) {
+                into.add(candidate(scoring, view));
             }
         }
     }
 
-    private Candidate candidate(Question question, KnownServer known) {
-        ServerId id = known.server().id();
-        int cached = question.cached().getOrDefault(id, 0);
-        int uncached = Math.max(0, question.promptTokens() - cached);
-        long wait = known.waitMillis(question.rank());
-        long gap = known.tokenGapMillis();
-        long score = wait + known.prefillMillis(uncached) + question.outputTokens() * gap;
-        if (question.rank() == 0 && gap > limits.tokenGapMillis()) {
-            score += SLOW_STREAM_MILLIS;
+    private Candidate candidate(Scoring scoring, ServerView view) {
+        ServerId id = view.server().id();
+        int cached = scoring.cached().getOrDefault(id, 0);
+        int uncached = Math.max(0, scoring.promptTokens() - cached);
+        long wait = view.waitMillis(scoring.rank());
+        long gap = view.tokenGapMillis();
+        long score = wait + view.prefillMillis(uncached) + scoring.outputTokens() * gap;
+        if (scoring.rank() == 0 && gap > limits.tokenGapMillis()) {
+            score += SLOW_STREAM_PENALTY_MILLIS;
         }
-        EntryHost owner = question.fleet().hosts().get(known.owner());
+        EntryHost owner = scoring.fleet().hosts().get(view.owner());
         if (owner == null || owner.state() == EntryHost.State.SUSPECT) {
-            score += SUSPECT_MILLIS;
+            score += SUSPECT_PENALTY_MILLIS;
         }
-        if (known.avoided(question.nowNanos())) {
-            score += SUSPECT_MILLIS;
+        if (view.avoided(scoring.nowNanos())) {
+            score += SUSPECT_PENALTY_MILLIS;
         }
-        EntryHost own = question.fleet().hosts().get(self);
-        if (own != null && !own.domain().equals(known.server().domain())) {
-            score += FAR_MILLIS;
+        EntryHost own = scoring.fleet().hosts().get(self);
+        if (own != null && !own.domain().equals(view.server().domain())) {
+            score += REMOTE_DOMAIN_MILLIS;
         }
-        return new Candidate(id, known.owner(), score, wait, uncached);
+        return new Candidate(id, view.owner(), score, wait, uncached);
     }
 
-    private static Comparator<Candidate> order(Question question) {
+    private static Comparator<Candidate> order(Scoring scoring) {
         return Comparator.comparingLong((Candidate c) -> c.scoreMillis() / SCORE_STEP_MILLIS)
-                .thenComparingLong(c -> Spread.mix(question.salt() ^ c.server().hashCode()))
+                .thenComparingLong(c -> HashMix.mix(scoring.salt() ^ c.server().hashCode()))
                 .thenComparing(Candidate::server);
     }
 
-    private static List<Candidate> best(List<Candidate> sorted, Question question, int count) {
+    private static List<Candidate> best(List<Candidate> sorted, Scoring scoring, int count) {
         if (sorted.size() <= count) {
             return List.copyOf(sorted);
         }
         List<Candidate> best = new ArrayList<>(sorted.subList(0, count));
-        Candidate affine = null;
+        Candidate mostCached = null;
         for (Candidate candidate : sorted) {
-            boolean caches = candidate.uncachedTokens() < question.promptTokens();
-            boolean more = affine == null || candidate.uncachedTokens() < affine.uncachedTokens();
+            boolean caches = candidate.uncachedTokens() < scoring.promptTokens();
+            boolean more =
+                    mostCached == null || candidate.uncachedTokens() < mostCached.uncachedTokens();
             if (caches && more) {
-                affine = candidate;
+                mostCached = candidate;
             }
         }
-        if (count > 1 && affine != null && !best.contains(affine)) {
-            best.set(count - 1, affine);
+        if (count > 1 && mostCached != null && !best.contains(mostCached)) {
+            best.set(count - 1, mostCached);
         }
         return List.copyOf(best);
     }
 
-    private List<Candidate> inTurn(ServerIndex.Pool pool, Set<ServerId> excluded, int count) {
-        List<KnownServer> servers = new ArrayList<>(pool.near());
+    private List<Candidate> roundRobin(ServerIndex.Pool pool, Set<ServerId> excluded, int count) {
+        List<ServerView> servers = new ArrayList<>(pool.near());
         servers.addAll(pool.far());
-        servers.removeIf(known -> excluded.contains(known.server().id()));
-        servers.sort(Comparator.comparing(known -> known.server().id()));
+        servers.removeIf(view -> excluded.contains(view.server().id()));
+        servers.sort(Comparator.comparing(view -> view.server().id()));
         List<Candidate> candidates = new ArrayList<>();
-        int first = servers.isEmpty() ? 0 : (int) (turn++ % servers.size());
+        int first = servers.isEmpty() ? 0 : (int) (nextIndex++ % servers.size());
         for (int i = 0; i < Math.min(count, servers.size()); i++) {
-            KnownServer known = servers.get((first + i) % servers.size());
-            candidates.add(new Candidate(known.server().id(), known.owner(), 0, 0, 0));
+            ServerView view = servers.get((first + i) % servers.size());
+            candidates.add(new Candidate(view.server().id(), view.owner(), 0, 0, 0));
         }
         return candidates;
     }
 
-    private static List<KnownServer> sample(List<KnownServer> servers, long salt, boolean all) {
-        if (all || servers.size() <= SAMPLE_SERVERS) {
+    private static List<ServerView> sample(List<ServerView> servers, long salt, boolean all) {
+        if (all || servers.size() <= MAX_SAMPLED_SERVERS) {
             return servers;
         }
         int first = Math.floorMod(salt, servers.size());
-        int end = first + SAMPLE_SERVERS;
+        int end = first + MAX_SAMPLED_SERVERS;
         if (end <= servers.size()) {
             return servers.subList(first, end);
         }
-        List<KnownServer> wrapped = new ArrayList<>(servers.subList(first, servers.size()));
+        List<ServerView> wrapped = new ArrayList<>(servers.subList(first, servers.size()));
         wrapped.addAll(servers.subList(0, end - servers.size()));
         return wrapped;
     }
 
-    private static List<KnownServer> far(ServerIndex.Pool pool, Question question, boolean all) {
-        return sample(pool.far(), Spread.mix(question.salt()), all);
+    private static List<ServerView> far(ServerIndex.Pool pool, Scoring scoring, boolean all) {
+        return sample(pool.far(), HashMix.mix(scoring.salt()), all);
     }
 
-    private static boolean runs(KnownServer known, Target target, Optional<VersionId> version) {
-        return known.server().target().equals(target)
-                && (version.isEmpty() || version.get().equals(known.server().version()));
+    private static boolean runs(ServerView view, Target target, Optional<VersionId> version) {
+        return view.server().target().equals(target)
+                && (version.isEmpty() || version.get().equals(view.server().version()));
     }
 
-    private static boolean absent(List<Candidate> scored, KnownServer known) {
-        ServerId id = known.server().id();
+    private static boolean absent(List<Candidate> scored, ServerView view) {
+        ServerId id = view.server().id();
         return scored.stream().noneMatch(candidate -> candidate.server().equals(id));
     }
 
-    private void learnLoad(ServerLoad load) {
-        index.server(load.server()).ifPresent(known -> known.reported(load));
+    private void observeLoad(ServerLoad load) {
+        index.server(load.server()).ifPresent(view -> view.reported(load));
     }
 
-    private void learnDomain(DomainLoads loads, ModelLoad load) {
+    private void observeDomain(DomainLoads loads, ModelLoad load) {
         ServerIndex.Pool pool = index.pool(new Target.Model(load.model()), Optional.empty());
-        long wait = KnownServer.forRank(load.waitMillisByRank(), 0);
-        for (KnownServer known : pool.far()) {
-            if (known.server().domain().equals(loads.domain())) {
-                boolean named = load.best().contains(known.server().id());
-                known.reportedFromAfar(named ? wait : wait + UNNAMED_FAR_MILLIS);
+        long wait = ServerView.forRank(load.waitMillisByRank(), 0);
+        for (ServerView view : pool.far()) {
+            if (view.server().domain().equals(loads.domain())) {
+                boolean named = load.best().contains(view.server().id());
+                view.reportedDomainWait(named ? wait : wait + UNLISTED_SERVER_MILLIS);
             }
         }
     }
 
-    private void learnRefusal(long nowNanos, Refused refused) {
+    private void observeRefusal(long nowNanos, Refused refused) {
         boolean broken =
                 switch (refused.reason()) {
                     case NOT_HOME, NO_SERVER, DRAINING -> true;
@@ -300,12 +301,12 @@
                 };
         if (broken) {
             index.server(refused.server())
-                    .ifPresent(known -> known.avoidUntil(nowNanos + AVOID_NANOS));
+                    .ifPresent(view -> view.avoidUntil(nowNanos + AVOID_NANOS));
         }
     }
 
     /** One request, seen through what its score depends on. */
-    private record Question(
+    private record Scoring(
             FleetSnapshot fleet,
             int rank,
             int promptTokens,
--- a/src/main/java/org/orioleshed/routing/ServerIndex.java
+++ b/src/main/java/org/orioleshed/routing/ServerIndex.java
@@ -22,25 +22,25 @@
     static final ServerIndex EMPTY = new ServerIndex(ServerOwners.NONE, Map.of(), Map.of());
 
     private final ServerOwners owners;
-    private final Map<ServerId, KnownServer> byId;
+    private final Map<ServerId, ServerView> byId;
     private final Map<PoolKey, Pool> pools;
 
     private ServerIndex(
-            ServerOwners owners, Map<ServerId, KnownServer> byId, Map<PoolKey, Pool> pools) {
+            ServerOwners owners, Map<ServerId, ServerView> byId, Map<PoolKey, Pool> pools) {
         this.owners = owners;
         this.byId = byId;
         this.pools = pools;
     }
 
     /** Returns the index of {@code fleet}; this one when neither hosts nor servers changed. */
-    ServerIndex in(HostId self, FleetSnapshot fleet) {
-        ServerOwners now = owners.in(fleet);
+    ServerIndex withFleet(HostId self, FleetSnapshot fleet) {
+        ServerOwners now = owners.withFleet(fleet);
         if (now == owners) {
             return this;
         }
         EntryHost own = fleet.hosts().get(self);
         Optional<FailureDomain> domain = Optional.ofNullable(own).map(EntryHost::domain);
-        Map<ServerId, KnownServer> known = new HashMap<>();
+        Map<ServerId, ServerView> views = new HashMap<>();
         Map<PoolKey, Pool> newPools = new HashMap<>();
         List<BackendServer> servers = new ArrayList<>(fleet.servers().values());
         servers.sort(Comparator.comparing(BackendServer::id));
@@ -49,20 +49,20 @@
             if (server.leaving() || owner == null) {
                 continue;
             }
-            KnownServer entry = new KnownServer(server, owner);
-            KnownServer earlier = byId.get(server.id());
+            ServerView view = new ServerView(server, owner);
+            ServerView earlier = byId.get(server.id());
             if (earlier != null) {
-                entry.inherit(earlier);
+                view.copyStateFrom(earlier);
             }
-            known.put(server.id(), entry);
+            views.put(server.id(), view);
             boolean near = domain.isPresent() && domain.get().equals(server.domain());
-            add(newPools, new PoolKey(server.target(), Optional.empty()), entry, near);
-            add(newPools, new PoolKey(server.target(), Optional.of(server.version())), entry, near);
+            add(newPools, new PoolKey(server.target(), Optional.empty()), view, near);
+            add(newPools, new PoolKey(server.target(), Optional.of(server.version())), view, near);
         }
-        return new ServerIndex(now, known, newPools);
+        return new ServerIndex(now, views, newPools);
     }
 
-    Optional<KnownServer> server(ServerId id) {
+    Optional<ServerView> server(ServerId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
@@ -71,10 +71,9 @@
         return pools.getOrDefault(new PoolKey(target, version), Pool.NONE);
     }
 
-    private static void add(
-            Map<PoolKey, Pool> pools, PoolKey key, KnownServer entry, boolean near) {
+    private static void add(Map<PoolKey, Pool> pools, PoolKey key, ServerView view, boolean near) {
         Pool pool = pools.computeIfAbsent(key, k -> new Pool(new ArrayList<>(), new ArrayList<>()));
-        (near ? pool.near() : pool.far()).add(entry);
+        (near ? pool.near() : pool.far()).add(view);
     }
 
     /**
@@ -83,7 +82,7 @@
      * @param near those of this host's failure domain
      * @param far all others
      */
-    record Pool(List<KnownServer> near, List<KnownServer> far) {
+    record Pool(List<ServerView> near, List<ServerView> far) {
         static final Pool NONE = new Pool(List.of(), List.of());
 
         int size() {
--- a/src/main/java/org/orioleshed/routing/ServerOwners.java
+++ b/src/main/java/org/orioleshed/routing/ServerOwners.java
@@ -37,14 +37,14 @@
 
     /** Returns the owners of the servers of {@code fleet}. */
     public static ServerOwners of(FleetSnapshot fleet) {
-        return NONE.in(fleet);
+        return NONE.withFleet(fleet);
     }
 
     /**
      * Returns the owners in {@code fleet}: this object when neither hosts nor servers changed, so
      * that a change of settings alone costs nothing.
      */
-    public ServerOwners in(FleetSnapshot fleet) {
+    public ServerOwners withFleet(FleetSnapshot fleet) {
         if (hosts.equals(fleet.hosts()) && servers.equals(fleet.servers())) {
             return this;
         }
--- a/src/main/java/org/orioleshed/routing/ServerRuns.java
+++ b/src/main/java/org/orioleshed/routing/ServerRuns.java
@@ -13,52 +13,53 @@
  * ends them.
  */
 final class ServerRuns {
-    private static final long CANCEL_BOUND_NANOS = 2_000_000_000L;
-    private static final long CANCEL_REPEAT_NANOS = 1_000_000_000L;
+    private static final long CANCEL_TIMEOUT_NANOS = 2_000_000_000L;
+    private static final long CANCEL_RETRY_NANOS = 1_000_000_000L;
     private static final long OVERTIME_NANOS = 2_000_000_000L;
 
     private final RoutingLimits limits;
     private final ServerId server;
     private final Outbox outbox;
-    private final Places places;
+    private final Slots slots;
     private final PrefixIndex prefixes;
     private final ServerSpeed speed;
     private final AdaptiveLimit limit;
-    private final HoldOff holdOff;
+    private final ServerBackoff backoff;
 
     ServerRuns(
             RoutingLimits limits,
             ServerId server,
             Outbox outbox,
-            Places places,
+            Slots slots,
             PrefixIndex prefixes,
             ServerSpeed speed,
             AdaptiveLimit limit,
-            HoldOff holdOff) {
+            ServerBackoff backoff) {
         this.limits = limits;
         this.server = server;
         this.outbox = outbox;
-        this.places = places;
+        this.slots = slots;
         this.prefixes = prefixes;
         this.speed = speed;
         this.limit = limit;
-        this.holdOff = holdOff;
+        this.backoff = backoff;
     }
 
     /** Starts a run whose body arrived. */
-    void start(long nowNanos, Waiting waiting, RoutingMessage.Placed placed, boolean canResume) {
+    void start(
+            long nowNanos, WaitingOffer waiting, RoutingMessage.Placed placed, boolean canResume) {
         Offer offer = waiting.offer();
         int uncached = prefixes.uncachedTokens(offer);
         prefixes.sent(offer.prefixHashes());
-        Running run =
-                new Running(
+        ActiveRun run =
+                new ActiveRun(
                         waiting,
                         placed.resumeFromToken(),
                         placed.creditTokens(),
                         uncached,
                         nowNanos,
                         speed.prefillMillis(offer.route(), uncached));
-        places.start(run);
+        slots.start(run);
         int resumeFrom = canResume ? placed.resumeFromToken() : 0;
         outbox.add(new HostAction.StartRun(waiting.run(), server, placed.body(), resumeFrom));
         outbox.log(
@@ -72,24 +73,24 @@
 
     /** Returns whether the run is here. */
     boolean credit(long nowNanos, RunId id, int tokens) {
-        Optional<Running> run = places.run(id);
+        Optional<ActiveRun> run = slots.run(id);
         run.ifPresent(r -> r.addCredit(tokens));
-        run.ifPresent(r -> pauseOrGoOn(nowNanos, r));
+        run.ifPresent(r -> updatePaused(nowNanos, r));
         return run.isPresent();
     }
 
     void tokens(long nowNanos, HostEvent.RunTokens event) {
-        Optional<Running> found = places.run(event.run());
+        Optional<ActiveRun> found = slots.run(event.run());
         if (found.isEmpty()) {
             return;
         }
-        Running run = found.get();
-        holdOff.succeeded();
+        ActiveRun run = found.get();
+        backoff.succeeded();
         observe(nowNanos, run, event);
         boolean wanted =
                 switch (run.stop()) {
-                    case NONE, PREEMPTED, SILENT, BROKEN -> !run.told();
-                    case WISHED, ORPHANED -> false;
+                    case NONE, PREEMPTED, STALLED, BROKEN -> !run.endReported();
+                    case REQUESTED, ABANDONED -> false;
                 };
         boolean isNew = event.firstToken() + event.count() > run.resumeFromToken();
         if (wanted && isNew) {
@@ -98,11 +99,11 @@
                     new RoutingMessage.Tokens(
                             event.run(), event.firstToken(), event.count(), event.text()));
         }
-        pauseOrGoOn(nowNanos, run);
+        updatePaused(nowNanos, run);
     }
 
     /** Asks the engine to stop a run; its place stays taken until the engine is done with it. */
-    void stop(long nowNanos, Running run, Running.Stop reason) {
+    void stop(long nowNanos, ActiveRun run, ActiveRun.StopReason reason) {
         if (run.stopping()) {
             return;
         }
@@ -111,8 +112,8 @@
     }
 
     /** Stops a run so that more urgent work gets its place. */
-    void preempt(long nowNanos, Running victim, String reason) {
-        stop(nowNanos, victim, Running.Stop.PREEMPTED);
+    void preempt(long nowNanos, ActiveRun victim, String reason) {
+        stop(nowNanos, victim, ActiveRun.StopReason.PREEMPTED);
         outbox.log(
                 "preempt",
                 victim.run(),
@@ -122,27 +123,27 @@
                 reason);
     }
 
-    void ended(long nowNanos, Running run, RunEnd end) {
-        judge(nowNanos, end);
+    void ended(long nowNanos, ActiveRun run, RunEnd end) {
+        updateBackoff(nowNanos, end);
         if (end instanceof RunEnd.Broken broken && !broken.confirmedEnded() && !broken.crashed()) {
-            if (run.stop() != Running.Stop.BROKEN) {
-                run.stop(Running.Stop.BROKEN, nowNanos);
+            if (run.stop() != ActiveRun.StopReason.BROKEN) {
+                run.stop(ActiveRun.StopReason.BROKEN, nowNanos);
                 outbox.add(new HostAction.CancelRun(run.run(), server));
             }
             return;
         }
-        places.end(run.run());
+        slots.end(run.run());
         if (end instanceof RunEnd.Finished finished) {
             speed.answered(run.waiting().offer().route(), finished.totalTokens());
         }
-        tell(run, meaning(run, end));
+        reportEnd(run, effectiveEnd(run, end));
     }
 
     void tick(long nowNanos) {
-        for (Running run : List.copyOf(places.running())) {
+        for (ActiveRun run : List.copyOf(slots.running())) {
             if (run.stopping()) {
-                pressCancel(nowNanos, run);
-            } else if (isSilent(nowNanos, run)) {
+                repeatCancel(nowNanos, run);
+            } else if (isStalled(nowNanos, run)) {
                 outbox.log(
                         "stop",
                         run.run(),
@@ -150,17 +151,17 @@
                         server,
                         server + ":" + run.generatedTokens(),
                         "no-token-for-too-long");
-                stop(nowNanos, run, Running.Stop.SILENT);
+                stop(nowNanos, run, ActiveRun.StopReason.STALLED);
             } else if (nowNanos - run.waiting().deadlineNanos() > OVERTIME_NANOS) {
-                stop(nowNanos, run, Running.Stop.ORPHANED);
+                stop(nowNanos, run, ActiveRun.StopReason.ABANDONED);
             }
         }
     }
 
-    private void observe(long nowNanos, Running run, HostEvent.RunTokens event) {
+    private void observe(long nowNanos, ActiveRun run, HostEvent.RunTokens event) {
         boolean first = !run.hasTokens();
         long gapMicros = run.tokens(event.firstToken(), event.count(), nowNanos);
-        Waiting waiting = run.waiting();
+        WaitingOffer waiting = run.waiting();
         if (first) {
             long nanos = nowNanos - run.startedNanos();
             speed.firstToken(waiting.offer().route(), run.uncachedTokens(), nanos);
@@ -173,7 +174,7 @@
         }
     }
 
-    private void pauseOrGoOn(long nowNanos, Running run) {
+    private void updatePaused(long nowNanos, ActiveRun run) {
         boolean pause = run.creditSpent();
         if (pause != run.paused() && !run.stopping()) {
             run.setPaused(pause, nowNanos);
@@ -181,12 +182,12 @@
         }
     }
 
-    private void judge(long nowNanos, RunEnd end) {
+    private void updateBackoff(long nowNanos, RunEnd end) {
         switch (end) {
-            case RunEnd.Finished finished -> holdOff.succeeded();
-            case RunEnd.NeverStarted never -> holdOff.failed(nowNanos);
-            case RunEnd.EngineError error when error.retryable() -> holdOff.errored(nowNanos);
-            case RunEnd.Broken broken when broken.crashed() -> holdOff.failed(nowNanos);
+            case RunEnd.Finished finished -> backoff.succeeded();
+            case RunEnd.NeverStarted never -> backoff.failed(nowNanos);
+            case RunEnd.EngineError error when error.retryable() -> backoff.errored(nowNanos);
+            case RunEnd.Broken broken when broken.crashed() -> backoff.failed(nowNanos);
             case RunEnd.EngineError error -> {}
             case RunEnd.Broken broken -> {}
             case RunEnd.Cancelled cancelled -> {}
@@ -195,41 +196,41 @@
     }
 
     /** Returns what an end at the engine means, given why the run was stopped. */
-    private static RunEnd meaning(Running run, RunEnd end) {
+    private static RunEnd effectiveEnd(ActiveRun run, RunEnd end) {
         if (!(end instanceof RunEnd.Cancelled)) {
             return end;
         }
         return switch (run.stop()) {
-            case NONE, WISHED, ORPHANED -> end;
+            case NONE, REQUESTED, ABANDONED -> end;
             case PREEMPTED -> new RunEnd.Preempted(run.nextToken());
-            case SILENT, BROKEN -> new RunEnd.Broken(false, true);
+            case STALLED, BROKEN -> new RunEnd.Broken(false, true);
         };
     }
 
-    private void tell(Running run, RunEnd end) {
-        if (!run.told()) {
-            run.tell();
-            outbox.ended(run.from(), run.run(), end);
+    private void reportEnd(ActiveRun run, RunEnd end) {
+        if (!run.endReported()) {
+            run.markEndReported();
+            outbox.sendEnded(run.from(), run.run(), end);
         }
     }
 
-    private void pressCancel(long nowNanos, Running run) {
+    private void repeatCancel(long nowNanos, ActiveRun run) {
         long sinceStop = nowNanos - run.stopNanos();
-        if (sinceStop > CANCEL_BOUND_NANOS) {
-            tell(run, new RunEnd.Broken(false, false));
+        if (sinceStop > CANCEL_TIMEOUT_NANOS) {
+            reportEnd(run, new RunEnd.Broken(false, false));
         }
-        if (nowNanos - run.lastCancelNanos() > CANCEL_REPEAT_NANOS) {
+        if (nowNanos - run.lastCancelNanos() > CANCEL_RETRY_NANOS) {
             run.cancelRepeated(nowNanos);
             outbox.add(new HostAction.CancelRun(run.run(), server));
         }
     }
 
-    private boolean isSilent(long nowNanos, Running run) {
+    private boolean isStalled(long nowNanos, ActiveRun run) {
         if (run.paused()) {
             return false;
         }
         long bound =
                 run.hasTokens() ? limits.tokenSilenceMillis() : limits.firstTokenSilenceMillis();
-        return nowNanos - run.lastTokenNanos() > bound * Moment.NANOS_PER_MILLI;
+        return nowNanos - run.lastTokenNanos() > bound * DecisionContext.NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/org/orioleshed/routing/ServerSpeed.java
+++ b/src/main/java/org/orioleshed/routing/ServerSpeed.java
@@ -8,19 +8,19 @@
 final class ServerSpeed {
     private static final long DEFAULT_GAP_MICROS = 30_000;
     private static final long DEFAULT_PREFILL_NANOS = 500_000;
-    private static final double GAP_SHARE = 0.02;
-    private static final double PREFILL_SHARE = 0.1;
-    private static final int FEWEST_PREFILL_TOKENS = 64;
-    private static final int FEWEST_SAMPLES = 20;
+    private static final double GAP_SAMPLE_WEIGHT = 0.02;
+    private static final double PREFILL_SAMPLE_WEIGHT = 0.1;
+    private static final int MIN_PREFILL_TOKENS = 64;
+    private static final int MIN_SAMPLES = 20;
     private static final long DEFAULT_TOKENS = 150;
 
-    private final SpeedBook book;
+    private final SpeedHistory speedHistory;
     private BackendServer server;
     private double gapMicros = -1;
     private double prefillNanosPerToken = -1;
 
-    ServerSpeed(SpeedBook book, BackendServer server) {
-        this.book = book;
+    ServerSpeed(SpeedHistory speedHistory, BackendServer server) {
+        this.speedHistory = speedHistory;
         this.server = server;
     }
 
@@ -35,32 +35,33 @@
     }
 
     void gap(RouteId route, long micros) {
-        gapMicros = gapMicros < 0 ? micros : gapMicros + GAP_SHARE * (micros - gapMicros);
-        book.of(server, route).gapMicros().add(micros);
+        gapMicros = gapMicros < 0 ? micros : gapMicros + GAP_SAMPLE_WEIGHT * (micros - gapMicros);
+        speedHistory.forRoute(server, route).gapMicros().add(micros);
     }
 
     void firstToken(RouteId route, int uncachedTokens, long nanos) {
-        if (uncachedTokens < FEWEST_PREFILL_TOKENS) {
+        if (uncachedTokens < MIN_PREFILL_TOKENS) {
             return;
         }
         double sample = (double) nanos / uncachedTokens;
         prefillNanosPerToken =
                 prefillNanosPerToken < 0
                         ? sample
-                        : prefillNanosPerToken + PREFILL_SHARE * (sample - prefillNanosPerToken);
-        book.of(server, route).prefillNanosPerToken().add((long) sample);
+                        : prefillNanosPerToken
+                                + PREFILL_SAMPLE_WEIGHT * (sample - prefillNanosPerToken);
+        speedHistory.forRoute(server, route).prefillNanosPerToken().add((long) sample);
     }
 
     void answered(RouteId route, int tokens) {
-        book.of(server, route).outputTokens().add(tokens);
+        speedHistory.forRoute(server, route).outputTokens().add(tokens);
     }
 
     long gapMicros(RouteId route) {
         if (gapMicros >= 0) {
             return (long) gapMicros;
         }
-        Quantiles known = book.of(server, route).gapMicros();
-        return known.count() > 0 ? known.median() : DEFAULT_GAP_MICROS;
+        Quantiles history = speedHistory.forRoute(server, route).gapMicros();
+        return history.count() > 0 ? history.median() : DEFAULT_GAP_MICROS;
     }
 
     /** Returns the time between tokens at the present load; zero when none was seen. */
@@ -74,13 +75,13 @@
     }
 
     long prefillMillis(RouteId route, int uncachedTokens) {
-        return (long) (uncachedTokens * prefillNanos(route) / Moment.NANOS_PER_MILLI);
+        return (long) (uncachedTokens * prefillNanos(route) / DecisionContext.NANOS_PER_MILLI);
     }
 
     /** Returns how long the prefill takes on an engine that has nothing else to do. */
     long prefillAloneMicros(RouteId route, int uncachedTokens) {
-        Quantiles known = book.of(server, route).prefillNanosPerToken();
-        long nanos = known.count() > 0 ? known.median() : DEFAULT_PREFILL_NANOS;
+        Quantiles history = speedHistory.forRoute(server, route).prefillNanosPerToken();
+        long nanos = history.count() > 0 ? history.median() : DEFAULT_PREFILL_NANOS;
         return uncachedTokens * nanos / 1_000;
     }
 
@@ -92,30 +93,30 @@
 
     /** Returns the expected length of the answer, in tokens: the mean of its like. */
     int expectedTokens(Offer offer) {
-        Quantiles lengths = book.of(server, offer.route()).outputTokens();
+        Quantiles lengths = speedHistory.forRoute(server, offer.route()).outputTokens();
         long seen = lengths.count();
-        long guess = seen >= FEWEST_SAMPLES ? 0 : FEWEST_SAMPLES - seen;
+        long guess = seen >= MIN_SAMPLES ? 0 : MIN_SAMPLES - seen;
         long mean = (seen * lengths.mean() + guess * DEFAULT_TOKENS) / (seen + guess);
         return (int) Math.min(offer.outputTokens(), mean);
     }
 
     /** Returns the expected time until {@code run} ends, in milliseconds. */
-    long remainingMillis(Running run, long nowNanos) {
+    long remainingMillis(ActiveRun run, long nowNanos) {
         Offer offer = run.waiting().offer();
         return run.remainingMillis(nowNanos, expectedTokens(offer), gapMicros(offer.route()));
     }
 
     /** Returns the work that would be done again if {@code run} were stopped, in milliseconds. */
-    long wasteMillis(Running run, long nowNanos) {
+    long wasteMillis(ActiveRun run, long nowNanos) {
         long gapMicros = gapMicros(run.waiting().offer().route());
         return run.wasteMillis(nowNanos, server.canResume(), gapMicros);
     }
 
     /** Returns a time that nine of ten runs like this one take at most, in milliseconds. */
     long safeWorkMillis(Offer offer, int uncachedTokens) {
-        Quantiles lengths = book.of(server, offer.route()).outputTokens();
+        Quantiles lengths = speedHistory.forRoute(server, offer.route()).outputTokens();
         long tokens = offer.outputTokens();
-        if (lengths.count() >= FEWEST_SAMPLES) {
+        if (lengths.count() >= MIN_SAMPLES) {
             tokens = Math.min(tokens, lengths.p90());
         }
         return prefillMillis(offer.route(), uncachedTokens)
@@ -126,7 +127,7 @@
         if (prefillNanosPerToken > 0) {
             return prefillNanosPerToken;
         }
-        Quantiles known = book.of(server, route).prefillNanosPerToken();
-        return known.count() > 0 ? known.median() : DEFAULT_PREFILL_NANOS;
+        Quantiles history = speedHistory.forRoute(server, route).prefillNanosPerToken();
+        return history.count() > 0 ? history.median() : DEFAULT_PREFILL_NANOS;
     }
 }
--- a/src/main/java/org/orioleshed/routing/KnownServer.java
+++ b/src/main/java/org/orioleshed/routing/ServerView.java
@@ -6,15 +6,15 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 
 /** What an accepting host knows of one backend server: its latest load and what it sent since. */
-final class KnownServer {
+final class ServerView {
     private static final int DEFAULT_PREFILL_TOKENS_PER_SECOND = 2_000;
     private static final int DEFAULT_TOKEN_GAP_MILLIS = 30;
 
     /** The wait added for each request sent beyond the free places of the latest report. */
-    private static final long SENT_WAIT_MILLIS = 200;
+    private static final long WAIT_PER_EXCESS_REQUEST_MILLIS = 200;
 
     /** What each request sent since the latest report costs the next one there. */
-    private static final long SHARED_STEP_MILLIS = 10;
+    private static final long COST_PER_SENT_REQUEST_MILLIS = 10;
 
     private final BackendServer server;
     private final HostId owner;
@@ -23,7 +23,7 @@
     private long avoidedUntilNanos = Long.MIN_VALUE;
     private long domainWaitMillis;
 
-    KnownServer(BackendServer server, HostId owner) {
+    ServerView(BackendServer server, HostId owner) {
         this.server = server;
         this.owner = owner;
     }
@@ -37,7 +37,7 @@
     }
 
     /** Takes over what {@code earlier} knew, after a change of the fleet. */
-    void inherit(KnownServer earlier) {
+    void copyStateFrom(ServerView earlier) {
         load = earlier.load;
         sentSinceLoad = earlier.sentSinceLoad;
         avoidedUntilNanos = earlier.avoidedUntilNanos;
@@ -50,7 +50,7 @@
     }
 
     /** Notes the wait that is told for the whole of a distant failure domain. */
-    void reportedFromAfar(long waitMillis) {
+    void reportedDomainWait(long waitMillis) {
         domainWaitMillis = waitMillis;
         sentSinceLoad = 0;
     }
@@ -70,13 +70,14 @@
     /** Returns the expected wait for a place of a request of rank {@code rank}. */
     long waitMillis(int rank) {
         if (load == null) {
-            return domainWaitMillis + sentSinceLoad * SENT_WAIT_MILLIS / server.places();
+            return domainWaitMillis
+                    + sentSinceLoad * WAIT_PER_EXCESS_REQUEST_MILLIS / server.places();
         }
         int free = Math.max(0, load.limit() - load.running());
         int beyond = Math.max(0, sentSinceLoad - free);
         return forRank(load.waitMillisByRank(), rank)
-                + sentSinceLoad * SHARED_STEP_MILLIS
-                + beyond * SENT_WAIT_MILLIS / Math.max(1, load.limit());
+                + sentSinceLoad * COST_PER_SENT_REQUEST_MILLIS
+                + beyond * WAIT_PER_EXCESS_REQUEST_MILLIS / Math.max(1, load.limit());
     }
 
     long prefillMillis(int tokens) {
--- a/src/main/java/org/orioleshed/routing/Admission.java
+++ b/src/main/java/org/orioleshed/routing/SlotScheduler.java
@@ -8,31 +8,31 @@
  * workspaces, and deadline. Holds places back for urgent work, and for patient work whose last safe
  * start comes near.
  */
-final class Admission {
+final class SlotScheduler {
     static final int PATIENT_RANK = Tier.PATIENT.rank();
 
-    private static final int FEWEST_PLACES_WITH_RESERVE = 3;
-    private static final int PLACES_PER_RESERVED = 16;
+    private static final int MIN_SLOTS_WITH_RESERVE = 3;
+    private static final int SLOTS_PER_RESERVED = 16;
 
     /** The share of its time left that a run is expected to take when its start is due. */
-    private static final double NEAR_LAST_SAFE_START = 0.5;
+    private static final double START_DUE_SHARE = 0.5;
 
     /** At how many owners an offer waits at least. */
-    private static final double HOMES_PER_OFFER = 2;
+    private static final double MIN_OWNERS_PER_OFFER = 2;
 
-    private static final long URGENT_MEMORY_NANOS = 10_000_000_000L;
+    private static final long URGENT_RETENTION_NANOS = 10_000_000_000L;
 
     private final Policy policy;
     private final OfferQueue queue;
-    private final Places places;
+    private final Slots slots;
     private long lastUrgentNanos = Long.MIN_VALUE;
     private int patientReserve;
-    private int swaps;
+    private int freedForUrgent;
 
-    Admission(Policy policy, OfferQueue queue, Places places) {
+    SlotScheduler(Policy policy, OfferQueue queue, Slots slots) {
         this.policy = policy;
         this.queue = queue;
-        this.places = places;
+        this.slots = slots;
     }
 
     void offered(int rank, long nowNanos) {
@@ -43,36 +43,36 @@
 
     /** Notes that a preempted run is off the engine: an urgent request may have its place. */
     void preempted() {
-        swaps++;
+        freedForUrgent++;
     }
 
     /** Notes that a place given to {@code waiting} was not used. */
-    void unused(Waiting waiting) {
+    void unused(WaitingOffer waiting) {
         queue.refund(waiting);
     }
 
-    int swaps() {
-        return swaps;
+    int freedForUrgent() {
+        return freedForUrgent;
     }
 
     /** Returns the offer to give a place to now, and takes it off the queue. */
-    Optional<Waiting> take(Moment moment, int limit, int maxPlaces) {
+    Optional<WaitingOffer> take(DecisionContext context, int limit, int maxSlots) {
         if (queue.size(0) == 0) {
-            swaps = 0;
+            freedForUrgent = 0;
         }
-        Optional<Waiting> next =
-                policy == Policy.NAIVE ? firstIn(maxPlaces) : next(moment, limit, maxPlaces);
+        Optional<WaitingOffer> next =
+                policy == Policy.NAIVE ? firstIn(maxSlots) : next(context, limit, maxSlots);
         next.ifPresent(queue::take);
         return next;
     }
 
     /** Returns how many places work of {@code rank} may fill at present. */
-    int allowance(int rank, long nowNanos, int limit, int maxPlaces) {
+    int allowance(int rank, long nowNanos, int limit, int maxSlots) {
         if (policy == Policy.NAIVE) {
-            return maxPlaces;
+            return maxSlots;
         }
         if (rank == 0) {
-            return places.holdsBelow(0) ? Math.min(maxPlaces, limit + 1) : limit;
+            return slots.holdsLowerTier(0) ? Math.min(maxSlots, limit + 1) : limit;
         }
         return limit - urgentReserve(nowNanos, limit);
     }
@@ -81,20 +81,20 @@
      * Sets the places that patient work goes first for: the sum, over what waits, of expected work
      * against time left. It grows as last safe starts come near.
      */
-    void reservePatient(Moment moment, int limit) {
+    void reservePatient(DecisionContext context, int limit) {
         double needed = 0;
         double most = 0;
         for (int rank : queue.ranks()) {
             if (rank >= PATIENT_RANK && policy == Policy.ORIOLESHED) {
-                for (Waiting waiting : queue.tier(rank).matching(w -> true)) {
-                    double share = neededPlaces(waiting, moment);
+                for (WaitingOffer waiting : queue.tier(rank).matching(w -> true)) {
+                    double share = neededSlots(waiting, context);
                     needed += share;
                     most = Math.max(most, share);
                 }
             }
         }
-        long reserve = Math.round(needed / HOMES_PER_OFFER);
-        if (most >= NEAR_LAST_SAFE_START) {
+        long reserve = Math.round(needed / MIN_OWNERS_PER_OFFER);
+        if (most >= START_DUE_SHARE) {
             reserve = Math.max(1, reserve);
         }
         patientReserve = (int) Math.min(reserve, Math.max(1, limit / 4));
@@ -104,36 +104,36 @@
         return patientReserve;
     }
 
-    private static double neededPlaces(Waiting waiting, Moment moment) {
-        long leftMillis = moment.millisUntil(waiting.deadlineNanos());
+    private static double neededSlots(WaitingOffer waiting, DecisionContext context) {
+        long leftMillis = context.millisUntil(waiting.deadlineNanos());
         if (leftMillis < waiting.workMillis() / 2) {
             return 0;
         }
         return Math.min(1, (double) waiting.safeMillis() / Math.max(1, leftMillis));
     }
 
-    private Optional<Waiting> firstIn(int maxPlaces) {
-        return places.inFlight() < maxPlaces ? queue.firstOfAll() : Optional.empty();
+    private Optional<WaitingOffer> firstIn(int maxSlots) {
+        return slots.inFlight() < maxSlots ? queue.firstOfAll() : Optional.empty();
     }
 
-    private Optional<Waiting> next(Moment moment, int limit, int maxPlaces) {
-        Optional<Waiting> urgent = urgent(moment, limit, maxPlaces);
+    private Optional<WaitingOffer> next(DecisionContext context, int limit, int maxSlots) {
+        Optional<WaitingOffer> urgent = urgent(context, limit, maxSlots);
         if (urgent.isPresent()) {
             return urgent;
         }
-        int allowed = allowance(1, moment.nowNanos(), limit, maxPlaces);
-        if (places.inFlight() >= allowed) {
+        int allowed = allowance(1, context.nowNanos(), limit, maxSlots);
+        if (slots.inFlight() >= allowed) {
             return Optional.empty();
         }
-        if (places.heldFrom(PATIENT_RANK) < patientReserve) {
-            Optional<Waiting> due = earliestPatient();
+        if (slots.countFromRank(PATIENT_RANK) < patientReserve) {
+            Optional<WaitingOffer> due = earliestPatient();
             if (due.isPresent()) {
                 return due;
             }
         }
         for (int rank : queue.ranks()) {
-            Optional<Waiting> next =
-                    rank < PATIENT_RANK ? inTurn(rank) : patient(rank, moment, limit);
+            Optional<WaitingOffer> next =
+                    rank < PATIENT_RANK ? roundRobin(rank) : patient(rank, context, limit);
             if (next.isPresent()) {
                 return next;
             }
@@ -141,43 +141,43 @@
         return Optional.empty();
     }
 
-    private Optional<Waiting> urgent(Moment moment, int limit, int maxPlaces) {
+    private Optional<WaitingOffer> urgent(DecisionContext context, int limit, int maxSlots) {
         if (queue.size(0) == 0) {
             return Optional.empty();
         }
-        if (places.inFlight() < allowance(0, moment.nowNanos(), limit, maxPlaces)) {
-            return inTurn(0);
+        if (slots.inFlight() < allowance(0, context.nowNanos(), limit, maxSlots)) {
+            return roundRobin(0);
         }
-        if (swaps > 0 && places.inFlight() < maxPlaces) {
-            swaps--;
-            return inTurn(0);
+        if (freedForUrgent > 0 && slots.inFlight() < maxSlots) {
+            freedForUrgent--;
+            return roundRobin(0);
         }
         return Optional.empty();
     }
 
-    private Optional<Waiting> inTurn(int rank) {
+    private Optional<WaitingOffer> roundRobin(int rank) {
         return queue.tier(rank).next(OfferQueue::anyWorkspace);
     }
 
-    private Optional<Waiting> patient(int rank, Moment moment, int limit) {
-        boolean spare = places.inFlight() < Math.max(1, limit / 2);
-        return queue.tier(rank).next(id -> spare || moment.inPatienceWindow(id));
+    private Optional<WaitingOffer> patient(int rank, DecisionContext context, int limit) {
+        boolean spare = slots.inFlight() < Math.max(1, limit / 2);
+        return queue.tier(rank).next(id -> spare || context.inPatienceWindow(id));
     }
 
-    private Optional<Waiting> earliestPatient() {
+    private Optional<WaitingOffer> earliestPatient() {
         return queue.ranks().stream()
                 .filter(rank -> rank >= PATIENT_RANK)
                 .flatMap(rank -> queue.tier(rank).earliest().stream())
-                .min(Waiting.BY_DEADLINE);
+                .min(WaitingOffer.BY_DEADLINE);
     }
 
     private int urgentReserve(long nowNanos, int limit) {
         boolean urgentSeen =
                 lastUrgentNanos != Long.MIN_VALUE
-                        && nowNanos - lastUrgentNanos < URGENT_MEMORY_NANOS;
-        if (!urgentSeen || limit < FEWEST_PLACES_WITH_RESERVE) {
+                        && nowNanos - lastUrgentNanos < URGENT_RETENTION_NANOS;
+        if (!urgentSeen || limit < MIN_SLOTS_WITH_RESERVE) {
             return 0;
         }
-        return Math.max(1, limit / PLACES_PER_RESERVED);
+        return Math.max(1, limit / SLOTS_PER_RESERVED);
     }
 }
--- a/src/main/java/org/orioleshed/routing/Places.java
+++ b/src/main/java/org/orioleshed/routing/Slots.java
@@ -8,9 +8,9 @@
 import org.orioleshed.model.RunId;
 
 /** The places of one engine: those reserved by a grant, and those that runs hold. */
-final class Places {
+final class Slots {
     private final Map<RunId, Reservation> reserved = new LinkedHashMap<>();
-    private final Map<RunId, Running> running = new LinkedHashMap<>();
+    private final Map<RunId, ActiveRun> running = new LinkedHashMap<>();
 
     int inFlight() {
         return reserved.size() + running.size();
@@ -22,14 +22,14 @@
 
     /** Returns whether no accepting host waits for anything here. */
     boolean isIdle() {
-        return reserved.isEmpty() && running.values().stream().allMatch(Running::told);
+        return reserved.isEmpty() && running.values().stream().allMatch(ActiveRun::endReported);
     }
 
     boolean isEmpty() {
         return reserved.isEmpty() && running.isEmpty();
     }
 
-    Collection<Running> running() {
+    Collection<ActiveRun> running() {
         return running.values();
     }
 
@@ -37,7 +37,7 @@
         return reserved.values();
     }
 
-    Optional<Running> run(RunId run) {
+    Optional<ActiveRun> run(RunId run) {
         return Optional.ofNullable(running.get(run));
     }
 
@@ -45,7 +45,7 @@
         return Optional.ofNullable(reserved.get(run));
     }
 
-    void reserve(Waiting waiting, long untilNanos) {
+    void reserve(WaitingOffer waiting, long untilNanos) {
         reserved.put(waiting.run(), new Reservation(waiting, untilNanos));
     }
 
@@ -53,7 +53,7 @@
         return Optional.ofNullable(reserved.remove(run));
     }
 
-    void start(Running run) {
+    void start(ActiveRun run) {
         reserved.remove(run.run());
         running.put(run.run(), run);
     }
@@ -63,7 +63,7 @@
     }
 
     /** Returns how many places work of at least {@code rank} holds. */
-    int heldFrom(int rank) {
+    int countFromRank(int rank) {
         return (int) ranks().filter(held -> held >= rank).count();
     }
 
@@ -76,14 +76,14 @@
     }
 
     /** Returns whether work of a lower tier than {@code rank} holds a place. */
-    boolean holdsBelow(int rank) {
+    boolean holdsLowerTier(int rank) {
         return ranks().anyMatch(held -> held > rank);
     }
 
     private Stream<Integer> ranks() {
         return Stream.concat(
                 reserved.values().stream().map(r -> r.waiting().rank()),
-                running.values().stream().map(Running::rank));
+                running.values().stream().map(ActiveRun::rank));
     }
 
     /**
@@ -92,5 +92,5 @@
      * @param waiting the run
      * @param untilNanos when the place is given up
      */
-    record Reservation(Waiting waiting, long untilNanos) {}
+    record Reservation(WaitingOffer waiting, long untilNanos) {}
 }
--- a/src/main/java/org/orioleshed/routing/SpeedBook.java
+++ b/src/main/java/org/orioleshed/routing/SpeedHistory.java
@@ -8,7 +8,7 @@
 import org.orioleshed.model.VersionId;
 
 /** What past runs showed of speeds and lengths, by model, version, generation and route. */
-final class SpeedBook {
+final class SpeedHistory {
     private static final int MAX_ENTRIES = 512;
 
     private final Map<Key, Speed> speeds =
@@ -21,20 +21,20 @@
                 }
             };
 
-    Speed of(BackendServer server, RouteId route) {
+    Speed forRoute(BackendServer server, RouteId route) {
         Key key = new Key(server.target(), server.version(), server.generation(), route);
         return speeds.computeIfAbsent(key, k -> new Speed());
     }
 
     /** What is known of runs that are alike. */
     static final class Speed {
-        private static final long HIGHEST_GAP_MICROS = 60_000_000;
-        private static final long HIGHEST_PREFILL_NANOS = 1_000_000_000;
-        private static final long HIGHEST_TOKENS = 1_000_000;
+        private static final long MAX_GAP_MICROS = 60_000_000;
+        private static final long MAX_PREFILL_NANOS = 1_000_000_000;
+        private static final long MAX_TOKENS = 1_000_000;
 
-        private final Quantiles gapMicros = new Quantiles(HIGHEST_GAP_MICROS);
-        private final Quantiles prefillNanosPerToken = new Quantiles(HIGHEST_PREFILL_NANOS);
-        private final Quantiles outputTokens = new Quantiles(HIGHEST_TOKENS);
+        private final Quantiles gapMicros = new Quantiles(MAX_GAP_MICROS);
+        private final Quantiles prefillNanosPerToken = new Quantiles(MAX_PREFILL_NANOS);
+        private final Quantiles outputTokens = new Quantiles(MAX_TOKENS);
 
         /** Returns the time between tokens, in microseconds. */
         Quantiles gapMicros() {
--- a/src/main/java/org/orioleshed/routing/Waiting.java
+++ b/src/main/java/org/orioleshed/routing/WaitingOffer.java
@@ -19,7 +19,7 @@
  * @param workMillis how long the run is expected to take
  * @param safeMillis how long nine of ten runs like it take at most
  */
-record Waiting(
+record WaitingOffer(
         RunId run,
         HostId from,
         Offer offer,
@@ -39,14 +39,15 @@
             Comparator.comparing(RunId::request, BY_REQUEST).thenComparingInt(RunId::attempt);
 
     /** The earliest deadline first, then the oldest. */
-    static final Comparator<Waiting> BY_DEADLINE =
-            Comparator.comparingLong(Waiting::deadlineNanos)
-                    .thenComparingLong(Waiting::arrivedNanos)
-                    .thenComparing(Waiting::run, BY_RUN);
+    static final Comparator<WaitingOffer> BY_DEADLINE =
+            Comparator.comparingLong(WaitingOffer::deadlineNanos)
+                    .thenComparingLong(WaitingOffer::arrivedNanos)
+                    .thenComparing(WaitingOffer::run, BY_RUN);
 
     /** The first to come in here first. */
-    static final Comparator<Waiting> BY_ARRIVAL_HERE =
-            Comparator.comparingLong(Waiting::queuedNanos).thenComparing(Waiting::run, BY_RUN);
+    static final Comparator<WaitingOffer> BY_QUEUED =
+            Comparator.comparingLong(WaitingOffer::queuedNanos)
+                    .thenComparing(WaitingOffer::run, BY_RUN);
 
     int rank() {
         return offer.tier().rank();
--- a/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
+++ b/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
@@ -8,12 +8,12 @@
 
 /** Tests of {@link AdaptiveLimit}. */
 public class AdaptiveLimitTest {
-    private static final int PLACES = 16;
+    private static final int SLOTS = 16;
     private static final long STEP_NANOS = 100_000_000L;
 
     /** Runs an engine whose time between tokens grows with what runs on it, always in demand. */
     private static AdaptiveLimit after(double baseMillis, double millisPerRun, int seconds) {
-        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, PLACES);
+        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         for (long now = 0; now < seconds * 1_000_000_000L; now += STEP_NANOS) {
             int running = limit.current();
             limit.load(running, true);
@@ -34,8 +34,8 @@
     public void settlesWhereTheTargetIsMet(double base, double perRun, int most) {
         int limit = after(base, perRun, 120).current();
         assertTrue(limit <= most + 1, "limit " + limit);
-        assertTrue(limit >= 1 && limit <= PLACES, "limit " + limit);
-        assertTrue(most < PLACES || limit == PLACES, "limit " + limit);
+        assertTrue(limit >= 1 && limit <= SLOTS, "limit " + limit);
+        assertTrue(most < SLOTS || limit == SLOTS, "limit " + limit);
     }
 
     @Test
@@ -45,7 +45,7 @@
 
     @Test
     public void aLongPromptAloneIsNoReasonToRunFewer() {
-        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, PLACES);
+        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         limit.tick(0);
         limit.load(4, true);
         for (int i = 0; i < 50; i++) {
@@ -53,19 +53,19 @@
             limit.firstToken(5_000_000, 4_800_000);
         }
         limit.tick(600_000_000L);
-        assertEquals(limit.current(), PLACES);
+        assertEquals(limit.current(), SLOTS);
     }
 
     @Test
     public void lateFirstTokensLowerTheLimit() {
-        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, PLACES);
+        AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         limit.tick(0);
-        limit.load(PLACES, true);
+        limit.load(SLOTS, true);
         for (int i = 0; i < 50; i++) {
             limit.gap(20_000);
             limit.firstToken(5_000_000, 100_000);
         }
         limit.tick(600_000_000L);
-        assertTrue(limit.current() < PLACES);
+        assertTrue(limit.current() < SLOTS);
     }
 }
--- a/src/test/java/org/orioleshed/routing/FairQueueProperties.java
+++ b/src/test/java/org/orioleshed/routing/FairQueueProperties.java
@@ -15,14 +15,14 @@
 /** Properties of {@link FairQueue}. */
 class FairQueueProperties {
     private static final int WORKSPACES = 4;
-    private static final int MOST_WORK_MILLIS = 1_000;
+    private static final int MAX_WORK_MILLIS = 1_000;
 
     @Property(seed = "21", tries = 200)
     boolean backloggedWorkspacesGetWorkByTheirWeights(
-            @ForAll @Size(40) List<@IntRange(min = 1, max = MOST_WORK_MILLIS) Integer> works,
+            @ForAll @Size(40) List<@IntRange(min = 1, max = MAX_WORK_MILLIS) Integer> works,
             @ForAll @IntRange(min = 0, max = 30) int takesBeforeTheLast,
             @ForAll @IntRange(min = 1, max = 39) int takes) {
-        FairQueue queue = new FairQueue(Waiting.BY_DEADLINE);
+        FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
         for (int weight = 1; weight < WORKSPACES; weight++) {
             fill(queue, works, weight);
             fill(queue, works, weight);
@@ -33,7 +33,7 @@
         fill(queue, works, WORKSPACES);
         Map<WorkspaceId, Double> share = new HashMap<>();
         for (int i = 0; i < takes; i++) {
-            Waiting next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
+            WaitingOffer next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
             queue.take(next);
             double weight = weightOf(next);
             share.merge(next.offer().workspace(), next.workMillis() / weight, Double::sum);
@@ -41,7 +41,7 @@
         double most = share.values().stream().mapToDouble(d -> d).max().orElse(0);
         double least = share.size() < WORKSPACES ? 0 : least(share);
         // Start-time fair queueing: two backlogged flows differ by one job of each at most.
-        return most - least <= 2.0 * MOST_WORK_MILLIS;
+        return most - least <= 2.0 * MAX_WORK_MILLIS;
     }
 
     private static void fill(FairQueue queue, List<Integer> works, int weight) {
@@ -53,16 +53,16 @@
     @Property(seed = "22", tries = 200)
     boolean noOfferStarvesWhileLaterOnesComeIn(
             @ForAll @Size(300) List<@IntRange(min = 0, max = 15) Integer> arrivals) {
-        FairQueue queue = new FairQueue(Waiting.BY_DEADLINE);
-        Waiting first = waiting(1, 1, 0, MOST_WORK_MILLIS);
+        FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
+        WaitingOffer first = waiting(1, 1, 0, MAX_WORK_MILLIS);
         queue.add(first, 1);
         long sequence = 1;
         int takes = 0;
         for (int arrival : arrivals) {
             int weight = 1 + arrival % WORKSPACES;
             sequence++;
-            queue.add(waiting(sequence, weight, sequence, MOST_WORK_MILLIS), weight);
-            Waiting next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
+            queue.add(waiting(sequence, weight, sequence, MAX_WORK_MILLIS), weight);
+            WaitingOffer next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
             queue.take(next);
             takes++;
             if (next.equals(first)) {
@@ -76,14 +76,14 @@
     @Property(seed = "23", tries = 200)
     boolean aWorkspaceOrderIsByDeadline(
             @ForAll @Size(30) List<@IntRange(min = 0, max = 50) Integer> deadlines) {
-        FairQueue queue = new FairQueue(Waiting.BY_DEADLINE);
+        FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
         long sequence = 0;
         for (int deadline : deadlines) {
             queue.add(waiting(++sequence, 1, deadline, 10), 1);
         }
         List<Long> taken = new ArrayList<>();
         while (queue.size() > 0) {
-            Waiting next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
+            WaitingOffer next = queue.next(OfferQueue::anyWorkspace).orElseThrow();
             queue.take(next);
             taken.add(next.deadlineNanos());
         }
@@ -94,13 +94,14 @@
         return share.values().stream().mapToDouble(d -> d).min().orElse(0);
     }
 
-    private static double weightOf(Waiting waiting) {
+    private static double weightOf(WaitingOffer waiting) {
         String name = waiting.offer().workspace().value();
         return Integer.parseInt(name.substring(name.indexOf('-') + 1));
     }
 
-    private static Waiting waiting(long sequence, int weight, long deadlineNanos, long workMillis) {
-        return new Waiting(
+    private static WaitingOffer waiting(
+            long sequence, int weight, long deadlineNanos, long workMillis) {
+        return new WaitingOffer(
                 FleetSnapshots.run(sequence),
                 new HostId("h"),
                 FleetSnapshots.offer(Tier.STANDARD, 1_000, weight, 0),
--- a/src/test/java/org/orioleshed/routing/FleetSnapshots.java
+++ b/src/test/java/org/orioleshed/routing/FleetSnapshots.java
@@ -46,7 +46,7 @@
     private FleetSnapshots() {}
 
     /** Returns a fleet snapshot of {@code domains} failure domains, alike in size. */
-    static FleetSnapshot of(int domains, int hostsEach, int serversEach, int places) {
+    static FleetSnapshot of(int domains, int hostsEach, int serversEach, int slots) {
         List<EntryHost> hosts = new ArrayList<>();
         List<BackendServer> servers = new ArrayList<>();
         for (int d = 0; d < domains; d++) {
@@ -55,7 +55,7 @@
                 hosts.add(host(domain + "-h" + h, domain, EntryHost.State.ALIVE));
             }
             for (int s = 1; s <= serversEach; s++) {
-                servers.add(server(domain + "-" + s, domain, places));
+                servers.add(server(domain + "-" + s, domain, slots));
             }
         }
         return of(hosts, servers);
@@ -85,7 +85,7 @@
         return new EntryHost(new HostId(id), domain, 1, address, state);
     }
 
-    static BackendServer server(String id, FailureDomain domain, int places) {
+    static BackendServer server(String id, FailureDomain domain, int slots) {
         return new BackendServer(
                 new ServerId(id),
                 domain,
@@ -93,7 +93,7 @@
                 MODEL,
                 new VersionId("v1"),
                 "g1",
-                places,
+                slots,
                 64_000,
                 true,
                 true,
--- a/src/test/java/org/orioleshed/routing/OneServer.java
+++ b/src/test/java/org/orioleshed/routing/OneServer.java
@@ -32,47 +32,47 @@
     final Set<RunId> cancelling = new LinkedHashSet<>();
     final List<HostAction> actions = new ArrayList<>();
     final Map<RunId, Tier> tiers = new HashMap<>();
-    final Map<RunId, Waiting> waiting = new LinkedHashMap<>();
+    final Map<RunId, OpenOffer> waiting = new LinkedHashMap<>();
     final List<String> violations = new ArrayList<>();
-    boolean places = true;
+    boolean placesGranted = true;
     long nowNanos = 1_000 * MILLI;
 
-    OneServer(RoutingLimits limits, int places) {
+    OneServer(RoutingLimits limits, int slots) {
         core = new OwnerCore(FleetSnapshots.SELF, limits);
-        tell(new HostEvent.FleetChanged(FleetSnapshots.of(1, 1, 1, places)));
+        handle(new HostEvent.FleetChanged(FleetSnapshots.of(1, 1, 1, slots)));
     }
 
     void fleet(FleetSnapshot fleet) {
-        tell(new HostEvent.FleetChanged(fleet));
+        handle(new HostEvent.FleetChanged(fleet));
     }
 
     void offer(RunId run, Offer offer) {
         if (!tiers.containsKey(run)) {
             tiers.put(run, offer.tier());
-            waiting.put(run, new Waiting(offer, nowNanos + offer.remainingMillis() * MILLI));
+            waiting.put(run, new OpenOffer(offer, nowNanos + offer.remainingMillis() * MILLI));
         }
         receive(new RoutingMessage.Offered(run, SERVER, offer));
     }
 
     void receive(RoutingMessage message) {
-        tell(new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
+        handle(new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         for (long left = millis; left > 0; left -= 20) {
             nowNanos += Math.min(20, left) * MILLI;
-            tell(new HostEvent.Tick());
+            handle(new HostEvent.Tick());
         }
     }
 
     void tokens(RunId run, int firstToken, int count) {
-        tell(new HostEvent.RunTokens(run, SERVER, firstToken, count, Payload.of("t ")));
+        handle(new HostEvent.RunTokens(run, SERVER, firstToken, count, Payload.of("t ")));
     }
 
     void end(RunId run, RunEnd end) {
         onEngine.remove(run);
         cancelling.remove(run);
-        tell(new HostEvent.RunEnded(run, SERVER, end));
+        handle(new HostEvent.RunEnded(run, SERVER, end));
     }
 
     void finish(RunId run) {
@@ -90,12 +90,12 @@
                 .toList();
     }
 
-    void tell(HostEvent event) {
+    void handle(HostEvent event) {
         List<HostAction> out = core.on(nowNanos, event);
         actions.addAll(out);
         for (HostAction action : out) {
             switch (action) {
-                case HostAction.SendRouting send -> heard(send.message());
+                case HostAction.SendRouting send -> onSent(send.message());
                 case HostAction.StartRun start -> onEngine.add(start.run());
                 case HostAction.CancelRun cancel -> cancelling.add(cancel.run());
                 default -> {}
@@ -103,13 +103,13 @@
         }
     }
 
-    private void heard(RoutingMessage message) {
+    private void onSent(RoutingMessage message) {
         switch (message) {
             case RoutingMessage.Granted m -> {
                 checkOrder(m.run());
                 waiting.remove(m.run());
                 granted.add(m.run());
-                if (places) {
+                if (placesGranted) {
                     receive(new RoutingMessage.Placed(m.run(), SERVER, Payload.EMPTY, 0, 1_000));
                 }
             }
@@ -127,12 +127,12 @@
     }
 
     private void checkOrder(RunId run) {
-        Waiting chosen = waiting.get(run);
+        OpenOffer chosen = waiting.get(run);
         if (chosen == null) {
             return;
         }
-        for (Map.Entry<RunId, Waiting> entry : waiting.entrySet()) {
-            Waiting other = entry.getValue();
+        for (Map.Entry<RunId, OpenOffer> entry : waiting.entrySet()) {
+            OpenOffer other = entry.getValue();
             boolean urgentWaits = other.offer().tier().rank() == 0;
             if (urgentWaits && chosen.offer().tier().rank() > 0) {
                 violations.add(run + " got a place before the urgent " + entry.getKey());
@@ -147,7 +147,7 @@
     }
 
     private void checkShed(Refused message) {
-        Waiting shed = waiting.get(message.run());
+        OpenOffer shed = waiting.get(message.run());
         boolean forOverload = message.reason() == RoutingMessage.RefusalReason.OVERLOAD;
         if (shed == null || !forOverload || shed.deadlineNanos() <= nowNanos) {
             return;
@@ -160,5 +160,5 @@
     }
 
     /** An offer that was neither granted nor refused yet. */
-    record Waiting(Offer offer, long deadlineNanos) {}
+    record OpenOffer(Offer offer, long deadlineNanos) {}
 }
--- a/src/test/java/org/orioleshed/routing/OwnerCoreProperties.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreProperties.java
@@ -18,7 +18,7 @@
 
 /** Properties of {@link OwnerCore} over random orders of events. */
 class OwnerCoreProperties {
-    private static final int PLACES = 4;
+    private static final int SLOTS = 4;
     private static final int QUEUE_LENGTH = 5;
     private static final List<Tier> TIERS = List.of(Tier.URGENT, Tier.STANDARD, Tier.PATIENT);
     private static final List<Long> DEADLINES_MILLIS = List.of(300L, 8_000L, 60_000L, 3_600_000L);
@@ -27,7 +27,7 @@
             new RoutingLimits(Policy.ORIOLESHED, 1_600, 79, QUEUE_LENGTH, 1_000, 2, 20_000, 5_000);
 
     /** One thing that happens; what {@code a} and {@code b} choose depends on the kind. */
-    record Happening(Kind kind, int a, int b) {}
+    record Step(Kind kind, int a, int b) {}
 
     /** What can happen. */
     enum Kind {
@@ -39,15 +39,15 @@
         CANCEL,
         WITHDRAW,
         TOKENS,
-        PASS
+        ADVANCE_TIME
     }
 
     @Provide
-    Arbitrary<List<Happening>> happenings() {
+    Arbitrary<List<Step>> steps() {
         Arbitrary<Kind> kinds = Arbitraries.of(Kind.class);
         Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 1_000);
         return Combinators.combine(kinds, numbers, numbers)
-                .as(Happening::new)
+                .as(Step::new)
                 .list()
                 .ofMinSize(20)
                 .ofMaxSize(150);
@@ -55,12 +55,12 @@
 
     @Property(seed = "11", tries = 400)
     boolean keepsTierAndDeadlineOrderAndShedsNoUrgentWorkWhileALowerTierRuns(
-            @ForAll("happenings") List<Happening> happenings) {
-        OneServer owner = new OneServer(LIMITS, PLACES);
-        owner.tell(new HostEvent.WallClock(0));
-        for (Happening happening : happenings) {
-            apply(owner, happening);
-            if (!owner.violations.isEmpty() || owner.onEngine.size() > PLACES) {
+            @ForAll("steps") List<Step> steps) {
+        OneServer owner = new OneServer(LIMITS, SLOTS);
+        owner.handle(new HostEvent.WallClock(0));
+        for (Step step : steps) {
+            apply(owner, step);
+            if (!owner.violations.isEmpty() || owner.onEngine.size() > SLOTS) {
                 throw new AssertionError(owner.violations + " on engine " + owner.onEngine);
             }
         }
@@ -68,75 +68,71 @@
     }
 
     @Property(seed = "12", tries = 200)
-    boolean nothingIsForgotten(@ForAll("happenings") List<Happening> happenings) {
-        OneServer owner = new OneServer(LIMITS, PLACES);
-        for (Happening happening : happenings) {
-            apply(owner, happening);
+    boolean nothingIsForgotten(@ForAll("steps") List<Step> steps) {
+        OneServer owner = new OneServer(LIMITS, SLOTS);
+        for (Step step : steps) {
+            apply(owner, step);
         }
         for (int i = 0; i < 2_000 && !owner.core.isIdle(); i++) {
             List.copyOf(owner.cancelling).forEach(owner::confirmCancel);
             List.copyOf(owner.onEngine).forEach(owner::finish);
-            owner.pass(100);
+            owner.advance(100);
         }
         return owner.core.isIdle() && owner.waiting.isEmpty() && owner.onEngine.isEmpty();
     }
 
     @Property(seed = "13", tries = 200)
-    boolean agreesWithFirstInFirstOutForOneTierAndWorkspace(
-            @ForAll("happenings") List<Happening> happenings) {
-        OneServer clever = new OneServer(RoutingLimits.DEFAULTS, PLACES);
-        OneServer naive = new OneServer(RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE), PLACES);
+    boolean agreesWithFirstInFirstOutForOneTierAndWorkspace(@ForAll("steps") List<Step> steps) {
+        OneServer oriole = new OneServer(RoutingLimits.DEFAULTS, SLOTS);
+        OneServer naive = new OneServer(RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE), SLOTS);
         Queue<RunId> line = new ArrayDeque<>();
         List<RunId> expected = new ArrayList<>();
         int running = 0;
         long sequence = 0;
-        for (Happening happening : happenings) {
-            if (happening.kind() == Kind.FINISH && running > 0) {
+        for (Step step : steps) {
+            if (step.kind() == Kind.FINISH && running > 0) {
                 RunId done = expected.get(expected.size() - running);
-                clever.finish(done);
+                oriole.finish(done);
                 naive.finish(done);
                 running--;
             } else {
                 RunId run = FleetSnapshots.run(++sequence);
                 line.add(run);
-                clever.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
+                oriole.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
                 naive.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
-                clever.pass(20);
-                naive.pass(20);
+                oriole.advance(20);
+                naive.advance(20);
             }
-            while (running < PLACES && !line.isEmpty()) {
+            while (running < SLOTS && !line.isEmpty()) {
                 expected.add(line.remove());
                 running++;
             }
         }
-        return clever.granted.equals(expected) && naive.granted.equals(expected);
+        return oriole.granted.equals(expected) && naive.granted.equals(expected);
     }
 
-    private static void apply(OneServer owner, Happening happening) {
-        switch (happening.kind()) {
-            case OFFER -> offer(owner, happening.a(), happening.b());
+    private static void apply(OneServer owner, Step step) {
+        switch (step.kind()) {
+            case OFFER -> offer(owner, step.a(), step.b());
             case BURST -> {
                 for (int i = 0; i < 8; i++) {
-                    offer(owner, happening.a(), happening.b());
+                    offer(owner, step.a(), step.b());
                 }
             }
             case REPEAT ->
-                    any(
-                            List.copyOf(owner.tiers.keySet()),
-                            happening.a(),
-                            run -> repeat(owner, run));
-            case FINISH -> any(List.copyOf(owner.onEngine), happening.a(), owner::finish);
+                    any(List.copyOf(owner.tiers.keySet()), step.a(), run -> repeat(owner, run));
+            case FINISH -> any(List.copyOf(owner.onEngine), step.a(), owner::finish);
             case CONFIRM_CANCEL ->
-                    any(List.copyOf(owner.cancelling), happening.a(), owner::confirmCancel);
+                    any(List.copyOf(owner.cancelling), step.a(), owner::confirmCancel);
             case CANCEL ->
                     any(
                             List.copyOf(owner.tiers.keySet()),
-                            happening.a(),
+                            step.a(),
                             run -> owner.receive(new RoutingMessage.Cancelled(run)));
             case WITHDRAW ->
                     any(
                             List.copyOf(owner.waiting.keySet()),
-                            happening.a(),
+                            step.a(),
                             run -> {
                                 owner.waiting.remove(run);
                                 owner.receive(new RoutingMessage.Withdrawn(run, OneServer.SERVER));
@@ -144,9 +140,9 @@
             case TOKENS ->
                     any(
                             List.copyOf(owner.onEngine),
-                            happening.a(),
-                            run -> owner.tokens(run, 0, 1 + happening.b() % 5));
-            case PASS -> owner.pass(happening.a());
+                            step.a(),
+                            run -> owner.tokens(run, 0, 1 + step.b() % 5));
+            case ADVANCE_TIME -> owner.advance(step.a());
         }
     }
 
--- a/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
@@ -62,11 +62,11 @@
     @Test
     public void urgentWorkPreemptsTheLowestTier() {
         OneServer owner = new OneServer(limits, 2);
-        owner.tell(new HostEvent.WallClock(23 * HOUR_MILLIS));
+        owner.handle(new HostEvent.WallClock(23 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.PATIENT, 8 * HOUR_MILLIS));
         owner.offer(run(3), offer(Tier.URGENT, 10_000));
-        owner.pass(400);
+        owner.advance(400);
         assertEquals(owner.cancelling, Set.of(run(2)));
         assertFalse(owner.onEngine.contains(run(3)));
         owner.confirmCancel(run(2));
@@ -80,7 +80,7 @@
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 7);
         owner.offer(run(2), offer(Tier.URGENT, 10_000));
-        owner.pass(300);
+        owner.advance(300);
         owner.confirmCancel(run(1));
         assertEquals(owner.ended.get(run(1)), new RunEnd.Preempted(7));
     }
@@ -91,7 +91,7 @@
         owner.offer(run(1), offer(Tier.PATIENT, 2_000));
         assertEquals(owner.granted, List.of(run(1)));
         owner.offer(run(2), offer(Tier.URGENT, 60_000));
-        owner.pass(500);
+        owner.advance(500);
         assertTrue(owner.cancelling.isEmpty());
     }
 
@@ -100,9 +100,9 @@
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000, 1, limits.maxPreemptions()));
         owner.offer(run(2), offer(Tier.URGENT, 20_000));
-        owner.pass(1_000);
+        owner.advance(1_000);
         assertTrue(owner.cancelling.isEmpty());
-        owner.pass(18_000);
+        owner.advance(18_000);
         assertEquals(owner.cancelling, Set.of(run(1)));
         assertFalse(owner.refused.containsKey(run(2)));
     }
@@ -111,25 +111,25 @@
     public void patientWorkWaitsForItsWindowUnlessThereIsRoomToSpare() {
         OneServer owner = new OneServer(limits, 4);
         long noonMillis = 12 * HOUR_MILLIS;
-        owner.tell(new HostEvent.WallClock(noonMillis));
+        owner.handle(new HostEvent.WallClock(noonMillis));
         for (int i = 1; i <= 4; i++) {
             owner.offer(run(i), offer(Tier.PATIENT, 16 * HOUR_MILLIS));
         }
         assertEquals(owner.onEngine.size(), 2);
-        owner.tell(new HostEvent.WallClock(noonMillis + 9 * HOUR_MILLIS));
-        owner.pass(20);
+        owner.handle(new HostEvent.WallClock(noonMillis + 9 * HOUR_MILLIS));
+        owner.advance(20);
         assertEquals(owner.onEngine.size(), 4);
     }
 
     @Test
     public void patientWorkNearItsLastSafeStartGoesBeforeStandardWork() {
         OneServer owner = new OneServer(limits, 2);
-        owner.tell(new HostEvent.WallClock(12 * HOUR_MILLIS));
+        owner.handle(new HostEvent.WallClock(12 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         owner.offer(run(3), offer(Tier.STANDARD, 600_000));
         owner.offer(run(4), offer(Tier.PATIENT, 3_500));
-        owner.pass(1_000);
+        owner.advance(1_000);
         owner.finish(run(1));
         assertTrue(owner.onEngine.contains(run(4)));
         assertFalse(owner.onEngine.contains(run(3)));
@@ -138,11 +138,11 @@
     @Test
     public void aReservedPlaceThatIsNotUsedGoesToTheNext() {
         OneServer owner = new OneServer(limits, 1);
-        owner.places = false;
+        owner.placesGranted = false;
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         assertEquals(owner.granted, List.of(run(1)));
-        owner.pass(limits.reservationMillis() + 20);
+        owner.advance(limits.reservationMillis() + 20);
         assertEquals(owner.granted, List.of(run(1), run(2)));
         owner.receive(new RoutingMessage.Placed(run(1), SERVER, Payload.EMPTY, 0, 10));
         assertEquals(owner.ended.get(run(1)), new RunEnd.NeverStarted());
@@ -154,7 +154,7 @@
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         owner.receive(new RoutingMessage.Cancelled(run(1)));
-        owner.pass(1_000);
+        owner.advance(1_000);
         assertFalse(owner.onEngine.contains(run(2)));
         owner.confirmCancel(run(1));
         assertTrue(owner.onEngine.contains(run(2)));
@@ -166,7 +166,7 @@
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
-        owner.pass(limits.tokenSilenceMillis() + 100);
+        owner.advance(limits.tokenSilenceMillis() + 100);
         assertTrue(owner.cancelling.contains(run(1)));
         owner.confirmCancel(run(1));
         assertEquals(owner.ended.get(run(1)), new RunEnd.Broken(false, true));
@@ -177,7 +177,7 @@
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
-        owner.pass(limits.tokenSilenceMillis() + 5_000);
+        owner.advance(limits.tokenSilenceMillis() + 5_000);
         assertEquals(owner.ended.get(run(1)), new RunEnd.Broken(false, false));
         assertTrue(owner.core.isIdle());
     }
@@ -188,7 +188,7 @@
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1_000);
         assertTrue(owner.actions.contains(new HostAction.PauseRun(run(1), true)));
-        owner.pass(limits.tokenSilenceMillis() * 2L);
+        owner.advance(limits.tokenSilenceMillis() * 2L);
         assertFalse(owner.cancelling.contains(run(1)));
         owner.receive(new RoutingMessage.Credit(run(1), 10));
         assertTrue(owner.actions.contains(new HostAction.PauseRun(run(1), false)));
@@ -203,7 +203,7 @@
         assertEquals(owner.refused.get(run(2)).reason(), RefusalReason.NO_SERVER);
         owner.offer(run(3), offer(Tier.URGENT, 5_000));
         assertEquals(owner.refused.get(run(3)).reason(), RefusalReason.NO_SERVER);
-        owner.pass(300);
+        owner.advance(300);
         owner.offer(run(4), offer(Tier.URGENT, 5_000));
         assertTrue(owner.onEngine.contains(run(4)));
     }
@@ -240,7 +240,7 @@
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
-        owner.tell(event);
+        owner.handle(event);
         assertEquals(owner.refused.get(run(2)).reason(), reason);
         assertTrue(owner.cancelling.isEmpty());
         assertFalse(owner.core.isIdle());
@@ -269,7 +269,7 @@
     public void tellsLoadsToItsOwnFailureDomainAndSumsToOthers() {
         OneServer owner = new OneServer(limits, 2);
         owner.fleet(FleetSnapshots.of(2, 1, 1, 2));
-        owner.pass(1_000);
+        owner.advance(1_000);
         long loads = countSent(owner, RoutingMessage.ServerLoads.class);
         long sums = countSent(owner, RoutingMessage.DomainLoads.class);
         assertTrue(loads >= 4, "loads " + loads);
--- a/src/test/java/org/orioleshed/routing/RoutingBench.java
+++ b/src/test/java/org/orioleshed/routing/RoutingBench.java
@@ -33,7 +33,7 @@
 public class RoutingBench {
     private static final int DOMAINS = 4;
     private static final int HOSTS_EACH = 2;
-    private static final int PLACES = 16;
+    private static final int SLOTS = 16;
     private static final int REQUESTS = 1_024;
 
     /** Backend servers in each failure domain. */
@@ -51,7 +51,7 @@
     /** Fills the chooser with loads and prefixes. */
     @Setup
     public void setUp() {
-        fleet = FleetSnapshots.of(DOMAINS, HOSTS_EACH, servers, PLACES);
+        fleet = FleetSnapshots.of(DOMAINS, HOSTS_EACH, servers, SLOTS);
         chooser = new ServerChooser(FleetSnapshots.SELF, RoutingLimits.DEFAULTS);
         owner = new OwnerCore(FleetSnapshots.SELF, RoutingLimits.DEFAULTS);
         owner.on(0, new HostEvent.FleetChanged(fleet));
@@ -71,9 +71,9 @@
         for (int i = 1; i <= servers; i++) {
             List<Long> waits = List.of(0L, 10L * (i % 7), 50L * (i % 5));
             ServerId id = new ServerId(FleetSnapshots.NEAR + "-" + i);
-            loads.add(new ServerLoad(id, i % PLACES, PLACES, waits, 4_000, 20 + i % 20));
+            loads.add(new ServerLoad(id, i % SLOTS, SLOTS, waits, 4_000, 20 + i % 20));
         }
-        chooser.learn(0, new ServerLoads(loads));
+        chooser.observe(0, new ServerLoads(loads));
         for (int i = 0; i < 64; i++) {
             ServerId server = loads.get(i % servers).server();
             chooser.placed(server, prefixOf(i));
--- a/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
+++ b/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
@@ -78,11 +78,11 @@
     @Property(seed = "43")
     boolean damagedBytesGiveAMessageOrTheTypedError(
             @ForAll("messages") RoutingMessage message,
-            @ForAll @IntRange(min = 0, max = 1_000) int place,
+            @ForAll @IntRange(min = 0, max = 1_000) int position,
             @ForAll byte value,
             @ForAll @IntRange(min = 0, max = 3) int cut) {
         byte[] bytes = codec.encode(message);
-        bytes[place % bytes.length] = value;
+        bytes[position % bytes.length] = value;
         byte[] damaged = Arrays.copyOf(bytes, Math.max(0, bytes.length - cut));
         return decodesOrRefuses(damaged);
     }
--- a/src/test/java/org/orioleshed/routing/ServerChooserTest.java
+++ b/src/test/java/org/orioleshed/routing/ServerChooserTest.java
@@ -61,7 +61,7 @@
     public void prefersTheShortestWait() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 2, 3, 8);
         choose(fleet, Tier.STANDARD, List.of(), 1);
-        chooser.learn(
+        chooser.observe(
                 0, new ServerLoads(List.of(load(1, 900, 30), load(2, 90, 30), load(3, 500, 30))));
         assertEquals(
                 choose(fleet, Tier.STANDARD, List.of(), 3),
@@ -72,7 +72,7 @@
     public void keepsUrgentWorkOffSlowStreams() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
         choose(fleet, Tier.URGENT, List.of(), 1);
-        chooser.learn(0, new ServerLoads(List.of(load(1, 0, 200), load(2, 600, 30))));
+        chooser.observe(0, new ServerLoads(List.of(load(1, 0, 200), load(2, 600, 30))));
         assertEquals(choose(fleet, Tier.URGENT, List.of(), 1), List.of(id("suva-a", 2)));
     }
 
@@ -80,7 +80,7 @@
     public void theServerWithMostOfThePromptIsAmongTheChosen() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
         choose(fleet, Tier.STANDARD, PREFIX, 1);
-        chooser.learn(
+        chooser.observe(
                 0, new ServerLoads(List.of(load(1, 2_000, 30), load(2, 0, 30), load(3, 10, 30))));
         chooser.placed(id("suva-a", 1), PREFIX);
         assertEquals(
@@ -91,7 +91,7 @@
     public void aCachedPromptOutweighsAShortWait() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
         choose(fleet, Tier.STANDARD, PREFIX, 1);
-        chooser.learn(0, new ServerLoads(List.of(load(1, 50, 30), load(2, 0, 30))));
+        chooser.observe(0, new ServerLoads(List.of(load(1, 50, 30), load(2, 0, 30))));
         chooser.placed(id("suva-a", 1), PREFIX);
         assertEquals(choose(fleet, Tier.STANDARD, PREFIX, 1), List.of(id("suva-a", 1)));
     }
@@ -112,14 +112,14 @@
     public void aDistantDomainsSumLeadsToItsBestServers() {
         FleetSnapshot fleet = FleetSnapshots.of(2, 1, 3, 8);
         choose(fleet, Tier.STANDARD, List.of(), 1);
-        chooser.learn(
+        chooser.observe(
                 0,
                 new ServerLoads(
                         List.of(load(1, 5_000, 30), load(2, 5_000, 30), load(3, 5_000, 30))));
         ServerId best = id("suva-b", 2);
         ModelLoad sum =
                 new ModelLoad(new ModelId("letters"), 3, 4, List.of(0L, 0L, 0L), List.of(best));
-        chooser.learn(0, new DomainLoads(new FailureDomain("suva-b"), List.of(sum)));
+        chooser.observe(0, new DomainLoads(new FailureDomain("suva-b"), List.of(sum)));
         assertEquals(choose(fleet, Tier.STANDARD, List.of(), 1), List.of(best));
     }
 
--- a/src/test/java/org/orioleshed/routing/ServerOwnersProperties.java
+++ b/src/test/java/org/orioleshed/routing/ServerOwnersProperties.java
@@ -27,7 +27,7 @@
         left.removeIf(host -> host.id().equals(gone));
         FleetSnapshot after = FleetSnapshots.of(left, List.copyOf(before.servers().values()));
         ServerOwners old = ServerOwners.of(before);
-        ServerOwners now = old.in(after);
+        ServerOwners now = old.withFleet(after);
         for (ServerId server : before.servers().keySet()) {
             boolean moved = !old.owner(server).equals(now.owner(server));
             if (moved != old.owner(server).orElseThrow().equals(gone)) {
@@ -66,7 +66,7 @@
         List<EntryHost> others = new ArrayList<>(fleet.hosts().values());
         others.removeIf(host -> host.domain().equals(FleetSnapshots.NEAR));
         FleetSnapshot cut = FleetSnapshots.of(others, List.copyOf(fleet.servers().values()));
-        ServerOwners fallen = ServerOwners.of(cut);
-        return fleet.servers().keySet().stream().allMatch(s -> fallen.owner(s).isPresent());
+        ServerOwners fallback = ServerOwners.of(cut);
+        return fleet.servers().keySet().stream().allMatch(s -> fallback.owner(s).isPresent());
     }
 }
