--- a/src/main/java/org/orioleshed/routing/AdaptiveLimit.java
+++ b/src/main/java/org/orioleshed/routing/AdaptiveLimit.java
@@ -3,12 +3,13 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * How many requests one engine runs at once: up by one while the targets are met and more is
- * wanted, down by a factor when the engine's own streams miss them.
+ * Additive-increase, multiplicative-decrease limit on the requests that one engine runs at once.
+ * The limit rises by one while the latency targets are met and there is demand, and falls by a
+ * factor when the engine's streams miss them.
  *
- * <p>An engine that misses the target for the time between tokens even with one request is not
- * helped by a low limit. Its limit then keeps that time within twice what the engine does by
- * itself, so that its throughput stays in use for work that bears it.
+ * <p>A low limit does not help an engine that misses the token gap target even with a single
+ * request. The target is then twice the engine's single-request token gap, so that its throughput
+ * stays available to requests that tolerate slow streams.
  */
 final class AdaptiveLimit {
     private static final long WINDOW_NANOS = 500_000_000L;
@@ -29,7 +30,7 @@
     private double limit;
     private long windowStartNanos;
     private boolean started;
-    private boolean wanted;
+    private boolean demand;
     private int maxRunning;
     private long baseGapMicros = Long.MAX_VALUE;
     private long baseUpdatedNanos;
@@ -41,7 +42,7 @@
         limit = this.slots;
     }
 
-    /** Returns the limit, from 1 to the server's places. */
+    /** Returns the limit, from 1 to the server's slots. */
     int current() {
         return (int) limit;
     }
@@ -51,30 +52,32 @@
         limit = Math.min(limit, slots);
     }
 
-    /** Notes the time between two tokens of one stream. */
-    void gap(long micros) {
+    /** Records the time between two tokens of one stream, in microseconds. */
+    void recordGap(long micros) {
         gaps.recordValue(Math.clamp(micros, 0, MAX_MICROS));
     }
 
     /**
-     * Notes a time to the first token.
+     * Records a time to the first token.
      *
-     * @param micros the time since the run was started
-     * @param alone how much of it the engine needs for this prompt when it has nothing else to do
+     * @param micros the time since the run was started, in microseconds
+     * @param aloneMicros the prefill time of this prompt on an otherwise idle engine, in
+     *     microseconds
      */
-    void firstToken(long micros, long alone) {
-        // A long prompt is late by itself; that is no reason to run fewer.
-        long excusedMicros = Math.max(0, alone - firstTokenTargetMicros / 2);
+    void recordFirstToken(long micros, long aloneMicros) {
+        // A long prompt exceeds the target even on an idle engine, so lowering the limit would not
+        // help.
+        long excusedMicros = Math.max(0, aloneMicros - firstTokenTargetMicros / 2);
         firstTokens.recordValue(Math.clamp(micros - excusedMicros, 0, MAX_MICROS));
     }
 
-    /** Notes how many requests are on the engine and whether more wait. */
-    void load(int running, boolean moreWaiting) {
+    /** Records how many requests are on the engine and whether more are waiting. */
+    void recordLoad(int running, boolean moreWaiting) {
         maxRunning = Math.max(maxRunning, running);
-        wanted |= moreWaiting || running >= current();
+        demand |= moreWaiting || running >= current();
     }
 
-    /** Adjusts the limit when a window of observation is over. */
+    /** Adjusts the limit when the observation window has ended. */
     void tick(long nowNanos) {
         if (!started) {
             started = true;
@@ -92,7 +95,7 @@
         }
         gaps.reset();
         firstTokens.reset();
-        wanted = false;
+        demand = false;
         maxRunning = 0;
         windowStartNanos = nowNanos;
     }
@@ -105,13 +108,14 @@
         }
         long gapMicros = gaps.getValueAtPercentile(95);
         if (gapMicros > target || firstTokensLate()) {
-            // While more run than the limit allows, the last decrease has not shown its effect.
+            // While more requests run than the limit allows, the last decrease has not taken effect
+            // yet.
             if (maxRunning <= current()) {
                 limit = Math.max(1, limit * DECREASE_FACTOR);
             }
             return;
         }
-        if (wanted && gapMicros < RAISE_THRESHOLD * target) {
+        if (demand && gapMicros < RAISE_THRESHOLD * target) {
             limit = Math.min(slots, limit + 1);
         }
     }
--- a/src/main/java/org/orioleshed/routing/Candidate.java
+++ b/src/main/java/org/orioleshed/routing/Candidate.java
@@ -9,10 +9,10 @@
  * @param server the server
  * @param owner the server's owner, where the offer goes
  * @param scoreMillis the expected time to the first token plus the cost of a slow stream, in
- *     milliseconds; the lower the better
- * @param waitMillis the expected wait for a place, in milliseconds
- * @param uncachedTokens how many tokens of the prompt are not in the server's prefix cache, as far
- *     as this host knows
+ *     milliseconds; lower is better
+ * @param waitMillis the expected wait for a slot, in milliseconds
+ * @param uncachedTokens the tokens of the prompt that are not in the server's prefix cache, as
+ *     estimated by this host
  */
 public record Candidate(
         ServerId server, HostId owner, long scoreMillis, long waitMillis, int uncachedTokens) {
--- a/src/main/java/org/orioleshed/routing/DecisionContext.java
+++ b/src/main/java/org/orioleshed/routing/DecisionContext.java
@@ -9,20 +9,20 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * The time and the fleet snapshot at which a decision is taken.
+ * The inputs common to all routing decisions of one event: clocks and fleet snapshot.
  *
- * @param nowNanos the host's monotonic clock
- * @param epochMillis the host's wall clock, empty until it is known
- * @param fleet the fleet
+ * @param nowNanos the time on the host's monotonic clock, in nanoseconds
+ * @param epochMillis the host's wall clock in milliseconds since the epoch, empty until it is set
+ * @param fleet the current fleet snapshot
  */
 record DecisionContext(long nowNanos, OptionalLong epochMillis, FleetSnapshot fleet) {
-    /** Returns the workspace's share against others; one when it is unknown. */
+    /** Returns the workspace's weight for fair queueing; one when the workspace is unknown. */
     int weight(WorkspaceId id) {
         Workspace workspace = fleet.workspaces().get(id);
         return workspace == null ? 1 : Math.max(1, workspace.weight());
     }
 
-    /** Returns whether patient work of the workspace may run freely now. */
+    /** Returns whether patient requests of the workspace may run now regardless of load. */
     boolean inPatienceWindow(WorkspaceId id) {
         Workspace workspace = fleet.workspaces().get(id);
         if (workspace == null || workspace.patience().isEmpty()) {
@@ -36,7 +36,10 @@
         return window.contains(LocalTime.ofInstant(instant, window.zone()));
     }
 
-    /** Returns the time from now to {@code nanos}, in milliseconds; negative when it is past. */
+    /**
+     * Returns the time from now to {@code nanos}, in milliseconds; negative when {@code nanos} is
+     * in the past.
+     */
     long millisUntil(long nanos) {
         return Math.floorDiv(nanos - nowNanos, NANOS_PER_MILLI);
     }
--- a/src/main/java/org/orioleshed/routing/FairQueue.java
+++ b/src/main/java/org/orioleshed/routing/FairQueue.java
@@ -12,8 +12,8 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * The waiting offers of one tier: weighted fair queueing between workspaces by expected work, and
- * an order of its own within each workspace.
+ * The waiting offers of one tier: start-time fair queueing between workspaces, weighted and charged
+ * by expected work, and a given order within each workspace.
  */
 final class FairQueue {
     private final Comparator<WaitingOffer> order;
@@ -30,7 +30,7 @@
         return size;
     }
 
-    /** Returns the expected work of all that waits, in milliseconds. */
+    /** Returns the expected work of all waiting offers, in milliseconds. */
     long workMillis() {
         return workMillis;
     }
@@ -60,7 +60,7 @@
         return true;
     }
 
-    /** Returns the offer whose turn it is among the workspaces that {@code eligible} accepts. */
+    /** Returns the next offer by fair share among the workspaces that {@code eligible} accepts. */
     Optional<WaitingOffer> next(Predicate<WorkspaceId> eligible) {
         WorkspaceQueue best = null;
         for (Map.Entry<WorkspaceId, WorkspaceQueue> entry : queues.entrySet()) {
@@ -74,7 +74,7 @@
         return Optional.ofNullable(best).map(queue -> queue.offers.first());
     }
 
-    /** Returns the offer that comes first in the order, whatever its workspace. */
+    /** Returns the first offer in the order, over all workspaces. */
     Optional<WaitingOffer> earliest() {
         return queues.values().stream()
                 .filter(queue -> !queue.offers.isEmpty())
@@ -82,7 +82,7 @@
                 .min(order);
     }
 
-    /** Returns the offer that comes last in the order. */
+    /** Returns the last offer in the order, over all workspaces. */
     Optional<WaitingOffer> latest() {
         return queues.values().stream()
                 .filter(queue -> !queue.offers.isEmpty())
@@ -90,18 +90,18 @@
                 .max(order);
     }
 
-    /** Removes an offer that gets a place, and charges its workspace. */
+    /** Removes an offer that is granted a slot, and charges its workspace. */
     void take(WaitingOffer waiting) {
         WorkspaceQueue queue = queues.get(waiting.offer().workspace());
         if (queue == null || !queue.offers.contains(waiting)) {
-            throw new IllegalArgumentException("not in the queue: " + waiting.run());
+            throw new IllegalArgumentException("offer is not in the queue: " + waiting.run());
         }
         virtualTimeMillis = Math.max(virtualTimeMillis, queue.virtualTimeMillis);
         queue.virtualTimeMillis += charge(waiting, queue);
         remove(waiting);
     }
 
-    /** Gives back what {@link #take} charged: the place was not used. */
+    /** Refunds the charge of {@link #take} for a slot that was not used. */
     void refund(WaitingOffer waiting) {
         WorkspaceQueue queue = queues.get(waiting.offer().workspace());
         if (queue != null) {
@@ -113,7 +113,7 @@
         queues.values().forEach(queue -> queue.offers.forEach(action));
     }
 
-    /** Returns the offers that {@code condition} holds for. */
+    /** Returns the offers that match {@code condition}. */
     List<WaitingOffer> matching(Predicate<WaitingOffer> condition) {
         List<WaitingOffer> found = new ArrayList<>();
         forEach(
@@ -145,9 +145,10 @@
         }
 
         boolean precedes(WorkspaceQueue other, Comparator<WaitingOffer> order) {
-            int byTurn = Double.compare(virtualTimeMillis, other.virtualTimeMillis);
-            return byTurn < 0
-                    || (byTurn == 0 && order.compare(offers.first(), other.offers.first()) < 0);
+            int byVirtualTime = Double.compare(virtualTimeMillis, other.virtualTimeMillis);
+            return byVirtualTime < 0
+                    || (byVirtualTime == 0
+                            && order.compare(offers.first(), other.offers.first()) < 0);
         }
     }
 }
--- a/src/main/java/org/orioleshed/routing/ForeignLoad.java
+++ b/src/main/java/org/orioleshed/routing/ForeignLoad.java
@@ -1,8 +1,9 @@
 package org.orioleshed.routing;
 
 /**
- * Requests on an engine that its owner did not start, such as those of an earlier owner: what the
- * engine's late reports show beyond all that the owner had there lately.
+ * Estimates the requests on an engine that its owner did not start, such as those of an earlier
+ * owner: the count in the engine's delayed load reports, less the maximum that the owner had in
+ * flight during the last periods.
  */
 final class ForeignLoad {
     private static final long PERIOD_NANOS = 2_000_000_000L;
--- a/src/main/java/org/orioleshed/routing/LengthEstimate.java
+++ b/src/main/java/org/orioleshed/routing/LengthEstimate.java
@@ -1,6 +1,6 @@
 package org.orioleshed.routing;
 
-/** The mean length of answers, the later ones weighing more. */
+/** Exponentially weighted mean of answer lengths. */
 final class LengthEstimate {
     private static final double MIN_SAMPLE_WEIGHT = 0.05;
 
@@ -9,12 +9,12 @@
 
     void add(int tokens) {
         samples++;
-        double share = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / samples);
-        meanTokens += share * (tokens - meanTokens);
+        double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / samples);
+        meanTokens += weight * (tokens - meanTokens);
     }
 
-    /** Returns the mean, in tokens, at least one. */
-    int mean() {
+    /** Returns the mean length in tokens, at least one. */
+    int meanTokens() {
         return Math.max(1, (int) Math.round(meanTokens));
     }
 }
--- a/src/main/java/org/orioleshed/routing/LoadExchange.java
+++ b/src/main/java/org/orioleshed/routing/LoadExchange.java
@@ -23,27 +23,28 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
 /**
- * Spreads loads: those of an owner's servers to the hosts of its own failure domain, and sums by
- * model from one host of each failure domain to one host of each other, which passes them on.
+ * Distributes server loads between hosts. An owner sends the loads of its servers to all hosts of
+ * its own failure domain. One host of each failure domain sends totals by model to one host of each
+ * other domain, which forwards them to the hosts of its domain.
  */
 final class LoadExchange {
     private static final long DETAIL_INTERVAL_NANOS = 250_000_000L;
-    private static final long SUM_INTERVAL_NANOS = 1_000_000_000L;
+    private static final long TOTAL_INTERVAL_NANOS = 1_000_000_000L;
     private static final long LOAD_EXPIRY_NANOS = 5_000_000_000L;
-    private static final long LOAD_BYTES = 24;
+    private static final long BYTES_PER_LOAD = 24;
     private static final long MAX_DETAIL_BYTES_PER_SECOND = 6_000;
-    private static final int BEST_SERVERS = 4;
+    private static final int MAX_BEST_SERVERS = 4;
 
     private final HostId self;
     private final Map<ServerId, ReceivedLoad> received = new HashMap<>();
     private long nextDetailNanos = Long.MIN_VALUE;
-    private long nextSumNanos = Long.MIN_VALUE;
+    private long nextTotalNanos = Long.MIN_VALUE;
 
     LoadExchange(HostId self) {
         this.self = self;
     }
 
-    /** Takes in the detail of another owner. */
+    /** Records the server loads sent by an owner. */
     void observe(DecisionContext context, ServerLoads loads) {
         loads.loads()
                 .forEach(
@@ -52,7 +53,7 @@
                                         load.server(), new ReceivedLoad(load, context.nowNanos())));
     }
 
-    /** Passes a sum from another failure domain on to the hosts of this one. */
+    /** Forwards totals from another failure domain to the hosts of this one. */
     void forward(DecisionContext context, HostId from, DomainLoads loads, Outbox outbox) {
         EntryHost sender = context.fleet().hosts().get(from);
         Optional<FailureDomain> own = ownDomain(context.fleet());
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Sends what is due; {@code loads} are those of the servers that this host is owner of. */
+    /** Sends the loads and totals that are due; {@code servers} are those that this host owns. */
     void tick(DecisionContext context, Collection<OwnedServer> servers, Outbox outbox) {
         Optional<FailureDomain> own = ownDomain(context.fleet());
         if (own.isEmpty()) {
@@ -80,30 +81,34 @@
             hosts.forEach(host -> outbox.send(host, message));
             nextDetailNanos = context.nowNanos() + detailIntervalNanos(hosts.size(), loads.size());
         }
-        if (due(nextSumNanos, context)) {
-            nextSumNanos = context.nowNanos() + SUM_INTERVAL_NANOS;
+        if (due(nextTotalNanos, context)) {
+            nextTotalNanos = context.nowNanos() + TOTAL_INTERVAL_NANOS;
             if (isDomainSender(hosts, own.get())) {
-                sendSums(context, own.get(), outbox);
+                sendTotals(context, own.get(), outbox);
             }
         }
     }
 
-    /** Returns the load of each model in this host's failure domain, as far as it was received. */
-    List<ModelLoad> sums(DecisionContext context, FailureDomain domain) {
-        received.values().removeIf(h -> context.nowNanos() - h.atNanos() > LOAD_EXPIRY_NANOS);
+    /**
+     * Returns the total load of each model in {@code domain}, over the servers with recent load
+     * reports.
+     */
+    List<ModelLoad> totals(DecisionContext context, FailureDomain domain) {
+        received.values()
+                .removeIf(entry -> context.nowNanos() - entry.receivedNanos() > LOAD_EXPIRY_NANOS);
         Map<ModelId, List<ServerLoad>> byModel = new TreeMap<>();
-        for (ReceivedLoad h : received.values()) {
-            BackendServer server = context.fleet().servers().get(h.load().server());
+        for (ReceivedLoad entry : received.values()) {
+            BackendServer server = context.fleet().servers().get(entry.load().server());
             if (server != null
                     && !server.leaving()
                     && server.domain().equals(domain)
                     && server.target() instanceof Target.Model target) {
-                byModel.computeIfAbsent(target.model(), m -> new ArrayList<>()).add(h.load());
+                byModel.computeIfAbsent(target.model(), m -> new ArrayList<>()).add(entry.load());
             }
         }
-        List<ModelLoad> sums = new ArrayList<>();
-        byModel.forEach((model, loads) -> sums.add(sum(model, loads)));
-        return sums;
+        List<ModelLoad> totals = new ArrayList<>();
+        byModel.forEach((model, loads) -> totals.add(total(model, loads)));
+        return totals;
     }
 
     private static boolean due(long atNanos, DecisionContext context) {
@@ -111,7 +116,7 @@
     }
 
     private static long detailIntervalNanos(int hosts, int loads) {
-        long bytes = (hosts - 1L) * loads * LOAD_BYTES;
+        long bytes = (hosts - 1L) * loads * BYTES_PER_LOAD;
         return Math.max(
                 DETAIL_INTERVAL_NANOS, bytes * 1_000_000_000L / MAX_DETAIL_BYTES_PER_SECOND);
     }
@@ -120,8 +125,8 @@
         return Rendezvous.choose(hosts, domain.value()).filter(self::equals).isPresent();
     }
 
-    private void sendSums(DecisionContext context, FailureDomain own, Outbox outbox) {
-        DomainLoads message = new DomainLoads(own, sums(context, own));
+    private void sendTotals(DecisionContext context, FailureDomain own, Outbox outbox) {
+        DomainLoads message = new DomainLoads(own, totals(context, own));
         Map<FailureDomain, List<HostId>> byDomain = new TreeMap<>();
         for (EntryHost host : context.fleet().hosts().values()) {
             if (host.takesWork() && !host.domain().equals(own)) {
@@ -134,29 +139,31 @@
                                 .ifPresent(host -> outbox.send(host, message)));
     }
 
-    private static ModelLoad sum(ModelId model, List<ServerLoad> loads) {
+    private static ModelLoad total(ModelId model, List<ServerLoad> loads) {
         List<ServerLoad> sorted = new ArrayList<>(loads);
         sorted.sort(
                 Comparator.comparingLong(
-                                (ServerLoad load) -> ServerView.forRank(load.waitMillisByRank(), 0))
+                                (ServerLoad load) ->
+                                        ServerView.waitForRank(load.waitMillisByRank(), 0))
                         .thenComparingInt(ServerLoad::tokenGapMillis)
                         .thenComparingInt(load -> load.running() - load.limit())
                         .thenComparing(ServerLoad::server));
-        int free = 0;
+        int freeSlots = 0;
         for (ServerLoad load : sorted) {
-            free += Math.max(0, load.limit() - load.running());
+            freeSlots += Math.max(0, load.limit() - load.running());
         }
         List<Long> waits = new ArrayList<>();
         for (int rank = 0; rank <= SlotScheduler.PATIENT_RANK; rank++) {
             waits.add(shortestWait(sorted, rank));
         }
-        List<ServerId> best = sorted.stream().limit(BEST_SERVERS).map(ServerLoad::server).toList();
-        return new ModelLoad(model, sorted.size(), free, waits, best);
+        List<ServerId> best =
+                sorted.stream().limit(MAX_BEST_SERVERS).map(ServerLoad::server).toList();
+        return new ModelLoad(model, sorted.size(), freeSlots, waits, best);
     }
 
     private static long shortestWait(List<ServerLoad> loads, int rank) {
         return loads.stream()
-                .mapToLong(load -> ServerView.forRank(load.waitMillisByRank(), rank))
+                .mapToLong(load -> ServerView.waitForRank(load.waitMillisByRank(), rank))
                 .min()
                 .orElse(0);
     }
@@ -173,6 +180,6 @@
                 .toList();
     }
 
-    /** A load and when it came in. */
-    private record ReceivedLoad(ServerLoad load, long atNanos) {}
+    /** A load and the time at which it was received. */
+    private record ReceivedLoad(ServerLoad load, long receivedNanos) {}
 }
--- a/src/main/java/org/orioleshed/routing/OfferAdmission.java
+++ b/src/main/java/org/orioleshed/routing/OfferAdmission.java
@@ -7,7 +7,9 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
-/** Estimates what an offer asks of one backend server, and decides whether it may wait there. */
+/**
+ * Estimates the work of an offer on one backend server, and decides whether it may join the queue.
+ */
 final class OfferAdmission {
     private static final long MAX_REMAINING_MILLIS = 30L * 24 * 3_600_000;
 
@@ -36,7 +38,7 @@
         this.refusals = refusals;
     }
 
-    /** Returns an offer as it would wait here. */
+    /** Returns the queue entry for an offer, with its estimated work. */
     WaitingOffer waiting(DecisionContext context, HostId from, RunId run, Offer offer) {
         long now = context.nowNanos();
         long remainingMillis = Math.clamp(offer.remainingMillis(), -1, MAX_REMAINING_MILLIS);
@@ -54,7 +56,10 @@
                 speed.safeWorkMillis(offer, uncached));
     }
 
-    /** Returns why an offer may not wait; empty when there is time and room for it. */
+    /**
+     * Returns why an offer is refused; empty when its deadline has not passed and the queue has
+     * room.
+     */
     Optional<RefusalReason> refusal(DecisionContext context, WaitingOffer waiting) {
         boolean late = waiting.deadlineNanos() - context.nowNanos() <= 0;
         return late || !hasRoom(context, waiting)
@@ -62,7 +67,10 @@
                 : Optional.empty();
     }
 
-    /** Makes room in a full queue at the cost of lower tiers, as far as there are any. */
+    /**
+     * Makes room in a full queue: refuses a waiting offer of a lower tier, or else preempts the
+     * runs of lower tiers.
+     */
     private boolean hasRoom(DecisionContext context, WaitingOffer waiting) {
         if (queue.size() < limits.queueLength()) {
             return true;
@@ -76,7 +84,7 @@
             refusals.refuse(context, lowerTier.get(), RefusalReason.OVERLOAD);
             return true;
         }
-        // Each run that yields makes room for one more, so the queue stays bounded.
+        // Each preempted run makes room for one more offer, so the queue stays bounded.
         List<ActiveRun> below = preemption.allBelow(waiting.rank());
         below.forEach(run -> runs.preempt(context.nowNanos(), run, "queue-full"));
         return !below.isEmpty();
--- a/src/main/java/org/orioleshed/routing/OfferQueue.java
+++ b/src/main/java/org/orioleshed/routing/OfferQueue.java
@@ -14,8 +14,8 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * The offers that wait for one backend server, by tier. Under {@link Policy#NAIVE} all share one
- * tier and one workspace's order: first in, first out.
+ * The offers that wait for one backend server, by tier. Under {@link Policy#NAIVE} all offers are
+ * in a single tier, first in, first out.
  */
 final class OfferQueue {
     private final Policy policy;
@@ -58,13 +58,13 @@
         return Optional.ofNullable(waiting);
     }
 
-    /** Removes an offer that gets a place. */
+    /** Removes an offer that is granted a slot, and charges its workspace. */
     void take(WaitingOffer waiting) {
         tiers.get(rankOf(waiting)).take(waiting);
         byRun.remove(waiting.run());
     }
 
-    /** Notes that a place given by {@link #take} was not used. */
+    /** Refunds the charge of {@link #take} for a slot that was not used. */
     void refund(WaitingOffer waiting) {
         FairQueue tier = tiers.get(rankOf(waiting));
         if (tier != null) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Returns the tiers that have offers waiting, the most urgent first. */
+    /** Returns the ranks of the tiers with waiting offers, the most urgent first. */
     List<Integer> ranks() {
         List<Integer> ranks = new ArrayList<>();
         tiers.forEach(
@@ -88,7 +88,10 @@
         return tiers.computeIfAbsent(rank, r -> new FairQueue(order()));
     }
 
-    /** Returns the last offer of the least urgent tier, if that tier is below {@code rank}. */
+    /**
+     * Returns the last offer of the least urgent tier, if that tier is less urgent than {@code
+     * rank}.
+     */
     Optional<WaitingOffer> leastUrgentBelow(int rank) {
         return ranks().reversed().stream()
                 .filter(lower -> lower > rank)
@@ -96,12 +99,15 @@
                 .flatMap(lower -> tiers.get(lower).latest());
     }
 
-    /** Returns the expected work of all that goes before a new offer of {@code rank}. */
+    /** Returns the expected work of the tiers up to {@code rank}, in milliseconds. */
     long workMillisUpTo(int rank) {
         return tiers.headMap(rank, true).values().stream().mapToLong(FairQueue::workMillis).sum();
     }
 
-    /** Returns the offer whose turn it is when tiers and windows don't matter. */
+    /**
+     * Returns the earliest offer of the most urgent tier, regardless of fair shares and patience
+     * windows.
+     */
     Optional<WaitingOffer> firstOfAll() {
         return ranks().stream().findFirst().flatMap(rank -> tiers.get(rank).earliest());
     }
--- a/src/main/java/org/orioleshed/routing/Outbox.java
+++ b/src/main/java/org/orioleshed/routing/Outbox.java
@@ -17,7 +17,8 @@
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
 /**
- * Collects the actions of one event; remembers the latest grants, and how the latest runs ended.
+ * Collects the actions of one event, and keeps a bounded history of grants and of the ends of runs,
+ * to answer repeated messages.
  */
 final class Outbox {
     private static final int MAX_ENTRIES = 4_096;
@@ -26,7 +27,7 @@
     private final Set<RunId> granted = Collections.newSetFromMap(new BoundedMap<>());
     private List<HostAction> actions = new ArrayList<>();
 
-    /** What is known of the latest runs. */
+    /** A map that evicts its oldest entry when full. */
     private static final class BoundedMap<V> extends LinkedHashMap<RunId, V> {
         private static final long serialVersionUID = 1L;
 
@@ -47,7 +48,10 @@
         return Optional.ofNullable(ends.get(run));
     }
 
-    /** Returns whether this process granted the run a place, as far as it remembers. */
+    /**
+     * Returns whether this process granted the run a slot; false once the grant is evicted from the
+     * history.
+     */
     boolean wasGranted(RunId run) {
         return granted.contains(run);
     }
--- a/src/main/java/org/orioleshed/routing/OwnedServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -13,7 +13,10 @@
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 
-/** One backend server on its owner: who waits for it, and who gets its next place. */
+/**
+ * The state of one backend server on its owner: the queue of offers, the slots, the runs and the
+ * estimates.
+ */
 final class OwnedServer {
     private final Outbox outbox;
     private final OfferQueue queue;
@@ -60,18 +63,19 @@
         return server;
     }
 
-    /** Takes over a change of the server's settings. */
-    void change(BackendServer now) {
-        if (!now.version().equals(server.version()) || !now.target().equals(server.target())) {
-            prefixes.reset(now.cacheTokens());
+    /** Applies a change of the server's settings. */
+    void update(BackendServer updated) {
+        if (!updated.version().equals(server.version())
+                || !updated.target().equals(server.target())) {
+            prefixes.reset(updated.cacheTokens());
             speed.clear();
         }
-        server = now;
-        speed.setServer(now);
-        limit.setSlots(now.places());
+        server = updated;
+        speed.setServer(updated);
+        limit.setSlots(updated.places());
     }
 
-    /** Takes offers from now on. */
+    /** Starts to take offers. */
     void open() {
         closed = Optional.empty();
     }
@@ -80,18 +84,18 @@
         return closed.isEmpty();
     }
 
-    /** Takes no more offers and turns down those that wait; what runs goes on. */
+    /** Stops taking offers and refuses those that wait; active runs continue. */
     void close(DecisionContext context, RefusalReason reason) {
         closed = Optional.of(reason);
         refusals.refuseAll(context, reason);
     }
 
-    /** Returns whether no accepting host waits for anything here. */
+    /** Returns whether no accepting host waits for a response from this server. */
     boolean isIdle() {
         return queue.size() == 0 && slots.isIdle();
     }
 
-    /** Returns whether nothing waits, runs or has a place reserved. */
+    /** Returns whether there are no waiting offers, reservations or runs. */
     boolean isEmpty() {
         return queue.size() == 0 && slots.isEmpty();
     }
@@ -102,7 +106,7 @@
         }
         Optional<Slots.Reservation> reservation = slots.reservation(run);
         if (reservation.isPresent()) {
-            granter.repeat(context, reservation.get());
+            granter.resendGrant(context, reservation.get());
             return;
         }
         WaitingOffer waiting = offerAdmission.waiting(context, from, run, offer);
@@ -119,7 +123,7 @@
 
     void withdrawn(DecisionContext context, RunId run) {
         queue.remove(run);
-        slots.release(run).ifPresent(unused -> scheduler.unused(unused.waiting()));
+        slots.release(run).ifPresent(unused -> scheduler.refund(unused.waiting()));
         dispatch(context);
     }
 
@@ -137,12 +141,15 @@
         runs.start(context.nowNanos(), reservation.get().waiting(), message, server.canResume());
     }
 
-    /** Returns whether the run was here. */
+    /** Returns whether the run is on this server. */
     boolean credit(DecisionContext context, RunId run, int tokens) {
         return runs.credit(context.nowNanos(), run, tokens);
     }
 
-    /** Stops a run on the accepting host's wish; returns whether it was here. */
+    /**
+     * Cancels a run or a waiting offer at the accepting host's request; returns whether it was on
+     * this server.
+     */
     boolean cancelled(DecisionContext context, RunId run) {
         if (slots.run(run).isPresent()) {
             runs.stop(context.nowNanos(), slots.run(run).get(), ActiveRun.StopReason.REQUESTED);
@@ -151,7 +158,7 @@
         Optional<WaitingOffer> dropped = queue.remove(run);
         if (dropped.isEmpty()) {
             dropped = slots.release(run).map(Slots.Reservation::waiting);
-            dropped.ifPresent(scheduler::unused);
+            dropped.ifPresent(scheduler::refund);
         }
         dropped.ifPresent(w -> outbox.sendEnded(w.from(), run, new RunEnd.NeverStarted()));
         dispatch(context);
@@ -193,7 +200,7 @@
         prefixes.reported(report.stored(), report.evicted(), report.gap());
     }
 
-    /** Forgets what waits and stops what runs for hosts that are gone. */
+    /** Drops the offers and reservations, and stops the runs, of accepting hosts that are gone. */
     void hostsGone(DecisionContext context, Predicate<RunId> gone) {
         for (WaitingOffer waiting : List.copyOf(queue.all())) {
             if (gone.test(waiting.run())) {
@@ -214,7 +221,7 @@
     }
 
     void tick(DecisionContext context) {
-        refusals.refuseLate(context);
+        refusals.refuseExpired(context);
         granter.expire(context);
         runs.tick(context.nowNanos());
         limit.tick(context.nowNanos(), slots.inFlight(), queue.size() > 0);
@@ -225,7 +232,7 @@
 
     ServerLoad load(DecisionContext context) {
         long now = context.nowNanos();
-        boolean held = backoff.active(now);
+        boolean backingOff = backoff.active(now);
         List<Long> waitMillis = new ArrayList<>();
         for (long wait : waits.byRank(now, limit.current(), limit.slots())) {
             waitMillis.add(wait + backoff.remainingMillis(now));
@@ -233,20 +240,22 @@
         return new ServerLoad(
                 id(),
                 slots.inFlight(),
-                held ? 0 : limit.current(),
+                backingOff ? 0 : limit.current(),
                 waitMillis,
                 speed.prefillTokensPerSecond(),
                 (int) (speed.gapMicrosNow() / 1_000));
     }
 
-    /** Returns why the server takes no offers now; empty when it does. */
+    /** Returns why the server takes no offers at present; empty when it does. */
     private Optional<RefusalReason> refusal(DecisionContext context) {
-        boolean held = backoff.active(context.nowNanos());
-        return closed.or(() -> held ? Optional.of(RefusalReason.NO_SERVER) : Optional.empty());
+        boolean backingOff = backoff.active(context.nowNanos());
+        return closed.or(
+                () -> backingOff ? Optional.of(RefusalReason.NO_SERVER) : Optional.empty());
     }
 
     /**
-     * Gives the free places; stops runs of lower tiers at once when urgent work fills the queue.
+     * Grants the free slots; preempts runs of lower tiers without delay when at least as many
+     * urgent offers wait as slots are in use.
      */
     private void dispatch(DecisionContext context) {
         if (refusal(context).isPresent()) {
@@ -263,7 +272,7 @@
         int allowed = scheduler.allowance(0, now, limit.current(), limit.slots());
         int free = Math.max(0, allowed - slots.inFlight()) + scheduler.freedForUrgent();
         for (ActiveRun victim : preemption.victims(context, free)) {
-            runs.preempt(now, victim, "place-needed");
+            runs.preempt(now, victim, "slot-needed");
         }
     }
 }
--- a/src/main/java/org/orioleshed/routing/OwnerCore.java
+++ b/src/main/java/org/orioleshed/routing/OwnerCore.java
@@ -22,16 +22,16 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
 /**
- * The owner's side of routing on one entry host: keeps the queue, the places and the estimates of
- * each backend server that this host is owner of. Owned by one thread.
+ * The owner's side of routing on one entry host: the queue, the slots and the estimates of each
+ * backend server that this host owns. Not thread-safe.
  *
- * <p>Events that are none of its business are ignored, so a host may pass it all of them. Messages
- * may be lost, repeated or reordered. It sends messages to its own host in the same way as to
- * others. After {@link HostEvent.DrainRequested} it says {@link HostAction.Drained} once, when no
- * accepting host waits for anything here any more.
+ * <p>Unrelated events are ignored, so a host may pass all its events. Messages may be lost,
+ * repeated or reordered. Messages to its own host are sent in the same way as to others. After
+ * {@link HostEvent.DrainRequested} it emits {@link HostAction.Drained} once, when no accepting host
+ * waits for a response any more.
  */
 public final class OwnerCore implements StateMachine<HostEvent, HostAction> {
-    /** The end of a run that may still be on an engine. */
+    /** The end reported for a run that may still be on an engine. */
     private static final RunEnd UNKNOWN_END = new RunEnd.Broken(false, false);
 
     private final HostId self;
@@ -49,14 +49,14 @@
     private long wallClockSetNanos;
 
     /**
-     * Makes a core that is owner of no server until it hears of the fleet snapshot.
+     * Creates a core that owns no server until it receives a fleet snapshot.
      *
-     * @param self the host that it runs on
+     * @param self the host that this core runs on
      * @param limits the policy and its bounds
      */
     public OwnerCore(HostId self, RoutingLimits limits) {
         if (self == null || limits == null) {
-            throw new IllegalArgumentException("self and limits must be given");
+            throw new IllegalArgumentException("self and limits must not be null");
         }
         this.self = self;
         this.limits = limits;
@@ -94,13 +94,13 @@
         return outbox.drain();
     }
 
-    /** Returns whether nothing waits or runs here for any accepting host. */
+    /** Returns whether no accepting host waits for a response from this owner. */
     public boolean isIdle() {
         return servers.values().stream().allMatch(OwnedServer::isIdle);
     }
 
     /**
-     * Returns the loads of the servers that this host is owner of.
+     * Returns the loads of the servers that this host owns and that take offers.
      *
      * @param nowNanos the time on the host's monotonic clock
      */
@@ -111,14 +111,14 @@
     }
 
     /**
-     * Returns the load of each model in this host's failure domain, as its owners told it lately;
-     * empty while the host does not know its own failure domain.
+     * Returns the load of each model in this host's failure domain, from the latest reports of its
+     * owners; empty while the fleet snapshot lacks this host.
      *
      * @param nowNanos the time on the host's monotonic clock
      */
     public List<ModelLoad> modelLoads(long nowNanos) {
         EntryHost own = fleet.hosts().get(self);
-        return own == null ? List.of() : loadExchange.sums(context(nowNanos), own.domain());
+        return own == null ? List.of() : loadExchange.totals(context(nowNanos), own.domain());
     }
 
     private DecisionContext context(long nowNanos) {
@@ -211,19 +211,20 @@
         if (found) {
             return;
         }
-        // A run that this incarnation never saw may still be on an engine since an earlier one.
+        // A run unknown to this incarnation may have been started by an earlier one and still be on
+        // an engine.
         RunEnd end = outbox.endOf(run).orElse(UNKNOWN_END);
         outbox.sendEnded(from, run, end);
     }
 
-    private void fleetChanged(long nowNanos, FleetSnapshot now) {
-        fleet = now;
-        owners = owners.withFleet(now);
+    private void fleetChanged(long nowNanos, FleetSnapshot newFleet) {
+        fleet = newFleet;
+        owners = owners.withFleet(newFleet);
         DecisionContext context = context(nowNanos);
         for (OwnedServer server : List.copyOf(servers.values())) {
             updateServer(context, server);
         }
-        for (BackendServer server : now.servers().values()) {
+        for (BackendServer server : newFleet.servers().values()) {
             if (isOwner(server.id()) && !server.leaving() && !servers.containsKey(server.id())) {
                 OwnedServer owned = new OwnedServer(limits, speedHistory, outbox, server);
                 servers.put(server.id(), owned);
@@ -235,11 +236,11 @@
         servers.values().removeIf(s -> !s.isOpen() && s.isEmpty());
     }
 
-    /** Opens or closes a server as the fleet snapshot now has it. */
+    /** Updates a server from the fleet snapshot, and opens or closes it. */
     private void updateServer(DecisionContext context, OwnedServer owned) {
         BackendServer server = fleet.servers().get(owned.id());
         if (server != null) {
-            owned.change(server);
+            owned.update(server);
         }
         if (server == null || server.leaving()) {
             owned.close(context, RefusalReason.NO_SERVER);
--- a/src/main/java/org/orioleshed/routing/Policy.java
+++ b/src/main/java/org/orioleshed/routing/Policy.java
@@ -1,13 +1,13 @@
 package org.orioleshed.routing;
 
-/** Which decisions place requests. */
+/** The policy by which requests are placed. */
 public enum Policy {
     /** Tiers, fairness, deadlines, adaptive limits, prefix affinity and preemption. */
     ORIOLESHED,
 
     /**
-     * The plain way, kept to measure against: servers in turn, first in first out, no preemption,
-     * no limit but the server's places, no affinity.
+     * The baseline for comparisons: round-robin over servers, first in, first out, no preemption,
+     * no limit but the server's slots, no prefix affinity.
      */
     NAIVE
 }
--- a/src/main/java/org/orioleshed/routing/Preemption.java
+++ b/src/main/java/org/orioleshed/routing/Preemption.java
@@ -5,17 +5,22 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * Chooses the runs that give their places to urgent requests: those of the lowest tier first, and
- * among them those whose stop wastes least.
+ * Chooses the runs to preempt for urgent requests: those of the lowest tier first, and within a
+ * tier those with the least wasted work.
  */
 final class Preemption {
     private static final double SAFETY_FACTOR = 1.25;
     private static final long REQUEUE_MILLIS = 500;
 
-    /** An engine that did not confirm a cancel for so long is not counted on. */
+    /**
+     * A cancel that the engine has not confirmed after this time no longer counts as a slot
+     * becoming free.
+     */
     private static final long CANCEL_CONFIRM_NANOS = 500_000_000L;
 
-    /** How long an urgent request waits at least for a place to become free by itself. */
+    /**
+     * The minimum time that an urgent request waits for a slot to become free before it preempts.
+     */
     private static final long MIN_DELAY_MILLIS = 100;
 
     private static final long DELAY_JITTER_MILLIS = 300;
@@ -40,9 +45,9 @@
     }
 
     /**
-     * Returns the runs to stop now.
+     * Returns the runs to preempt now.
      *
-     * @param free places that urgent work may take without any stop
+     * @param free slots that urgent requests may take without preemption
      */
     List<ActiveRun> victims(DecisionContext context, int free) {
         if (limits.policy() == Policy.NAIVE || slots.running().isEmpty()) {
@@ -58,7 +63,7 @@
         return choose(context, needed, lastResort);
     }
 
-    /** Returns all runs of lower tiers than {@code rank}, the protected ones included. */
+    /** Returns all runs of less urgent tiers than {@code rank}, including protected ones. */
     List<ActiveRun> allBelow(int rank) {
         if (limits.policy() == Policy.NAIVE) {
             return List.of();
@@ -81,10 +86,10 @@
     }
 
     private boolean needsPreemption(WaitingOffer waiting, DecisionContext context) {
-        // Owners that hold the same offer wait for different times, so that not all of them
+        // The delay varies between the owners that hold the same offer, so that not all of them
         // preempt.
-        long spread = HashMix.mix(salt ^ waiting.run().hashCode());
-        long delayMillis = MIN_DELAY_MILLIS + Math.floorMod(spread, DELAY_JITTER_MILLIS);
+        long hash = HashMix.mix(salt ^ waiting.run().hashCode());
+        long delayMillis = MIN_DELAY_MILLIS + Math.floorMod(hash, DELAY_JITTER_MILLIS);
         return queue.size(0) >= slots.inFlight()
                 || -context.millisUntil(waiting.queuedNanos()) >= delayMillis
                 || wouldBeShed(waiting, context);
@@ -96,18 +101,19 @@
     }
 
     /**
-     * Returns whether a run must be let alone unless an urgent request would be shed otherwise: it
-     * was preempted often enough, or it would miss a deadline that it can meet if it goes on.
+     * Returns whether a run may be preempted only if an urgent request would otherwise be shed: it
+     * has reached the maximum number of preemptions, or preemption would make it miss a deadline
+     * that it can meet otherwise.
      */
     boolean isProtected(ActiveRun run, DecisionContext context) {
         if (run.waiting().offer().preemptions() >= limits.maxPreemptions()) {
             return true;
         }
-        long remaining = speed.remainingMillis(run, context.nowNanos());
-        long restartMillis = remaining + speed.wasteMillis(run, context.nowNanos());
+        long remainingMillis = speed.remainingMillis(run, context.nowNanos());
+        long restartMillis = remainingMillis + speed.wasteMillis(run, context.nowNanos());
         long leftMillis = context.millisUntil(run.waiting().deadlineNanos());
-        boolean meetsDeadline = leftMillis >= remaining;
-        boolean wouldMiss = leftMillis < restartMillis * SAFETY_FACTOR + REQUEUE_MILLIS;
-        return meetsDeadline && wouldMiss;
+        boolean meetsDeadline = leftMillis >= remainingMillis;
+        boolean restartMissesDeadline = leftMillis < restartMillis * SAFETY_FACTOR + REQUEUE_MILLIS;
+        return meetsDeadline && restartMissesDeadline;
     }
 }
--- a/src/main/java/org/orioleshed/routing/PrefixHistory.java
+++ b/src/main/java/org/orioleshed/routing/PrefixHistory.java
@@ -7,7 +7,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Work;
 
-/** Remembers which servers were sent which prompt prefixes, bounded, the oldest forgotten first. */
+/** Records which servers were sent which prompt prefixes, in a bounded least-recently-used map. */
 final class PrefixHistory {
     private final Lru lru;
 
@@ -15,17 +15,17 @@
         lru = new Lru(maxBlocks);
     }
 
-    /** Notes that {@code server} was sent the prefixes. */
+    /** Records that {@code server} was sent the prefixes. */
     void sent(ServerId server, List<Long> prefixHashes) {
         for (Long hash : prefixHashes) {
-            Holders before = lru.get(hash);
-            lru.put(hash, before == null ? new Holders(server, server) : before.with(server));
+            Holders previous = lru.get(hash);
+            lru.put(hash, previous == null ? new Holders(server, server) : previous.with(server));
         }
     }
 
     /**
-     * Returns, for each server that was sent a leading part of the prompt, the length of the
-     * longest such part in tokens.
+     * Returns the length in tokens of the longest prefix of the prompt that each server was sent,
+     * for the last two servers of each prefix.
      *
      * @param prefixHashes the prompt's prefixes, the shortest first
      */
--- a/src/main/java/org/orioleshed/routing/PrefixIndex.java
+++ b/src/main/java/org/orioleshed/routing/PrefixIndex.java
@@ -7,8 +7,9 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 
 /**
- * The owner's picture of one backend server's prefix cache: what was sent there, the least recently
- * used forgotten first at the cache's own size, corrected by the engine's reports.
+ * The owner's estimate of one backend server's prefix cache: the prefixes that were sent to it,
+ * evicted in least-recently-used order at the size of the cache, and corrected by the engine's
+ * reports.
  */
 final class PrefixIndex {
     private static final double CONFIDENCE_AFTER_GAP = 0.5;
@@ -30,21 +31,24 @@
         maxBlocks = cacheTokens / Work.PREFIX_BLOCK_TOKENS;
     }
 
-    /** Forgets all and starts anew with a cache of another size. */
+    /** Clears the index and sets the size of the cache. */
     void reset(long cacheTokens) {
         clear();
         maxBlocks = cacheTokens / Work.PREFIX_BLOCK_TOKENS;
     }
 
-    /** Notes that a prompt was sent to the engine. */
+    /** Records that a prompt was sent to the engine. */
     void sent(List<Long> prefixHashes) {
-        // The longest prefix first, so that the shared short ones are the last to be forgotten.
+        // The longest prefix first, so that the short, shared ones are evicted last.
         for (Long hash : prefixHashes.reversed()) {
             blocks.put(hash, true);
         }
     }
 
-    /** Corrects the picture by a report of the engine; after a gap it is trusted by half. */
+    /**
+     * Applies a cache report of the engine. A gap in the reports halves the confidence in the
+     * index.
+     */
     void reported(List<Long> stored, List<Long> evicted, boolean gap) {
         evicted.forEach(blocks::remove);
         stored.forEach(hash -> blocks.put(hash, true));
@@ -52,13 +56,13 @@
                 gap ? confidence * CONFIDENCE_AFTER_GAP : Math.min(1, confidence + CONFIDENCE_STEP);
     }
 
-    /** Forgets all: the engine lost its cache. */
+    /** Clears the index after the engine has lost its cache. */
     void clear() {
         blocks.clear();
         confidence = 1;
     }
 
-    /** Returns how many leading tokens of the prompt are expected in the cache. */
+    /** Returns the number of leading tokens of the prompt that are expected in the cache. */
     int cachedTokens(List<Long> prefixHashes) {
         int leading = 0;
         while (leading < prefixHashes.size() && blocks.containsKey(prefixHashes.get(leading))) {
@@ -67,7 +71,7 @@
         return (int) (leading * Work.PREFIX_BLOCK_TOKENS * confidence);
     }
 
-    /** Returns how many tokens of the prompt are not expected in the cache. */
+    /** Returns the number of tokens of the prompt that are not expected in the cache. */
     int uncachedTokens(Offer offer) {
         return Math.max(0, offer.promptTokens() - cachedTokens(offer.prefixHashes()));
     }
--- a/src/main/java/org/orioleshed/routing/Quantiles.java
+++ b/src/main/java/org/orioleshed/routing/Quantiles.java
@@ -3,7 +3,10 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.IntCountsHistogram;
 
-/** Quantiles of the latest samples: the older half is forgotten as new ones come in. */
+/**
+ * Quantiles over a sliding window of samples: when the current half is full, the older half is
+ * discarded.
+ */
 final class Quantiles {
     private static final int HALF_SAMPLES = 512;
     private static final int REFRESH_SAMPLES = 16;
@@ -17,7 +20,7 @@
     private long p90;
     private long mean;
 
-    /** Makes one for values from 0 to {@code maxValue}; larger ones count as {@code maxValue}. */
+    /** Creates quantiles for values from 0 to {@code maxValue}; values outside are clamped. */
     Quantiles(long maxValue) {
         this.maxValue = maxValue;
         current = new IntCountsHistogram(maxValue, SIGNIFICANT_DIGITS);
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Returns the number of samples that the quantiles stand on. */
+    /** Returns the number of samples in the window. */
     long count() {
         return current.getTotalCount() + previous.getTotalCount();
     }
--- a/src/main/java/org/orioleshed/routing/Refusals.java
+++ b/src/main/java/org/orioleshed/routing/Refusals.java
@@ -4,7 +4,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
-/** Turns offers for one backend server down, and says how long the wait for it is. */
+/** Refuses offers for one backend server, with the expected wait. */
 final class Refusals {
     private final ServerId server;
     private final Outbox outbox;
@@ -31,7 +31,7 @@
         this.limit = limit;
     }
 
-    /** Turns down an offer that is not in the queue. */
+    /** Refuses an offer that is not in the queue. */
     void refuse(DecisionContext context, WaitingOffer waiting, RefusalReason reason) {
         long now = context.nowNanos();
         long waitMillis =
@@ -43,15 +43,15 @@
                 waiting.offer().tier(),
                 server,
                 reason,
-                lowerTierIsHere(waiting.rank()),
+                hasLowerTier(waiting.rank()),
                 waitMillis);
     }
 
-    private boolean lowerTierIsHere(int rank) {
+    private boolean hasLowerTier(int rank) {
         return slots.holdsLowerTier(rank) || queue.leastUrgentBelow(rank).isPresent();
     }
 
-    /** Turns down all that waits. */
+    /** Refuses all waiting offers. */
     void refuseAll(DecisionContext context, RefusalReason reason) {
         for (WaitingOffer waiting : List.copyOf(queue.all())) {
             queue.remove(waiting.run());
@@ -59,8 +59,8 @@
         }
     }
 
-    /** Turns down what waits past its deadline. */
-    void refuseLate(DecisionContext context) {
+    /** Refuses waiting offers whose deadline has passed. */
+    void refuseExpired(DecisionContext context) {
         for (WaitingOffer waiting : List.copyOf(queue.all())) {
             if (waiting.deadlineNanos() - context.nowNanos() <= 0) {
                 queue.remove(waiting.run());
--- a/src/main/java/org/orioleshed/routing/RoutingLimits.java
+++ b/src/main/java/org/orioleshed/routing/RoutingLimits.java
@@ -1,22 +1,22 @@
 package org.orioleshed.routing;
 
 /**
- * The bounds and targets that routing decisions keep to.
+ * The limits and latency targets of routing decisions.
  *
- * @param policy which decisions place requests
+ * @param policy the policy by which requests are placed
  * @param firstTokenMillis the target for the time to the first token at the 95th percentile, in
  *     milliseconds, positive
  * @param tokenGapMillis the target for the time between tokens at the 95th percentile, in
  *     milliseconds, positive
- * @param queueLength the most offers that wait for one backend server, positive
- * @param reservationMillis how long a granted place is kept for its request, in milliseconds,
+ * @param queueLength the maximum number of offers that wait for one backend server, positive
+ * @param reservationMillis how long a granted slot is reserved for its request, in milliseconds,
  *     positive
- * @param maxPreemptions how often one request may be preempted before only a request that would
- *     otherwise be shed may preempt it again, not negative
- * @param firstTokenSilenceMillis a run without a first token for so long is given up, in
+ * @param maxPreemptions the number of preemptions after which a request may be preempted only for
+ *     an urgent request that would otherwise be shed, not negative
+ * @param firstTokenSilenceMillis the time without a first token after which a run is cancelled, in
+ *     milliseconds, positive
+ * @param tokenSilenceMillis the time between tokens after which a run is cancelled, in
  *     milliseconds, positive
- * @param tokenSilenceMillis a started run without a token for so long is given up, in milliseconds,
- *     positive
  */
 public record RoutingLimits(
         Policy policy,
@@ -31,10 +31,10 @@
     public static final RoutingLimits DEFAULTS =
             new RoutingLimits(Policy.ORIOLESHED, 1_600, 79, 1_024, 1_000, 2, 20_000, 5_000);
 
-    /** Checks the arguments. */
+    /** Checks that the policy is given and that all numbers are in range. */
     public RoutingLimits {
         if (policy == null) {
-            throw new IllegalArgumentException("policy must be given");
+            throw new IllegalArgumentException("policy must not be null");
         }
         requirePositive("firstTokenMillis", firstTokenMillis);
         requirePositive("tokenGapMillis", tokenGapMillis);
@@ -44,7 +44,7 @@
         requirePositive("tokenSilenceMillis", tokenSilenceMillis);
         if (maxPreemptions < 0) {
             throw new IllegalArgumentException(
-                    "maxPreemptions must not be negative: " + maxPreemptions);
+                    "maxPreemptions must not be negative, found " + maxPreemptions);
         }
     }
 
@@ -63,7 +63,7 @@
 
     private static void requirePositive(String name, int value) {
         if (value <= 0) {
-            throw new IllegalArgumentException(name + " must be positive: " + value);
+            throw new IllegalArgumentException(name + " must be positive, found " + value);
         }
     }
 }
--- a/src/main/java/org/orioleshed/routing/ServerBackoff.java
+++ b/src/main/java/org/orioleshed/routing/ServerBackoff.java
@@ -1,20 +1,20 @@
 package org.orioleshed.routing;
 
 /**
- * Keeps new work from an engine that went down or fails at once, for a time that doubles with each
- * failure; then lets one run try it.
+ * Exponential backoff for an engine that crashed, is unreachable, or returns consecutive errors. No
+ * new runs start during the backoff; a single run then probes the engine.
  */
 final class ServerBackoff {
     private static final long INITIAL_BACKOFF_NANOS = 250_000_000L;
     private static final int MAX_DOUBLINGS = 5;
-    private static final int CONSECUTIVE_ERRORS = 3;
+    private static final int ERRORS_PER_FAILURE = 3;
 
     private int failures;
     private int errors;
     private long untilNanos;
     private boolean probing;
 
-    /** Notes that the engine went down or could not be reached. */
+    /** Records that the engine crashed or could not be reached. */
     void failed(long nowNanos) {
         if (active(nowNanos)) {
             return;
@@ -25,15 +25,15 @@
         probing = true;
     }
 
-    /** Notes an error of the engine; several in a row count as a failure. */
+    /** Records an engine error; several consecutive errors count as a failure. */
     void errored(long nowNanos) {
         errors++;
-        if (errors >= CONSECUTIVE_ERRORS) {
+        if (errors >= ERRORS_PER_FAILURE) {
             failed(nowNanos);
         }
     }
 
-    /** Notes that the engine does work. */
+    /** Records that the engine is working, and ends the backoff. */
     void succeeded() {
         failures = 0;
         errors = 0;
@@ -44,7 +44,7 @@
         return failures > 0 && untilNanos - nowNanos > 0;
     }
 
-    /** Returns whether the engine has yet to show that it works again. */
+    /** Returns whether no run has succeeded since the last failure. */
     boolean probing() {
         return probing;
     }
--- a/src/main/java/org/orioleshed/routing/ServerChooser.java
+++ b/src/main/java/org/orioleshed/routing/ServerChooser.java
@@ -25,17 +25,23 @@
 
 /**
  * Chooses, on the host that accepted a request, the backend servers to offer it to. The score of a
- * server is the expected wait, the prefill of what is not cached there, and the time that the
- * answer takes at the server's present speed. Owned by one thread.
+ * server is the sum of the expected wait, the prefill time of the uncached part of the prompt, and
+ * the generation time of the answer at the server's current speed. Not thread-safe.
  */
 public final class ServerChooser {
     private static final int MAX_PREFIX_BLOCKS = 1 << 15;
     private static final int DEFAULT_TOKENS = 150;
 
-    /** The most servers of one failure domain that are scored for one choice. */
+    /**
+     * The maximum number of servers scored for one request, separately in the own and in all remote
+     * failure domains.
+     */
     private static final int MAX_SAMPLED_SERVERS = 32;
 
-    /** Scores closer than this are equal, so that hosts with the same reports spread out. */
+    /**
+     * Scores are compared in steps of this size, so that hosts with the same load reports choose
+     * different servers.
+     */
     private static final long SCORE_STEP_MILLIS = 10;
 
     private static final long REMOTE_DOMAIN_MILLIS = 20;
@@ -52,7 +58,7 @@
     private long nextIndex;
 
     /**
-     * Makes a chooser that knows nothing yet.
+     * Creates a chooser without load reports.
      *
      * @param self the host that accepts the requests
      * @param limits the policy and its targets
@@ -63,8 +69,8 @@
     }
 
     /**
-     * Learns from a message: loads, and refusals of servers that can't take work. Others are
-     * ignored.
+     * Updates the server views from load reports, and from refusals by servers that take no work.
+     * Other messages are ignored.
      *
      * @param nowNanos the time on the host's monotonic clock
      * @param message the message
@@ -79,18 +85,18 @@
     }
 
     /**
-     * Notes that a request was placed on {@code server}: its prefixes will be cached there.
+     * Records that a request was placed on {@code server}, which will cache its prefixes.
      *
-     * @param server the server that granted a place
+     * @param server the server that granted a slot
      * @param prefixHashes the request's prefixes, as in {@link Work.Generate}
      */
     public void placed(ServerId server, List<Long> prefixHashes) {
         prefixes.sent(server, prefixHashes);
-        index.server(server).ifPresent(ServerView::sent);
+        index.server(server).ifPresent(ServerView::recordSent);
     }
 
     /**
-     * Notes the length of a whole answer, to estimate others on the same route.
+     * Records the length of a whole answer, to estimate the answers on the same route.
      *
      * @param route the route
      * @param tokens the length, in tokens
@@ -101,27 +107,28 @@
 
     /**
      * Returns the expected length of the answer to {@code request}, in tokens: the mean on its
-     * route, at most what the caller takes; zero for a call to a plain service.
+     * route, at most the request's output limit; zero for a call to a plain service.
      */
     public int expectedTokens(Request request) {
         if (!(request.work() instanceof Work.Generate generate)) {
             return 0;
         }
         LengthEstimate estimate = lengths.get(request.route());
-        int expected = estimate == null ? DEFAULT_TOKENS : estimate.mean();
+        int expected = estimate == null ? DEFAULT_TOKENS : estimate.meanTokens();
         return Math.min(expected, generate.maxOutputTokens());
     }
 
     /**
-     * Returns servers for {@code request}, the best first; the one that holds most of its prompt in
-     * its cache is among them when more than one is asked for. Empty when no server of the route
-     * takes work.
+     * Returns servers for {@code request}, the best first. When more than one is requested, the
+     * server with the longest cached prefix of the prompt is included. Empty when no server of the
+     * route takes work.
      *
-     * @param fleet the fleet as this host knows it
+     * @param fleet the host's current fleet snapshot
      * @param request the request
-     * @param version the version to run, or empty when any will do
+     * @param version the version to run, or empty for any version
      * @param excluded servers that must not be returned
-     * @param count the most servers to return, positive; {@link Integer#MAX_VALUE} for all
+     * @param count the maximum number of servers to return, positive; {@link Integer#MAX_VALUE} for
+     *     all
      * @param nowNanos the time on the host's monotonic clock
      */
     public List<Candidate> choose(
@@ -132,7 +139,7 @@
             int count,
             long nowNanos) {
         if (count <= 0) {
-            throw new IllegalArgumentException("count must be positive: " + count);
+            throw new IllegalArgumentException("count must be positive, found " + count);
         }
         index = index.withFleet(self, fleet);
         Route route = fleet.routes().get(request.route());
@@ -190,24 +197,25 @@
         ServerId id = view.server().id();
         int cached = scoring.cached().getOrDefault(id, 0);
         int uncached = Math.max(0, scoring.promptTokens() - cached);
-        long wait = view.waitMillis(scoring.rank());
-        long gap = view.tokenGapMillis();
-        long score = wait + view.prefillMillis(uncached) + scoring.outputTokens() * gap;
-        if (scoring.rank() == 0 && gap > limits.tokenGapMillis()) {
-            score += SLOW_STREAM_PENALTY_MILLIS;
+        long waitMillis = view.waitMillis(scoring.rank());
+        long gapMillis = view.tokenGapMillis();
+        long scoreMillis =
+                waitMillis + view.prefillMillis(uncached) + scoring.outputTokens() * gapMillis;
+        if (scoring.rank() == 0 && gapMillis > limits.tokenGapMillis()) {
+            scoreMillis += SLOW_STREAM_PENALTY_MILLIS;
         }
         EntryHost owner = scoring.fleet().hosts().get(view.owner());
         if (owner == null || owner.state() == EntryHost.State.SUSPECT) {
-            score += SUSPECT_PENALTY_MILLIS;
+            scoreMillis += SUSPECT_PENALTY_MILLIS;
         }
         if (view.avoided(scoring.nowNanos())) {
-            score += SUSPECT_PENALTY_MILLIS;
+            scoreMillis += SUSPECT_PENALTY_MILLIS;
         }
         EntryHost own = scoring.fleet().hosts().get(self);
         if (own != null && !own.domain().equals(view.server().domain())) {
-            score += REMOTE_DOMAIN_MILLIS;
+            scoreMillis += REMOTE_DOMAIN_MILLIS;
         }
-        return new Candidate(id, view.owner(), score, wait, uncached);
+        return new Candidate(id, view.owner(), scoreMillis, waitMillis, uncached);
     }
 
     private static Comparator<Candidate> order(Scoring scoring) {
@@ -223,10 +231,10 @@
         List<Candidate> best = new ArrayList<>(sorted.subList(0, count));
         Candidate mostCached = null;
         for (Candidate candidate : sorted) {
-            boolean caches = candidate.uncachedTokens() < scoring.promptTokens();
-            boolean more =
+            boolean hasCachedPrefix = candidate.uncachedTokens() < scoring.promptTokens();
+            boolean hasMoreCached =
                     mostCached == null || candidate.uncachedTokens() < mostCached.uncachedTokens();
-            if (caches && more) {
+            if (hasCachedPrefix && hasMoreCached) {
                 mostCached = candidate;
             }
         }
@@ -279,33 +287,33 @@
     }
 
     private void observeLoad(ServerLoad load) {
-        index.server(load.server()).ifPresent(view -> view.reported(load));
+        index.server(load.server()).ifPresent(view -> view.updateLoad(load));
     }
 
     private void observeDomain(DomainLoads loads, ModelLoad load) {
         ServerIndex.Pool pool = index.pool(new Target.Model(load.model()), Optional.empty());
-        long wait = ServerView.forRank(load.waitMillisByRank(), 0);
+        long waitMillis = ServerView.waitForRank(load.waitMillisByRank(), 0);
         for (ServerView view : pool.far()) {
             if (view.server().domain().equals(loads.domain())) {
-                boolean named = load.best().contains(view.server().id());
-                view.reportedDomainWait(named ? wait : wait + UNLISTED_SERVER_MILLIS);
+                boolean listed = load.best().contains(view.server().id());
+                view.updateDomainWait(listed ? waitMillis : waitMillis + UNLISTED_SERVER_MILLIS);
             }
         }
     }
 
     private void observeRefusal(long nowNanos, Refused refused) {
-        boolean broken =
+        boolean unavailable =
                 switch (refused.reason()) {
                     case NOT_HOME, NO_SERVER, DRAINING -> true;
                     case OVERLOAD, POISON -> false;
                 };
-        if (broken) {
+        if (unavailable) {
             index.server(refused.server())
                     .ifPresent(view -> view.avoidUntil(nowNanos + AVOID_NANOS));
         }
     }
 
-    /** One request, seen through what its score depends on. */
+    /** The inputs to the score of one request. */
     private record Scoring(
             FleetSnapshot fleet,
             int rank,
--- a/src/main/java/org/orioleshed/routing/ServerRuns.java
+++ b/src/main/java/org/orioleshed/routing/ServerRuns.java
@@ -134,7 +134,7 @@
         }
         slots.end(run.run());
         if (end instanceof RunEnd.Finished finished) {
-            speed.answered(run.waiting().offer().route(), finished.totalTokens());
+            speed.recordAnswer(run.waiting().offer().route(), finished.totalTokens());
         }
         reportEnd(run, effectiveEnd(run, end));
     }
@@ -164,13 +164,14 @@
         WaitingOffer waiting = run.waiting();
         if (first) {
             long nanos = nowNanos - run.startedNanos();
-            speed.firstToken(waiting.offer().route(), run.uncachedTokens(), nanos);
-            long alone = speed.prefillAloneMicros(waiting.offer().route(), run.uncachedTokens());
-            limit.firstToken(nanos / 1_000, alone);
+            speed.recordFirstToken(waiting.offer().route(), run.uncachedTokens(), nanos);
+            long aloneMicros =
+                    speed.prefillAloneMicros(waiting.offer().route(), run.uncachedTokens());
+            limit.recordFirstToken(nanos / 1_000, aloneMicros);
         }
         if (gapMicros >= 0) {
-            speed.gap(waiting.offer().route(), gapMicros);
-            limit.gap(gapMicros);
+            speed.recordGap(waiting.offer().route(), gapMicros);
+            limit.recordGap(gapMicros);
         }
     }
 
--- a/src/main/java/org/orioleshed/routing/ServerSpeed.java
+++ b/src/main/java/org/orioleshed/routing/ServerSpeed.java
@@ -24,8 +24,8 @@
         this.server = server;
     }
 
-    void setServer(BackendServer now) {
-        server = now;
+    void setServer(BackendServer newServer) {
+        server = newServer;
     }
 
     /** Forgets what was seen: the engine runs another version. */
@@ -34,12 +34,12 @@
         prefillNanosPerToken = -1;
     }
 
-    void gap(RouteId route, long micros) {
+    void recordGap(RouteId route, long micros) {
         gapMicros = gapMicros < 0 ? micros : gapMicros + GAP_SAMPLE_WEIGHT * (micros - gapMicros);
         speedHistory.forRoute(server, route).gapMicros().add(micros);
     }
 
-    void firstToken(RouteId route, int uncachedTokens, long nanos) {
+    void recordFirstToken(RouteId route, int uncachedTokens, long nanos) {
         if (uncachedTokens < MIN_PREFILL_TOKENS) {
             return;
         }
@@ -52,7 +52,7 @@
         speedHistory.forRoute(server, route).prefillNanosPerToken().add((long) sample);
     }
 
-    void answered(RouteId route, int tokens) {
+    void recordAnswer(RouteId route, int tokens) {
         speedHistory.forRoute(server, route).outputTokens().add(tokens);
     }
 
@@ -95,8 +95,8 @@
     int expectedTokens(Offer offer) {
         Quantiles lengths = speedHistory.forRoute(server, offer.route()).outputTokens();
         long seen = lengths.count();
-        long guess = seen >= MIN_SAMPLES ? 0 : MIN_SAMPLES - seen;
-        long mean = (seen * lengths.mean() + guess * DEFAULT_TOKENS) / (seen + guess);
+        long padding = seen >= MIN_SAMPLES ? 0 : MIN_SAMPLES - seen;
+        long mean = (seen * lengths.mean() + padding * DEFAULT_TOKENS) / (seen + padding);
         return (int) Math.min(offer.outputTokens(), mean);
     }
 
--- a/src/main/java/org/orioleshed/routing/ServerView.java
+++ b/src/main/java/org/orioleshed/routing/ServerView.java
@@ -5,21 +5,24 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 
-/** What an accepting host knows of one backend server: its latest load and what it sent since. */
+/**
+ * An accepting host's view of one backend server: the latest reported load and the number of
+ * requests sent since.
+ */
 final class ServerView {
     private static final int DEFAULT_PREFILL_TOKENS_PER_SECOND = 2_000;
     private static final int DEFAULT_TOKEN_GAP_MILLIS = 30;
 
-    /** The wait added for each request sent beyond the free places of the latest report. */
+    /** The wait added for each request sent beyond the free slots of the latest report. */
     private static final long WAIT_PER_EXCESS_REQUEST_MILLIS = 200;
 
-    /** What each request sent since the latest report costs the next one there. */
+    /** The wait that each request sent since the latest report adds for the next one. */
     private static final long COST_PER_SENT_REQUEST_MILLIS = 10;
 
     private final BackendServer server;
     private final HostId owner;
     private ServerLoad load;
-    private int sentSinceLoad;
+    private int sentSinceReport;
     private long avoidedUntilNanos = Long.MIN_VALUE;
     private long domainWaitMillis;
 
@@ -36,27 +39,27 @@
         return owner;
     }
 
-    /** Takes over what {@code earlier} knew, after a change of the fleet. */
+    /** Copies load and backoff state from the view of the previous fleet snapshot. */
     void copyStateFrom(ServerView earlier) {
         load = earlier.load;
-        sentSinceLoad = earlier.sentSinceLoad;
+        sentSinceReport = earlier.sentSinceReport;
         avoidedUntilNanos = earlier.avoidedUntilNanos;
         domainWaitMillis = earlier.domainWaitMillis;
     }
 
-    void reported(ServerLoad newLoad) {
+    void updateLoad(ServerLoad newLoad) {
         load = newLoad;
-        sentSinceLoad = 0;
+        sentSinceReport = 0;
     }
 
-    /** Notes the wait that is told for the whole of a distant failure domain. */
-    void reportedDomainWait(long waitMillis) {
+    /** Records the wait reported for a remote failure domain as a whole. */
+    void updateDomainWait(long waitMillis) {
         domainWaitMillis = waitMillis;
-        sentSinceLoad = 0;
+        sentSinceReport = 0;
     }
 
-    void sent() {
-        sentSinceLoad++;
+    void recordSent() {
+        sentSinceReport++;
     }
 
     void avoidUntil(long nanos) {
@@ -67,30 +70,32 @@
         return avoidedUntilNanos != Long.MIN_VALUE && avoidedUntilNanos - nowNanos > 0;
     }
 
-    /** Returns the expected wait for a place of a request of rank {@code rank}. */
+    /** Returns the expected wait of a request of tier rank {@code rank}, in milliseconds. */
     long waitMillis(int rank) {
         if (load == null) {
             return domainWaitMillis
-                    + sentSinceLoad * WAIT_PER_EXCESS_REQUEST_MILLIS / server.places();
+                    + sentSinceReport * WAIT_PER_EXCESS_REQUEST_MILLIS / server.places();
         }
-        int free = Math.max(0, load.limit() - load.running());
-        int beyond = Math.max(0, sentSinceLoad - free);
-        return forRank(load.waitMillisByRank(), rank)
-                + sentSinceLoad * COST_PER_SENT_REQUEST_MILLIS
-                + beyond * WAIT_PER_EXCESS_REQUEST_MILLIS / Math.max(1, load.limit());
+        int freeSlots = Math.max(0, load.limit() - load.running());
+        int excess = Math.max(0, sentSinceReport - freeSlots);
+        return waitForRank(load.waitMillisByRank(), rank)
+                + sentSinceReport * COST_PER_SENT_REQUEST_MILLIS
+                + excess * WAIT_PER_EXCESS_REQUEST_MILLIS / Math.max(1, load.limit());
     }
 
     long prefillMillis(int tokens) {
-        int speed = load == null ? 0 : load.prefillTokensPerSecond();
-        return tokens * 1_000L / (speed > 0 ? speed : DEFAULT_PREFILL_TOKENS_PER_SECOND);
+        int tokensPerSecond = load == null ? 0 : load.prefillTokensPerSecond();
+        return tokens
+                * 1_000L
+                / (tokensPerSecond > 0 ? tokensPerSecond : DEFAULT_PREFILL_TOKENS_PER_SECOND);
     }
 
     long tokenGapMillis() {
-        int gap = load == null ? 0 : load.tokenGapMillis();
-        return gap > 0 ? gap : DEFAULT_TOKEN_GAP_MILLIS;
+        int gapMillis = load == null ? 0 : load.tokenGapMillis();
+        return gapMillis > 0 ? gapMillis : DEFAULT_TOKEN_GAP_MILLIS;
     }
 
-    static long forRank(List<Long> waitMillisByRank, int rank) {
+    static long waitForRank(List<Long> waitMillisByRank, int rank) {
         if (waitMillisByRank.isEmpty()) {
             return 0;
         }
--- a/src/main/java/org/orioleshed/routing/SlotGranter.java
+++ b/src/main/java/org/orioleshed/routing/SlotGranter.java
@@ -5,12 +5,17 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
-/** Gives the places of one backend server to the offers whose turn it is. */
+/** Grants the slots of one backend server to waiting offers in the scheduler's order. */
 final class SlotGranter {
-    /** While others wait, a run starts only with so many times its expected time left. */
+    /**
+     * While other offers wait, a run starts only if the time left is at least this multiple of its
+     * expected time.
+     */
     private static final double MIN_TIME_RATIO = 1.3;
 
-    /** While none waits, a run starts also when it may yet be shorter than expected. */
+    /**
+     * While no other offer waits, a run also starts if it would have to be shorter than expected.
+     */
     private static final double MIN_TIME_RATIO_IDLE = 0.5;
 
     private final RoutingLimits limits;
@@ -41,7 +46,7 @@
         this.refusals = refusals;
     }
 
-    /** Gives all places that are free. */
+    /** Grants all free slots. */
     void grantAll(DecisionContext context) {
         Optional<WaitingOffer> next = next(context);
         while (next.isPresent()) {
@@ -56,13 +61,13 @@
 
     private void grantOrRefuse(DecisionContext context, WaitingOffer waiting) {
         if (isTooLate(context, waiting)) {
-            scheduler.unused(waiting);
+            scheduler.refund(waiting);
             refusals.refuse(context, waiting, RefusalReason.OVERLOAD);
             return;
         }
-        long until =
+        long untilNanos =
                 context.nowNanos() + limits.reservationMillis() * DecisionContext.NANOS_PER_MILLI;
-        slots.reserve(waiting, until);
+        slots.reserve(waiting, untilNanos);
         outbox.sendGranted(waiting, server, limits.reservationMillis());
         long waitedMillis = -context.millisUntil(waiting.queuedNanos());
         String state = slots.inFlight() + "/" + limit.current() + "/" + queue.size();
@@ -75,26 +80,29 @@
                 "in-flight/limit/waiting=" + state);
     }
 
-    /** Returns whether a run of a lower tier would not end in time; stricter if others wait. */
+    /**
+     * Returns whether a run below the urgent tier is unlikely to end in time; stricter while other
+     * offers wait.
+     */
     private boolean isTooLate(DecisionContext context, WaitingOffer waiting) {
-        double share = queue.size() > 0 ? MIN_TIME_RATIO : MIN_TIME_RATIO_IDLE;
+        double minRatio = queue.size() > 0 ? MIN_TIME_RATIO : MIN_TIME_RATIO_IDLE;
         return limits.policy() == Policy.ORIOLESHED
                 && waiting.rank() > 0
-                && context.millisUntil(waiting.deadlineNanos()) < share * waiting.workMillis();
+                && context.millisUntil(waiting.deadlineNanos()) < minRatio * waiting.workMillis();
     }
 
-    /** Tells a host again of the place that is kept for it. */
-    void repeat(DecisionContext context, Slots.Reservation reservation) {
+    /** Sends the grant of an existing reservation again. */
+    void resendGrant(DecisionContext context, Slots.Reservation reservation) {
         long leftMillis = Math.max(0, context.millisUntil(reservation.untilNanos()));
         outbox.sendGranted(reservation.waiting(), server, leftMillis);
     }
 
-    /** Frees the places that were kept for too long. */
+    /** Releases expired reservations. */
     void expire(DecisionContext context) {
         for (Slots.Reservation reservation : List.copyOf(slots.reserved())) {
             if (reservation.untilNanos() - context.nowNanos() <= 0) {
                 slots.release(reservation.waiting().run());
-                scheduler.unused(reservation.waiting());
+                scheduler.refund(reservation.waiting());
             }
         }
     }
--- a/src/main/java/org/orioleshed/routing/SlotLimit.java
+++ b/src/main/java/org/orioleshed/routing/SlotLimit.java
@@ -3,8 +3,8 @@
 import org.orioleshed.host.HostEvent;
 
 /**
- * How many requests may run at once on one backend server: at most its places as its settings state
- * them, and as few as its own latencies, its failures and the work of others demand.
+ * The number of requests that may run at once on one backend server: at most its configured slots,
+ * reduced by the adaptive limit, by failures and by foreign load.
  */
 final class SlotLimit {
     private final Policy policy;
@@ -20,12 +20,12 @@
         this.slots = slots;
     }
 
-    /** Returns the server's places as its settings state them. */
+    /** Returns the number of slots that the server's settings state. */
     int slots() {
         return slots;
     }
 
-    /** Returns how many requests may run at once at present. */
+    /** Returns the number of requests that may run at once at present. */
     int current() {
         if (policy == Policy.NAIVE) {
             return slots;
@@ -36,9 +36,9 @@
         return Math.max(1, adaptive.current() - foreign.requests());
     }
 
-    void setSlots(int now) {
-        slots = now;
-        adaptive.setSlots(now);
+    void setSlots(int newSlots) {
+        slots = newSlots;
+        adaptive.setSlots(newSlots);
     }
 
     void reported(HostEvent.LoadReported report) {
@@ -46,7 +46,7 @@
     }
 
     void tick(long nowNanos, int inFlight, boolean moreWaiting) {
-        adaptive.load(inFlight, moreWaiting);
+        adaptive.recordLoad(inFlight, moreWaiting);
         adaptive.tick(nowNanos);
         foreign.recordOwn(inFlight, nowNanos);
     }
--- a/src/main/java/org/orioleshed/routing/SlotScheduler.java
+++ b/src/main/java/org/orioleshed/routing/SlotScheduler.java
@@ -4,9 +4,9 @@
 import org.orioleshed.model.Tier;
 
 /**
- * Decides which waiting offer gets the next place of one engine: by tier, weighted fairness between
- * workspaces, and deadline. Holds places back for urgent work, and for patient work whose last safe
- * start comes near.
+ * Decides which waiting offer gets the next slot of one engine: by tier, weighted fairness between
+ * workspaces, and deadline. Reserves slots for urgent requests, and for patient requests whose
+ * latest safe start time is near.
  */
 final class SlotScheduler {
     static final int PATIENT_RANK = Tier.PATIENT.rank();
@@ -14,10 +14,10 @@
     private static final int MIN_SLOTS_WITH_RESERVE = 3;
     private static final int SLOTS_PER_RESERVED = 16;
 
-    /** The share of its time left that a run is expected to take when its start is due. */
+    /** An offer is due when its run is expected to take at least this share of the time left. */
     private static final double START_DUE_SHARE = 0.5;
 
-    /** At how many owners an offer waits at least. */
+    /** The minimum number of owners that an offer waits at. */
     private static final double MIN_OWNERS_PER_OFFER = 2;
 
     private static final long URGENT_RETENTION_NANOS = 10_000_000_000L;
@@ -41,13 +41,13 @@
         }
     }
 
-    /** Notes that a preempted run is off the engine: an urgent request may have its place. */
+    /** Records that a preempted run has left the engine: an urgent request may take its slot. */
     void preempted() {
         freedForUrgent++;
     }
 
-    /** Notes that a place given to {@code waiting} was not used. */
-    void unused(WaitingOffer waiting) {
+    /** Refunds the charge for a slot that was given to {@code waiting} and not used. */
+    void refund(WaitingOffer waiting) {
         queue.refund(waiting);
     }
 
@@ -55,7 +55,9 @@
         return freedForUrgent;
     }
 
-    /** Returns the offer to give a place to now, and takes it off the queue. */
+    /**
+     * Removes and returns the next offer to grant a slot to; empty when none may be granted now.
+     */
     Optional<WaitingOffer> take(DecisionContext context, int limit, int maxSlots) {
         if (queue.size(0) == 0) {
             freedForUrgent = 0;
@@ -66,7 +68,7 @@
         return next;
     }
 
-    /** Returns how many places work of {@code rank} may fill at present. */
+    /** Returns the number of slots in use up to which a request of {@code rank} is granted one. */
     int allowance(int rank, long nowNanos, int limit, int maxSlots) {
         if (policy == Policy.NAIVE) {
             return maxSlots;
@@ -78,23 +80,24 @@
     }
 
     /**
-     * Sets the places that patient work goes first for: the sum, over what waits, of expected work
-     * against time left. It grows as last safe starts come near.
+     * Sets the number of slots for which patient requests take precedence: the sum, over the
+     * waiting offers, of expected work divided by time left. The number grows as their latest safe
+     * start times approach.
      */
     void reservePatient(DecisionContext context, int limit) {
         double needed = 0;
-        double most = 0;
+        double maxShare = 0;
         for (int rank : queue.ranks()) {
             if (rank >= PATIENT_RANK && policy == Policy.ORIOLESHED) {
                 for (WaitingOffer waiting : queue.tier(rank).matching(w -> true)) {
                     double share = neededSlots(waiting, context);
                     needed += share;
-                    most = Math.max(most, share);
+                    maxShare = Math.max(maxShare, share);
                 }
             }
         }
         long reserve = Math.round(needed / MIN_OWNERS_PER_OFFER);
-        if (most >= START_DUE_SHARE) {
+        if (maxShare >= START_DUE_SHARE) {
             reserve = Math.max(1, reserve);
         }
         patientReserve = (int) Math.min(reserve, Math.max(1, limit / 4));
@@ -133,7 +136,7 @@
         }
         for (int rank : queue.ranks()) {
             Optional<WaitingOffer> next =
-                    rank < PATIENT_RANK ? roundRobin(rank) : patient(rank, context, limit);
+                    rank < PATIENT_RANK ? nextByFairShare(rank) : patient(rank, context, limit);
             if (next.isPresent()) {
                 return next;
             }
@@ -146,16 +149,16 @@
             return Optional.empty();
         }
         if (slots.inFlight() < allowance(0, context.nowNanos(), limit, maxSlots)) {
-            return roundRobin(0);
+            return nextByFairShare(0);
         }
         if (freedForUrgent > 0 && slots.inFlight() < maxSlots) {
             freedForUrgent--;
-            return roundRobin(0);
+            return nextByFairShare(0);
         }
         return Optional.empty();
     }
 
-    private Optional<WaitingOffer> roundRobin(int rank) {
+    private Optional<WaitingOffer> nextByFairShare(int rank) {
         return queue.tier(rank).next(OfferQueue::anyWorkspace);
     }
 
--- a/src/main/java/org/orioleshed/routing/Slots.java
+++ b/src/main/java/org/orioleshed/routing/Slots.java
@@ -7,7 +7,7 @@
 import java.util.stream.Stream;
 import org.orioleshed.model.RunId;
 
-/** The places of one engine: those reserved by a grant, and those that runs hold. */
+/** The slots of one engine that are in use: those reserved by a grant, and those held by runs. */
 final class Slots {
     private final Map<RunId, Reservation> reserved = new LinkedHashMap<>();
     private final Map<RunId, ActiveRun> running = new LinkedHashMap<>();
@@ -20,7 +20,7 @@
         return running.size();
     }
 
-    /** Returns whether no accepting host waits for anything here. */
+    /** Returns whether no accepting host waits for a response. */
     boolean isIdle() {
         return reserved.isEmpty() && running.values().stream().allMatch(ActiveRun::endReported);
     }
@@ -62,12 +62,12 @@
         running.remove(run);
     }
 
-    /** Returns how many places work of at least {@code rank} holds. */
+    /** Returns the number of slots held by requests of {@code rank} or a less urgent one. */
     int countFromRank(int rank) {
         return (int) ranks().filter(held -> held >= rank).count();
     }
 
-    /** Returns how many runs were asked to stop after {@code sinceNanos} and will free a place. */
+    /** Returns the number of runs cancelled since {@code sinceNanos} that still hold a slot. */
     int stoppedSince(long sinceNanos) {
         return (int)
                 running.values().stream()
@@ -75,7 +75,7 @@
                         .count();
     }
 
-    /** Returns whether work of a lower tier than {@code rank} holds a place. */
+    /** Returns whether a request of a less urgent tier than {@code rank} holds a slot. */
     boolean holdsLowerTier(int rank) {
         return ranks().anyMatch(held -> held > rank);
     }
@@ -87,10 +87,10 @@
     }
 
     /**
-     * A place kept for a run whose body is on its way.
+     * A slot reserved for a run whose body has not arrived yet.
      *
      * @param waiting the run
-     * @param untilNanos when the place is given up
+     * @param untilNanos when the reservation expires, on the host's monotonic clock
      */
     record Reservation(WaitingOffer waiting, long untilNanos) {}
 }
--- a/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
+++ b/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
@@ -6,19 +6,25 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link AdaptiveLimit}. */
+/**
+ * Guards against limits that oscillate, or that fall for latency that fewer requests would not
+ * improve.
+ */
 public class AdaptiveLimitTest {
     private static final int SLOTS = 16;
     private static final long STEP_NANOS = 100_000_000L;
 
-    /** Runs an engine whose time between tokens grows with what runs on it, always in demand. */
-    private static AdaptiveLimit after(double baseMillis, double millisPerRun, int seconds) {
+    /**
+     * Simulates an engine under constant demand whose token gap grows with the number of running
+     * requests.
+     */
+    private static AdaptiveLimit limitAfter(double baseMillis, double millisPerRun, int seconds) {
         AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         for (long now = 0; now < seconds * 1_000_000_000L; now += STEP_NANOS) {
             int running = limit.current();
-            limit.load(running, true);
+            limit.recordLoad(running, true);
             for (int i = 0; i < running * 3; i++) {
-                limit.gap((long) (1_000 * (baseMillis + millisPerRun * running)));
+                limit.recordGap((long) (1_000 * (baseMillis + millisPerRun * running)));
             }
             limit.tick(now);
         }
@@ -31,26 +37,26 @@
     }
 
     @Test(dataProvider = "engines")
-    public void settlesWhereTheTargetIsMet(double base, double perRun, int most) {
-        int limit = after(base, perRun, 120).current();
-        assertTrue(limit <= most + 1, "limit " + limit);
+    public void convergesToALimitThatMeetsTheTarget(double base, double perRun, int maxExpected) {
+        int limit = limitAfter(base, perRun, 120).current();
+        assertTrue(limit <= maxExpected + 1, "limit " + limit);
         assertTrue(limit >= 1 && limit <= SLOTS, "limit " + limit);
-        assertTrue(most < SLOTS || limit == SLOTS, "limit " + limit);
+        assertTrue(maxExpected < SLOTS || limit == SLOTS, "limit " + limit);
     }
 
     @Test
-    public void anEngineThatIsSlowByItselfKeepsSomeWork() {
-        assertTrue(after(120, 5, 120).current() > 1);
+    public void engineThatMissesTheTargetWhenIdleKeepsMoreThanOneSlot() {
+        assertTrue(limitAfter(120, 5, 120).current() > 1);
     }
 
     @Test
-    public void aLongPromptAloneIsNoReasonToRunFewer() {
+    public void longPromptsDoNotLowerTheLimit() {
         AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         limit.tick(0);
-        limit.load(4, true);
+        limit.recordLoad(4, true);
         for (int i = 0; i < 50; i++) {
-            limit.gap(20_000);
-            limit.firstToken(5_000_000, 4_800_000);
+            limit.recordGap(20_000);
+            limit.recordFirstToken(5_000_000, 4_800_000);
         }
         limit.tick(600_000_000L);
         assertEquals(limit.current(), SLOTS);
@@ -60,10 +66,10 @@
     public void lateFirstTokensLowerTheLimit() {
         AdaptiveLimit limit = new AdaptiveLimit(RoutingLimits.DEFAULTS, SLOTS);
         limit.tick(0);
-        limit.load(SLOTS, true);
+        limit.recordLoad(SLOTS, true);
         for (int i = 0; i < 50; i++) {
-            limit.gap(20_000);
-            limit.firstToken(5_000_000, 100_000);
+            limit.recordGap(20_000);
+            limit.recordFirstToken(5_000_000, 100_000);
         }
         limit.tick(600_000_000L);
         assertTrue(limit.current() < SLOTS);
