--- a/src/main/java/org/orioleshed/routing/ActiveRun.java
+++ b/src/main/java/org/orioleshed/routing/ActiveRun.java
@@ -3,22 +3,22 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.RunId;
 
-/** A run that holds a place on an engine, until the engine is known to be done with it. */
+/** A run that holds a slot on an engine, until the engine is confirmed to have ended it. */
 final class ActiveRun {
-    /** What a run is on its way to. */
+    /** Why a run is being stopped. */
     enum StopReason {
-        /** Not to be stopped. */
+        /** The run is not being stopped. */
         NONE,
-        /** The accepting host wished it. */
+        /** The accepting host cancelled the run. */
         REQUESTED,
-        /** A more urgent request needs the place. */
+        /** A more urgent request needs the slot. */
         PREEMPTED,
-        /** The engine sent nothing for too long. */
+        /** The engine sent no token within the timeout. */
         STALLED,
-        /** The connection broke and the engine may still be at it. */
-        BROKEN,
-        /** The accepting host is gone, or the deadline is long past. */
-        ABANDONED
+        /** The connection broke, and the engine may still work on the run. */
+        CONNECTION_LOST,
+        /** The accepting host is gone, or the deadline passed more than the grace period ago. */
+        ORPHANED
     }
 
     private final WaitingOffer waiting;
@@ -33,7 +33,7 @@
     private int creditTokens;
     private boolean paused;
     private boolean gapInvalid;
-    private StopReason stop = StopReason.NONE;
+    private StopReason stopReason = StopReason.NONE;
     private boolean endReported;
     private long stopNanos;
     private long lastCancelNanos;
@@ -75,7 +75,9 @@
         return resumeFromToken;
     }
 
-    /** Returns how many tokens of the prompt the engine had to prefill. */
+    /**
+     * Returns the number of prompt tokens that were not expected in the prefix cache at the start.
+     */
     int uncachedTokens() {
         return uncachedTokens;
     }
@@ -92,7 +94,7 @@
         return lastTokenNanos;
     }
 
-    /** Returns the offset after the last token that was passed on. */
+    /** Returns the offset after the last token received from the engine. */
     int nextToken() {
         return nextToken;
     }
@@ -105,12 +107,12 @@
         return paused;
     }
 
-    StopReason stop() {
-        return stop;
+    StopReason stopReason() {
+        return stopReason;
     }
 
     boolean stopping() {
-        return stop != StopReason.NONE;
+        return stopReason != StopReason.NONE;
     }
 
     long stopNanos() {
@@ -121,7 +123,7 @@
         return lastCancelNanos;
     }
 
-    /** Returns whether the accepting host was told of the end before the engine confirmed it. */
+    /** Returns whether the end was reported to the accepting host. */
     boolean endReported() {
         return endReported;
     }
@@ -131,22 +133,22 @@
     }
 
     void stop(StopReason reason, long nowNanos) {
-        if (stop == StopReason.NONE) {
+        if (stopReason == StopReason.NONE) {
             stopNanos = nowNanos;
         }
-        stop = reason;
+        stopReason = reason;
         lastCancelNanos = nowNanos;
     }
 
-    void cancelRepeated(long nowNanos) {
+    void recordCancelRetry(long nowNanos) {
         lastCancelNanos = nowNanos;
     }
 
     /**
-     * Notes tokens from the engine.
+     * Records tokens from the engine.
      *
-     * @return the time for each of them since the last, in microseconds; negative when it tells
-     *     nothing of the engine's speed
+     * @return the time per token since the previous ones, in microseconds; negative when it is no
+     *     measure of the engine's speed
      */
     long tokens(int firstToken, int count, long nowNanos) {
         long micros = (nowNanos - lastTokenNanos) / 1_000 / Math.max(1, count);
@@ -169,8 +171,8 @@
         return sentTokens >= creditTokens;
     }
 
-    void setPaused(boolean nowPaused, long nowNanos) {
-        paused = nowPaused;
+    void setPaused(boolean newPaused, long nowNanos) {
+        paused = newPaused;
         gapInvalid = true;
         lastTokenNanos = nowNanos;
     }
@@ -178,24 +180,28 @@
     /**
      * Returns the expected time until the run ends, in milliseconds.
      *
-     * @param expected the expected length of the answer, in tokens
+     * @param expectedTokens the expected length of the answer, in tokens
      * @param gapMicros the time between tokens, in microseconds
      */
-    long remainingMillis(long nowNanos, int expected, long gapMicros) {
-        // Lengths are heavy-tailed: what outlived its estimate goes on for a good while.
-        int tokens = Math.max(expected - generatedTokens(), expected / 4);
-        long prefill = 0;
+    long remainingMillis(long nowNanos, int expectedTokens, long gapMicros) {
+        // Answer lengths are heavy-tailed: a run near or past its estimate is expected to go on
+        // for a quarter of it.
+        int remainingTokens = Math.max(expectedTokens - generatedTokens(), expectedTokens / 4);
+        long remainingPrefillMillis = 0;
         if (!hasTokens()) {
             long elapsedMillis = (nowNanos - startedNanos) / DecisionContext.NANOS_PER_MILLI;
-            prefill = Math.max(0, prefillMillis - elapsedMillis);
+            remainingPrefillMillis = Math.max(0, prefillMillis - elapsedMillis);
         }
-        return prefill + tokens * gapMicros / 1_000;
+        return remainingPrefillMillis + remainingTokens * gapMicros / 1_000;
     }
 
-    /** Returns the work that would be done again if the run were stopped now, in milliseconds. */
+    /**
+     * Returns the work that would have to be repeated if the run were stopped now, in milliseconds.
+     */
     long wasteMillis(long nowNanos, boolean canResume, long gapMicros) {
         long elapsedMillis = (nowNanos - startedNanos) / DecisionContext.NANOS_PER_MILLI;
-        long prefill = hasTokens() ? prefillMillis : Math.min(prefillMillis, elapsedMillis);
-        return prefill + (canResume ? 0 : generatedTokens() * gapMicros / 1_000);
+        long wastedPrefillMillis =
+                hasTokens() ? prefillMillis : Math.min(prefillMillis, elapsedMillis);
+        return wastedPrefillMillis + (canResume ? 0 : generatedTokens() * gapMicros / 1_000);
     }
 }
--- a/src/main/java/org/orioleshed/routing/ForeignLoad.java
+++ b/src/main/java/org/orioleshed/routing/ForeignLoad.java
@@ -3,7 +3,7 @@
 /**
  * Estimates the requests on an engine that its owner did not start, such as those of an earlier
  * owner: the count in the engine's delayed load reports, less the maximum that the owner had in
- * flight during the last periods.
+ * flight during the current and the previous period.
  */
 final class ForeignLoad {
     private static final long PERIOD_NANOS = 2_000_000_000L;
--- a/src/main/java/org/orioleshed/routing/HashMix.java
+++ b/src/main/java/org/orioleshed/routing/HashMix.java
@@ -1,10 +1,10 @@
 package org.orioleshed.routing;
 
-/** Spreads numbers evenly and repeatably over all 64 bits, to break ties without randomness. */
+/** A deterministic 64-bit hash mix, to break ties without randomness. */
 final class HashMix {
     private HashMix() {}
 
-    /** Returns the finaliser of SplitMix64 over {@code value}. */
+    /** Returns {@code value} mixed by the SplitMix64 finalizer. */
     static long mix(long value) {
         long z = value + 0x9e3779b97f4a7c15L;
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
--- a/src/main/java/org/orioleshed/routing/Outbox.java
+++ b/src/main/java/org/orioleshed/routing/Outbox.java
@@ -18,7 +18,7 @@
 
 /**
  * Collects the actions of one event, and keeps a bounded history of grants and of the ends of runs,
- * to answer repeated messages.
+ * to answer repeated and late messages.
  */
 final class Outbox {
     private static final int MAX_ENTRIES = 4_096;
--- a/src/main/java/org/orioleshed/routing/OwnedServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -117,7 +117,7 @@
             return;
         }
         queue.add(waiting, context.weight(offer.workspace()));
-        scheduler.offered(waiting.rank(), context.nowNanos());
+        scheduler.recordOffer(waiting.rank(), context.nowNanos());
         dispatch(context);
     }
 
@@ -182,8 +182,9 @@
         }
         boolean wasActive = backoff.active(context.nowNanos());
         runs.ended(context.nowNanos(), ended.get(), end);
-        if (ended.get().stop() == ActiveRun.StopReason.PREEMPTED && slots.run(run).isEmpty()) {
-            scheduler.preempted();
+        if (ended.get().stopReason() == ActiveRun.StopReason.PREEMPTED
+                && slots.run(run).isEmpty()) {
+            scheduler.recordPreempted();
         }
         if (!wasActive && backoff.active(context.nowNanos())) {
             prefixes.clear();
@@ -214,7 +215,7 @@
         }
         for (ActiveRun run : List.copyOf(slots.running())) {
             if (gone.test(run.run())) {
-                runs.stop(context.nowNanos(), run, ActiveRun.StopReason.ABANDONED);
+                runs.stop(context.nowNanos(), run, ActiveRun.StopReason.ORPHANED);
             }
         }
         dispatch(context);
--- a/src/main/java/org/orioleshed/routing/RoutingCodec.java
+++ b/src/main/java/org/orioleshed/routing/RoutingCodec.java
@@ -19,9 +19,9 @@
 import org.orioleshed.peer.MessageCodec;
 import org.orioleshed.wire.RoutingWire;
 
-/** Turns {@link RoutingMessage} into protobuf and back. Stateless, for any thread. */
+/** Encodes and decodes {@link RoutingMessage} as protobuf. Stateless and thread-safe. */
 public final class RoutingCodec implements MessageCodec<RoutingMessage> {
-    /** Makes a codec. */
+    /** Creates a codec. */
     public RoutingCodec() {}
 
     @Override
@@ -88,13 +88,12 @@
             case CREDIT ->
                     new RoutingMessage.Credit(
                             run(wire.getCredit().getRun()),
-                            count("credit", wire.getCredit().getTokens()));
+                            nonNegative("tokens", wire.getCredit().getTokens()));
             case CANCELLED -> new RoutingMessage.Cancelled(run(wire.getCancelled().getRun()));
             case ENDED -> ended(wire.getEnded());
             case SERVER_LOADS -> serverLoads(wire.getServerLoads());
             case DOMAIN_LOADS -> domainLoads(wire.getDomainLoads());
-            case MESSAGE_NOT_SET ->
-                    throw new BadMessageException("routing message without content");
+            case MESSAGE_NOT_SET -> throw new BadMessageException("routing message has no content");
         };
     }
 
@@ -126,11 +125,11 @@
                         new RouteId(wire.getRoute()),
                         new Tier(wire.getTier(), wire.getTierRank()),
                         wire.getRemainingMillis(),
-                        count("age", wire.getAgeMillis()),
-                        count("prompt", wire.getPromptTokens()),
-                        count("output", wire.getOutputTokens()),
+                        nonNegative("ageMillis", wire.getAgeMillis()),
+                        nonNegative("promptTokens", wire.getPromptTokens()),
+                        nonNegative("outputTokens", wire.getOutputTokens()),
                         wire.getPrefixHashesList(),
-                        count("preemptions", wire.getPreemptions()),
+                        nonNegative("preemptions", wire.getPreemptions()),
                         new Fingerprint(wire.getFingerprintHigh(), wire.getFingerprintLow()));
         return new RoutingMessage.Offered(
                 run(wire.getRun()), new ServerId(wire.getServer()), offer);
@@ -141,7 +140,7 @@
         return new RoutingMessage.Granted(
                 run(wire.getRun()),
                 new ServerId(wire.getServer()),
-                count("reservation", wire.getReservedMillis()));
+                nonNegative("reservedMillis", wire.getReservedMillis()));
     }
 
     private static RoutingMessage.Refused refused(RoutingWire.Refused wire)
@@ -151,7 +150,7 @@
                 new ServerId(wire.getServer()),
                 reason(wire.getReason()),
                 wire.getLowerTierRuns(),
-                count("wait", wire.getExpectedWaitMillis()));
+                nonNegative("expectedWaitMillis", wire.getExpectedWaitMillis()));
     }
 
     private static RoutingMessage.Withdrawn withdrawn(RoutingWire.Withdrawn wire) {
@@ -164,16 +163,16 @@
                 run(wire.getRun()),
                 new ServerId(wire.getServer()),
                 Payload.of(wire.getBody().toByteArray()),
-                count("resume", wire.getResumeFromToken()),
-                count("credit", wire.getCreditTokens()));
+                nonNegative("resumeFromToken", wire.getResumeFromToken()),
+                nonNegative("creditTokens", wire.getCreditTokens()));
     }
 
     private static RoutingMessage.Tokens tokens(RoutingWire.Tokens wire)
             throws BadMessageException {
         return new RoutingMessage.Tokens(
                 run(wire.getRun()),
-                count("first token", wire.getFirstToken()),
-                count("tokens", wire.getCount()),
+                nonNegative("firstToken", wire.getFirstToken()),
+                nonNegative("count", wire.getCount()),
                 Payload.of(wire.getText().toByteArray()));
     }
 
@@ -203,13 +202,18 @@
                 switch (wire.getEndCase()) {
                     case FINISHED ->
                             new RunEnd.Finished(
-                                    count("total", wire.getFinished().getTotalTokens()));
+                                    nonNegative(
+                                            "totalTokens", wire.getFinished().getTotalTokens()));
                     case STOPPED ->
                             new RunEnd.Cancelled(
-                                    count("wasted", wire.getStopped().getPrefillTokensWasted()));
+                                    nonNegative(
+                                            "prefillTokensWasted",
+                                            wire.getStopped().getPrefillTokensWasted()));
                     case PREEMPTED ->
                             new RunEnd.Preempted(
-                                    count("delivered", wire.getPreempted().getDeliveredTokens()));
+                                    nonNegative(
+                                            "deliveredTokens",
+                                            wire.getPreempted().getDeliveredTokens()));
                     case NEVER_STARTED -> new RunEnd.NeverStarted();
                     case ENGINE_ERROR ->
                             new RunEnd.EngineError(
@@ -219,7 +223,7 @@
                             new RunEnd.Broken(
                                     wire.getBroken().getCrashed(),
                                     wire.getBroken().getConfirmedEnded());
-                    case END_NOT_SET -> throw new BadMessageException("end of a run is missing");
+                    case END_NOT_SET -> throw new BadMessageException("Ended message has no end");
                 };
         return new RoutingMessage.Ended(run(wire.getRun()), end);
     }
@@ -245,11 +249,11 @@
             loads.add(
                     new RoutingMessage.ServerLoad(
                             new ServerId(load.getServer()),
-                            count("running", load.getRunning()),
-                            count("limit", load.getLimit()),
-                            waits(load.getWaitMillisByRankList()),
-                            count("speed", load.getPrefillTokensPerSecond()),
-                            count("gap", load.getTokenGapMillis())));
+                            nonNegative("running", load.getRunning()),
+                            nonNegative("limit", load.getLimit()),
+                            nonNegativeWaits(load.getWaitMillisByRankList()),
+                            nonNegative("prefillTokensPerSecond", load.getPrefillTokensPerSecond()),
+                            nonNegative("tokenGapMillis", load.getTokenGapMillis())));
         }
         return new RoutingMessage.ServerLoads(loads);
     }
@@ -275,9 +279,9 @@
             loads.add(
                     new RoutingMessage.ModelLoad(
                             new ModelId(load.getModel()),
-                            count("servers", load.getServers()),
-                            count("free places", load.getFreePlaces()),
-                            waits(load.getWaitMillisByRankList()),
+                            nonNegative("servers", load.getServers()),
+                            nonNegative("freePlaces", load.getFreePlaces()),
+                            nonNegativeWaits(load.getWaitMillisByRankList()),
                             load.getBestList().stream().map(ServerId::new).toList()));
         }
         return new RoutingMessage.DomainLoads(new FailureDomain(wire.getDomain()), loads);
@@ -317,27 +321,28 @@
             case NO_SERVER -> RoutingMessage.RefusalReason.NO_SERVER;
             case DRAINING -> RoutingMessage.RefusalReason.DRAINING;
             case POISON -> RoutingMessage.RefusalReason.POISON;
-            case UNKNOWN, UNRECOGNIZED -> throw new BadMessageException("unknown refusal reason");
+            case UNKNOWN, UNRECOGNIZED ->
+                    throw new BadMessageException("unknown refusal reason " + reason);
         };
     }
 
-    private static List<Long> waits(List<Long> millis) throws BadMessageException {
+    private static List<Long> nonNegativeWaits(List<Long> millis) throws BadMessageException {
         for (long wait : millis) {
-            count("wait", wait);
+            nonNegative("waitMillisByRank", wait);
         }
         return millis;
     }
 
-    private static int count(String name, int value) throws BadMessageException {
+    private static int nonNegative(String name, int value) throws BadMessageException {
         if (value < 0) {
-            throw new BadMessageException(name + " out of range: " + value);
+            throw new BadMessageException(name + " must not be negative, found " + value);
         }
         return value;
     }
 
-    private static long count(String name, long value) throws BadMessageException {
+    private static long nonNegative(String name, long value) throws BadMessageException {
         if (value < 0) {
-            throw new BadMessageException(name + " out of range: " + value);
+            throw new BadMessageException(name + " must not be negative, found " + value);
         }
         return value;
     }
--- a/src/main/java/org/orioleshed/routing/RoutingMessage.java
+++ b/src/main/java/org/orioleshed/routing/RoutingMessage.java
@@ -12,37 +12,37 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * What the accepting host of a model request and the owner of a backend server say to each other.
- * Each message names the run, that is the request and the attempt, so lost, repeated and reordered
- * ones are harmless. Durations travel as time remaining, since clocks of hosts are not in step.
+ * A message between the accepting host of a model request and the owner of a backend server. Each
+ * message about a run names the request and the attempt, so lost, repeated and reordered messages
+ * are harmless. Times are sent as durations, since the clocks of hosts are not synchronized.
  */
 public sealed interface RoutingMessage {
     /**
-     * Accepting host to owner: will you run this on {@code server}?
+     * Accepting host to owner: offers a run to {@code server}.
      *
      * @param run the run offered
-     * @param server the backend server asked for
-     * @param offer what the owner needs to know of the request
+     * @param server the backend server that the run is offered to
+     * @param offer the description of the request
      */
     record Offered(RunId run, ServerId server, Offer offer) implements RoutingMessage {}
 
     /**
-     * Owner to accepting host: a place is reserved for a short time.
+     * Owner to accepting host: a slot is reserved for a limited time.
      *
      * @param run the run
-     * @param server the server with the place
-     * @param reservedMillis how long the place is kept, in milliseconds
+     * @param server the server with the slot
+     * @param reservedMillis the time until the reservation expires, in milliseconds
      */
     record Granted(RunId run, ServerId server, long reservedMillis) implements RoutingMessage {}
 
     /**
-     * Owner to accepting host: the offer is turned down and no longer held.
+     * Owner to accepting host: the offer is refused and no longer queued.
      *
      * @param run the run
-     * @param server the server asked for
-     * @param reason why
-     * @param lowerTierRuns whether work of a lower tier runs or waits on the server
-     * @param expectedWaitMillis how long the wait would be, in milliseconds
+     * @param server the server that the run was offered to
+     * @param reason why the offer is refused
+     * @param lowerTierRuns whether requests of a lower tier run or wait on the server
+     * @param expectedWaitMillis the expected wait for a slot, in milliseconds
      */
     record Refused(
             RunId run,
@@ -53,21 +53,22 @@
             implements RoutingMessage {}
 
     /**
-     * Accepting host to owner: the offer, or the place reserved for it, is not needed.
+     * Accepting host to owner: the offer, or the slot reserved for it, is no longer needed.
      *
      * @param run the run
-     * @param server the server asked for
+     * @param server the server that the run was offered to
      */
     record Withdrawn(RunId run, ServerId server) implements RoutingMessage {}
 
     /**
-     * Accepting host to owner, on a grant: here is the body, run it.
+     * Accepting host to owner, after a grant: starts the run with the given body.
      *
      * @param run the run
-     * @param server the server that was granted
-     * @param body the body for the engine
-     * @param resumeFromToken how many tokens the caller has from earlier attempts
-     * @param creditTokens how many tokens the owner may send before it hears of more credit
+     * @param server the server that granted a slot
+     * @param body the request body for the engine
+     * @param resumeFromToken the number of tokens that the caller has from earlier attempts
+     * @param creditTokens the number of tokens that the owner may send before it receives more
+     *     credit
      */
     record Placed(RunId run, ServerId server, Payload body, int resumeFromToken, int creditTokens)
             implements RoutingMessage {}
@@ -83,24 +84,24 @@
     record Tokens(RunId run, int firstToken, int count, Payload text) implements RoutingMessage {}
 
     /**
-     * Accepting host to owner: the caller took tokens, send more.
+     * Accepting host to owner: the caller consumed tokens, so the owner may send more.
      *
      * @param run the run
-     * @param tokens the further tokens that may be sent
+     * @param tokens the number of additional tokens that may be sent
      */
     record Credit(RunId run, int tokens) implements RoutingMessage {}
 
     /**
-     * Accepting host to owner: stop the run.
+     * Accepting host to owner: cancels the run.
      *
      * @param run the run
      */
     record Cancelled(RunId run) implements RoutingMessage {}
 
     /**
-     * Owner to accepting host: the run is over, and it is known that the engine no longer works on
-     * it unless {@code end} says otherwise. Also the answer to a placement that the owner could not
-     * honour.
+     * Owner to accepting host: the run has ended, and the engine is confirmed to work on it no
+     * longer unless {@code end} states otherwise. Also the response to a placement that the owner
+     * could not start.
      *
      * @param run the run
      * @param end how it ended
@@ -108,7 +109,7 @@
     record Ended(RunId run, RunEnd end) implements RoutingMessage {}
 
     /**
-     * Owner to hosts of its own failure domain, at intervals: the load of its servers.
+     * Owner to the hosts of its own failure domain, periodically: the load of its servers.
      *
      * @param loads one entry for each server
      */
@@ -120,9 +121,9 @@
     }
 
     /**
-     * To hosts of other failure domains, at intervals: load summed by model.
+     * To hosts of other failure domains, periodically: total load by model.
      *
-     * @param domain the failure domain described
+     * @param domain the failure domain that the loads are of
      * @param loads one entry for each model
      */
     record DomainLoads(FailureDomain domain, List<ModelLoad> loads) implements RoutingMessage {
@@ -133,19 +134,19 @@
     }
 
     /**
-     * What an owner needs to know of a request before it has the body.
+     * The description of a request that is sent before its body.
      *
      * @param workspace the workspace
-     * @param route the route asked for
+     * @param route the requested route
      * @param tier the tier
      * @param remainingMillis the time until the caller's deadline, in milliseconds
-     * @param ageMillis the time since the request first arrived, in milliseconds; keeps its order
-     *     over resends
+     * @param ageMillis the time since the request first arrived, in milliseconds; preserves its
+     *     order over resends
      * @param promptTokens the estimated length of the prompt, in tokens
-     * @param outputTokens the most tokens that the answer may still have; the owner estimates the
-     *     length from the route's history
+     * @param outputTokens the maximum number of tokens that the answer may still have; the owner
+     *     estimates the length from the route's history
      * @param prefixHashes as in {@link org.orioleshed.model.Work.Generate}
-     * @param preemptions how often the request was preempted before
+     * @param preemptions the number of earlier preemptions of the request
      * @param fingerprint the digest of the content
      */
     record Offer(
@@ -165,9 +166,9 @@
         }
     }
 
-    /** Why an owner turned an offer down. */
+    /** The reason why an owner refused an offer. */
     enum RefusalReason {
-        /** The queue is full, or the deadline can't be met. */
+        /** The queue is full, or the deadline cannot be met. */
         OVERLOAD,
         /** This host is not the server's owner. */
         NOT_HOME,
@@ -175,20 +176,22 @@
         NO_SERVER,
         /** This host is shutting down. */
         DRAINING,
-        /** The content is held as poison. */
+        /** The content is quarantined as poison. */
         POISON
     }
 
     /**
-     * The load of one backend server as its owner sees it.
+     * The load of one backend server, as estimated by its owner.
      *
      * @param server the server
-     * @param running requests that run
-     * @param limit requests that the owner lets run at once at present
+     * @param running the number of requests that run or have a slot reserved
+     * @param limit the number of requests that may run at once at present
      * @param waitMillisByRank the expected wait of a request of each tier rank, in milliseconds,
      *     rank zero first
-     * @param prefillTokensPerSecond the observed prefill speed
-     * @param tokenGapMillis the observed time between tokens at the present load, in milliseconds
+     * @param prefillTokensPerSecond the observed prefill speed, in tokens per second; zero without
+     *     samples
+     * @param tokenGapMillis the observed time between tokens at the current load, in milliseconds;
+     *     zero without samples
      */
     record ServerLoad(
             ServerId server,
@@ -208,9 +211,9 @@
      *
      * @param model the model
      * @param servers the number of servers that take work
-     * @param freePlaces places free now over all of them
+     * @param freePlaces the number of free slots over all of them
      * @param waitMillisByRank the shortest expected wait by tier rank, in milliseconds
-     * @param best the servers with the shortest wait, the best first; a few at most
+     * @param best the few servers with the shortest wait, the best first
      */
     record ModelLoad(
             ModelId model,
--- a/src/main/java/org/orioleshed/routing/RunEnd.java
+++ b/src/main/java/org/orioleshed/routing/RunEnd.java
@@ -3,23 +3,23 @@
 /** How a run on a model engine ended. */
 public sealed interface RunEnd {
     /**
-     * The engine sent its whole answer.
+     * The engine sent the whole answer.
      *
      * @param totalTokens the length of the whole answer, resumed parts included
      */
     record Finished(int totalTokens) implements RunEnd {}
 
     /**
-     * The engine confirmed that the run is cancelled, on the accepting host's wish.
+     * The run was cancelled at the accepting host's request, and the engine confirmed it.
      *
-     * @param prefillTokensWasted tokens prefilled in vain
+     * @param prefillTokensWasted the number of prefilled tokens that were wasted
      */
     record Cancelled(int prefillTokensWasted) implements RunEnd {}
 
     /**
      * The owner cancelled the run in favour of a more urgent one, and the engine confirmed it.
      *
-     * @param deliveredTokens tokens sent so far; the next attempt resumes there
+     * @param deliveredTokens the number of tokens sent so far; the next attempt resumes there
      */
     record Preempted(int deliveredTokens) implements RunEnd {}
 
@@ -29,16 +29,16 @@
     /**
      * The engine answered with an error and does not work on the run.
      *
-     * @param retryable whether another server may do better
-     * @param detail the engine's words
+     * @param retryable whether an attempt on another server may succeed
+     * @param detail the engine's error message
      */
     record EngineError(boolean retryable, String detail) implements RunEnd {}
 
     /**
      * The connection broke or the engine crashed while the run was on it.
      *
-     * @param crashed whether the engine itself went down
-     * @param confirmedEnded whether it is known that the engine no longer works on the run
+     * @param crashed whether the engine itself crashed
+     * @param confirmedEnded whether the engine is confirmed to work on the run no longer
      */
     record Broken(boolean crashed, boolean confirmedEnded) implements RunEnd {}
 }
--- a/src/main/java/org/orioleshed/routing/ServerBackoff.java
+++ b/src/main/java/org/orioleshed/routing/ServerBackoff.java
@@ -44,7 +44,7 @@
         return failures > 0 && untilNanos - nowNanos > 0;
     }
 
-    /** Returns whether no run has succeeded since the last failure. */
+    /** Returns whether the engine has done no work since the last failure. */
     boolean probing() {
         return probing;
     }
--- a/src/main/java/org/orioleshed/routing/ServerChooser.java
+++ b/src/main/java/org/orioleshed/routing/ServerChooser.java
@@ -30,7 +30,7 @@
  */
 public final class ServerChooser {
     private static final int MAX_PREFIX_BLOCKS = 1 << 15;
-    private static final int DEFAULT_TOKENS = 150;
+    private static final int DEFAULT_OUTPUT_TOKENS = 150;
 
     /**
      * The maximum number of servers scored for one request, separately in the own and in all remote
@@ -114,7 +114,7 @@
             return 0;
         }
         LengthEstimate estimate = lengths.get(request.route());
-        int expected = estimate == null ? DEFAULT_TOKENS : estimate.meanTokens();
+        int expected = estimate == null ? DEFAULT_OUTPUT_TOKENS : estimate.meanTokens();
         return Math.min(expected, generate.maxOutputTokens());
     }
 
--- a/src/main/java/org/orioleshed/routing/ServerIndex.java
+++ b/src/main/java/org/orioleshed/routing/ServerIndex.java
@@ -15,9 +15,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/**
- * The backend servers of a fleet snapshot, laid out for choosing: by target, version and distance.
- */
+/** An index of the backend servers of a fleet snapshot by target, version and failure domain. */
 final class ServerIndex {
     static final ServerIndex EMPTY = new ServerIndex(ServerOwners.NONE, Map.of(), Map.of());
 
@@ -32,10 +30,10 @@
         this.pools = pools;
     }
 
-    /** Returns the index of {@code fleet}; this one when neither hosts nor servers changed. */
+    /** Returns the index of {@code fleet}; this object when neither hosts nor servers changed. */
     ServerIndex withFleet(HostId self, FleetSnapshot fleet) {
-        ServerOwners now = owners.withFleet(fleet);
-        if (now == owners) {
+        ServerOwners newOwners = owners.withFleet(fleet);
+        if (newOwners == owners) {
             return this;
         }
         EntryHost own = fleet.hosts().get(self);
@@ -45,7 +43,7 @@
         List<BackendServer> servers = new ArrayList<>(fleet.servers().values());
         servers.sort(Comparator.comparing(BackendServer::id));
         for (BackendServer server : servers) {
-            HostId owner = now.ownerOrNull(server.id());
+            HostId owner = newOwners.ownerOrNull(server.id());
             if (server.leaving() || owner == null) {
                 continue;
             }
@@ -59,14 +57,14 @@
             add(newPools, new PoolKey(server.target(), Optional.empty()), view, near);
             add(newPools, new PoolKey(server.target(), Optional.of(server.version())), view, near);
         }
-        return new ServerIndex(now, views, newPools);
+        return new ServerIndex(newOwners, views, newPools);
     }
 
     Optional<ServerView> server(ServerId id) {
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** Returns the servers that run {@code target}, of one version if given. */
+    /** Returns the servers that run {@code target}, limited to one version if given. */
     Pool pool(Target target, Optional<VersionId> version) {
         return pools.getOrDefault(new PoolKey(target, version), Pool.NONE);
     }
@@ -77,10 +75,10 @@
     }
 
     /**
-     * Servers that can take the place of one another.
+     * Interchangeable servers.
      *
-     * @param near those of this host's failure domain
-     * @param far all others
+     * @param near the servers of this host's failure domain
+     * @param far all other servers
      */
     record Pool(List<ServerView> near, List<ServerView> far) {
         static final Pool NONE = new Pool(List.of(), List.of());
--- a/src/main/java/org/orioleshed/routing/ServerOwners.java
+++ b/src/main/java/org/orioleshed/routing/ServerOwners.java
@@ -14,9 +14,9 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * The owner of each backend server: the entry host that wins rendezvous hashing among the hosts of
- * the server's failure domain that take work. A failure domain without such hosts falls to the
- * hosts of all others. Immutable.
+ * The owner of each backend server: the entry host chosen by rendezvous hashing among the hosts of
+ * the server's failure domain that take work. The servers of a failure domain without such hosts
+ * are owned by the hosts of all other domains. Immutable.
  */
 public final class ServerOwners {
     /** The owners of a fleet without servers. */
@@ -42,7 +42,7 @@
 
     /**
      * Returns the owners in {@code fleet}: this object when neither hosts nor servers changed, so
-     * that a change of settings alone costs nothing.
+     * that a change of settings alone does not recompute the owners.
      */
     public ServerOwners withFleet(FleetSnapshot fleet) {
         if (hosts.equals(fleet.hosts()) && servers.equals(fleet.servers())) {
--- a/src/main/java/org/orioleshed/routing/ServerRuns.java
+++ b/src/main/java/org/orioleshed/routing/ServerRuns.java
@@ -9,13 +9,13 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 
 /**
- * The runs on one engine: starts them, passes their tokens on, keeps to the callers' credit, and
- * ends them.
+ * The active runs on one engine: starts them, forwards their tokens, applies the callers' flow
+ * control credit, and ends them.
  */
 final class ServerRuns {
     private static final long CANCEL_TIMEOUT_NANOS = 2_000_000_000L;
     private static final long CANCEL_RETRY_NANOS = 1_000_000_000L;
-    private static final long OVERTIME_NANOS = 2_000_000_000L;
+    private static final long DEADLINE_GRACE_NANOS = 2_000_000_000L;
 
     private final RoutingLimits limits;
     private final ServerId server;
@@ -45,7 +45,7 @@
         this.backoff = backoff;
     }
 
-    /** Starts a run whose body arrived. */
+    /** Starts a run whose body has arrived. */
     void start(
             long nowNanos, WaitingOffer waiting, RoutingMessage.Placed placed, boolean canResume) {
         Offer offer = waiting.offer();
@@ -71,7 +71,7 @@
                 "uncached=" + uncached + "-of-" + offer.promptTokens());
     }
 
-    /** Returns whether the run is here. */
+    /** Adds credit to a run; returns whether the run is on this server. */
     boolean credit(long nowNanos, RunId id, int tokens) {
         Optional<ActiveRun> run = slots.run(id);
         run.ifPresent(r -> r.addCredit(tokens));
@@ -86,14 +86,14 @@
         }
         ActiveRun run = found.get();
         backoff.succeeded();
-        observe(nowNanos, run, event);
-        boolean wanted =
-                switch (run.stop()) {
-                    case NONE, PREEMPTED, STALLED, BROKEN -> !run.endReported();
-                    case REQUESTED, ABANDONED -> false;
+        recordTokens(nowNanos, run, event);
+        boolean forwards =
+                switch (run.stopReason()) {
+                    case NONE, PREEMPTED, STALLED, CONNECTION_LOST -> !run.endReported();
+                    case REQUESTED, ORPHANED -> false;
                 };
         boolean isNew = event.firstToken() + event.count() > run.resumeFromToken();
-        if (wanted && isNew) {
+        if (forwards && isNew) {
             outbox.send(
                     run.from(),
                     new RoutingMessage.Tokens(
@@ -102,7 +102,7 @@
         updatePaused(nowNanos, run);
     }
 
-    /** Asks the engine to stop a run; its place stays taken until the engine is done with it. */
+    /** Sends a cancel to the engine; the run holds its slot until the engine confirms its end. */
     void stop(long nowNanos, ActiveRun run, ActiveRun.StopReason reason) {
         if (run.stopping()) {
             return;
@@ -111,7 +111,7 @@
         outbox.add(new HostAction.CancelRun(run.run(), server));
     }
 
-    /** Stops a run so that more urgent work gets its place. */
+    /** Cancels a run so that a more urgent request gets its slot. */
     void preempt(long nowNanos, ActiveRun victim, String reason) {
         stop(nowNanos, victim, ActiveRun.StopReason.PREEMPTED);
         outbox.log(
@@ -126,8 +126,8 @@
     void ended(long nowNanos, ActiveRun run, RunEnd end) {
         updateBackoff(nowNanos, end);
         if (end instanceof RunEnd.Broken broken && !broken.confirmedEnded() && !broken.crashed()) {
-            if (run.stop() != ActiveRun.StopReason.BROKEN) {
-                run.stop(ActiveRun.StopReason.BROKEN, nowNanos);
+            if (run.stopReason() != ActiveRun.StopReason.CONNECTION_LOST) {
+                run.stop(ActiveRun.StopReason.CONNECTION_LOST, nowNanos);
                 outbox.add(new HostAction.CancelRun(run.run(), server));
             }
             return;
@@ -152,13 +152,13 @@
                         server + ":" + run.generatedTokens(),
                         "no-token-for-too-long");
                 stop(nowNanos, run, ActiveRun.StopReason.STALLED);
-            } else if (nowNanos - run.waiting().deadlineNanos() > OVERTIME_NANOS) {
-                stop(nowNanos, run, ActiveRun.StopReason.ABANDONED);
+            } else if (nowNanos - run.waiting().deadlineNanos() > DEADLINE_GRACE_NANOS) {
+                stop(nowNanos, run, ActiveRun.StopReason.ORPHANED);
             }
         }
     }
 
-    private void observe(long nowNanos, ActiveRun run, HostEvent.RunTokens event) {
+    private void recordTokens(long nowNanos, ActiveRun run, HostEvent.RunTokens event) {
         boolean first = !run.hasTokens();
         long gapMicros = run.tokens(event.firstToken(), event.count(), nowNanos);
         WaitingOffer waiting = run.waiting();
@@ -196,15 +196,18 @@
         }
     }
 
-    /** Returns what an end at the engine means, given why the run was stopped. */
+    /**
+     * Returns the end to report, given the end at the engine and the reason why the run was
+     * stopped.
+     */
     private static RunEnd effectiveEnd(ActiveRun run, RunEnd end) {
         if (!(end instanceof RunEnd.Cancelled)) {
             return end;
         }
-        return switch (run.stop()) {
-            case NONE, REQUESTED, ABANDONED -> end;
+        return switch (run.stopReason()) {
+            case NONE, REQUESTED, ORPHANED -> end;
             case PREEMPTED -> new RunEnd.Preempted(run.nextToken());
-            case STALLED, BROKEN -> new RunEnd.Broken(false, true);
+            case STALLED, CONNECTION_LOST -> new RunEnd.Broken(false, true);
         };
     }
 
@@ -221,7 +224,7 @@
             reportEnd(run, new RunEnd.Broken(false, false));
         }
         if (nowNanos - run.lastCancelNanos() > CANCEL_RETRY_NANOS) {
-            run.cancelRepeated(nowNanos);
+            run.recordCancelRetry(nowNanos);
             outbox.add(new HostAction.CancelRun(run.run(), server));
         }
     }
@@ -230,8 +233,8 @@
         if (run.paused()) {
             return false;
         }
-        long bound =
+        long timeoutMillis =
                 run.hasTokens() ? limits.tokenSilenceMillis() : limits.firstTokenSilenceMillis();
-        return nowNanos - run.lastTokenNanos() > bound * DecisionContext.NANOS_PER_MILLI;
+        return nowNanos - run.lastTokenNanos() > timeoutMillis * DecisionContext.NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/org/orioleshed/routing/ServerSpeed.java
+++ b/src/main/java/org/orioleshed/routing/ServerSpeed.java
@@ -4,7 +4,10 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.routing.RoutingMessage.Offer;
 
-/** How fast one engine is now, from its own streams; where those are silent, from its like. */
+/**
+ * The current speed of one engine, estimated from its own streams, or from the history of similar
+ * servers while there are no samples.
+ */
 final class ServerSpeed {
     private static final long DEFAULT_GAP_MICROS = 30_000;
     private static final long DEFAULT_PREFILL_NANOS = 500_000;
@@ -12,7 +15,7 @@
     private static final double PREFILL_SAMPLE_WEIGHT = 0.1;
     private static final int MIN_PREFILL_TOKENS = 64;
     private static final int MIN_SAMPLES = 20;
-    private static final long DEFAULT_TOKENS = 150;
+    private static final long DEFAULT_OUTPUT_TOKENS = 150;
 
     private final SpeedHistory speedHistory;
     private BackendServer server;
@@ -28,7 +31,7 @@
         server = newServer;
     }
 
-    /** Forgets what was seen: the engine runs another version. */
+    /** Discards the samples after a change of the version or the target. */
     void clear() {
         gapMicros = -1;
         prefillNanosPerToken = -1;
@@ -64,39 +67,45 @@
         return history.count() > 0 ? history.median() : DEFAULT_GAP_MICROS;
     }
 
-    /** Returns the time between tokens at the present load; zero when none was seen. */
+    /**
+     * Returns the time between tokens at the current load, in microseconds; zero without samples.
+     */
     long gapMicrosNow() {
         return Math.max(0, (long) gapMicros);
     }
 
-    /** Returns the speed of prefill; zero when none was seen. */
+    /** Returns the prefill speed in tokens per second; zero without samples. */
     int prefillTokensPerSecond() {
         return prefillNanosPerToken <= 0 ? 0 : (int) (1e9 / prefillNanosPerToken);
     }
 
     long prefillMillis(RouteId route, int uncachedTokens) {
-        return (long) (uncachedTokens * prefillNanos(route) / DecisionContext.NANOS_PER_MILLI);
+        return (long)
+                (uncachedTokens * prefillNanosPerToken(route) / DecisionContext.NANOS_PER_MILLI);
     }
 
-    /** Returns how long the prefill takes on an engine that has nothing else to do. */
+    /** Returns the expected prefill time on an otherwise idle engine, in microseconds. */
     long prefillAloneMicros(RouteId route, int uncachedTokens) {
         Quantiles history = speedHistory.forRoute(server, route).prefillNanosPerToken();
-        long nanos = history.count() > 0 ? history.median() : DEFAULT_PREFILL_NANOS;
-        return uncachedTokens * nanos / 1_000;
+        long nanosPerToken = history.count() > 0 ? history.median() : DEFAULT_PREFILL_NANOS;
+        return uncachedTokens * nanosPerToken / 1_000;
     }
 
-    /** Returns the expected time of a whole run, in milliseconds. */
+    /** Returns the expected duration of a whole run, in milliseconds. */
     long workMillis(Offer offer, int uncachedTokens) {
         return prefillMillis(offer.route(), uncachedTokens)
                 + expectedTokens(offer) * gapMicros(offer.route()) / 1_000;
     }
 
-    /** Returns the expected length of the answer, in tokens: the mean of its like. */
+    /**
+     * Returns the expected length of the answer, in tokens: the mean over similar requests, padded
+     * with a default while there are few samples.
+     */
     int expectedTokens(Offer offer) {
         Quantiles lengths = speedHistory.forRoute(server, offer.route()).outputTokens();
         long seen = lengths.count();
         long padding = seen >= MIN_SAMPLES ? 0 : MIN_SAMPLES - seen;
-        long mean = (seen * lengths.mean() + padding * DEFAULT_TOKENS) / (seen + padding);
+        long mean = (seen * lengths.mean() + padding * DEFAULT_OUTPUT_TOKENS) / (seen + padding);
         return (int) Math.min(offer.outputTokens(), mean);
     }
 
@@ -106,13 +115,16 @@
         return run.remainingMillis(nowNanos, expectedTokens(offer), gapMicros(offer.route()));
     }
 
-    /** Returns the work that would be done again if {@code run} were stopped, in milliseconds. */
+    /** Returns the work that a preemption of {@code run} would waste, in milliseconds. */
     long wasteMillis(ActiveRun run, long nowNanos) {
         long gapMicros = gapMicros(run.waiting().offer().route());
         return run.wasteMillis(nowNanos, server.canResume(), gapMicros);
     }
 
-    /** Returns a time that nine of ten runs like this one take at most, in milliseconds. */
+    /**
+     * Returns the duration of a run at the 90th percentile of the answer length, in milliseconds;
+     * at the request's output limit while there are few samples.
+     */
     long safeWorkMillis(Offer offer, int uncachedTokens) {
         Quantiles lengths = speedHistory.forRoute(server, offer.route()).outputTokens();
         long tokens = offer.outputTokens();
@@ -123,7 +135,7 @@
                 + tokens * gapMicros(offer.route()) / 1_000;
     }
 
-    private double prefillNanos(RouteId route) {
+    private double prefillNanosPerToken(RouteId route) {
         if (prefillNanosPerToken > 0) {
             return prefillNanosPerToken;
         }
--- a/src/main/java/org/orioleshed/routing/ServerView.java
+++ b/src/main/java/org/orioleshed/routing/ServerView.java
@@ -39,7 +39,7 @@
         return owner;
     }
 
-    /** Copies load and backoff state from the view of the previous fleet snapshot. */
+    /** Copies the load and the avoidance state from the view in the previous fleet snapshot. */
     void copyStateFrom(ServerView earlier) {
         load = earlier.load;
         sentSinceReport = earlier.sentSinceReport;
--- a/src/main/java/org/orioleshed/routing/SlotScheduler.java
+++ b/src/main/java/org/orioleshed/routing/SlotScheduler.java
@@ -35,14 +35,14 @@
         this.slots = slots;
     }
 
-    void offered(int rank, long nowNanos) {
+    void recordOffer(int rank, long nowNanos) {
         if (rank == 0) {
             lastUrgentNanos = nowNanos;
         }
     }
 
     /** Records that a preempted run has left the engine: an urgent request may take its slot. */
-    void preempted() {
+    void recordPreempted() {
         freedForUrgent++;
     }
 
@@ -63,12 +63,17 @@
             freedForUrgent = 0;
         }
         Optional<WaitingOffer> next =
-                policy == Policy.NAIVE ? firstIn(maxSlots) : next(context, limit, maxSlots);
+                policy == Policy.NAIVE
+                        ? nextFirstInFirstOut(maxSlots)
+                        : next(context, limit, maxSlots);
         next.ifPresent(queue::take);
         return next;
     }
 
-    /** Returns the number of slots in use up to which a request of {@code rank} is granted one. */
+    /**
+     * Returns the number of slots that may be in use, at most, once a request of {@code rank} is
+     * granted one.
+     */
     int allowance(int rank, long nowNanos, int limit, int maxSlots) {
         if (policy == Policy.NAIVE) {
             return maxSlots;
@@ -115,12 +120,12 @@
         return Math.min(1, (double) waiting.safeMillis() / Math.max(1, leftMillis));
     }
 
-    private Optional<WaitingOffer> firstIn(int maxSlots) {
+    private Optional<WaitingOffer> nextFirstInFirstOut(int maxSlots) {
         return slots.inFlight() < maxSlots ? queue.firstOfAll() : Optional.empty();
     }
 
     private Optional<WaitingOffer> next(DecisionContext context, int limit, int maxSlots) {
-        Optional<WaitingOffer> urgent = urgent(context, limit, maxSlots);
+        Optional<WaitingOffer> urgent = nextUrgent(context, limit, maxSlots);
         if (urgent.isPresent()) {
             return urgent;
         }
@@ -136,7 +141,7 @@
         }
         for (int rank : queue.ranks()) {
             Optional<WaitingOffer> next =
-                    rank < PATIENT_RANK ? nextByFairShare(rank) : patient(rank, context, limit);
+                    rank < PATIENT_RANK ? nextByFairShare(rank) : nextPatient(rank, context, limit);
             if (next.isPresent()) {
                 return next;
             }
@@ -144,7 +149,7 @@
         return Optional.empty();
     }
 
-    private Optional<WaitingOffer> urgent(DecisionContext context, int limit, int maxSlots) {
+    private Optional<WaitingOffer> nextUrgent(DecisionContext context, int limit, int maxSlots) {
         if (queue.size(0) == 0) {
             return Optional.empty();
         }
@@ -162,7 +167,7 @@
         return queue.tier(rank).next(OfferQueue::anyWorkspace);
     }
 
-    private Optional<WaitingOffer> patient(int rank, DecisionContext context, int limit) {
+    private Optional<WaitingOffer> nextPatient(int rank, DecisionContext context, int limit) {
         boolean spare = slots.inFlight() < Math.max(1, limit / 2);
         return queue.tier(rank).next(id -> spare || context.inPatienceWindow(id));
     }
--- a/src/main/java/org/orioleshed/routing/SpeedHistory.java
+++ b/src/main/java/org/orioleshed/routing/SpeedHistory.java
@@ -7,7 +7,10 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.VersionId;
 
-/** What past runs showed of speeds and lengths, by model, version, generation and route. */
+/**
+ * Speeds and answer lengths of past runs, by target, version, hardware generation and route. The
+ * least recently used entries are evicted.
+ */
 final class SpeedHistory {
     private static final int MAX_ENTRIES = 512;
 
@@ -26,7 +29,7 @@
         return speeds.computeIfAbsent(key, k -> new Speed());
     }
 
-    /** What is known of runs that are alike. */
+    /** The statistics of similar runs. */
     static final class Speed {
         private static final long MAX_GAP_MICROS = 60_000_000;
         private static final long MAX_PREFILL_NANOS = 1_000_000_000;
--- a/src/main/java/org/orioleshed/routing/WaitingOffer.java
+++ b/src/main/java/org/orioleshed/routing/WaitingOffer.java
@@ -7,17 +7,18 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 
 /**
- * An offer that waits for a place, or for its body once a place is reserved.
+ * An offer that waits for a slot, or for its request body once a slot is reserved.
  *
  * @param run the run
  * @param from the host that accepted the request
- * @param offer what is known of the request
- * @param deadlineNanos the caller's deadline on this host's clock
- * @param arrivedNanos when the request first arrived anywhere, on this host's clock
- * @param queuedNanos when the offer came in here
- * @param uncachedTokens tokens of the prompt that are not in the server's cache
- * @param workMillis how long the run is expected to take
- * @param safeMillis how long nine of ten runs like it take at most
+ * @param offer the description of the request
+ * @param deadlineNanos the caller's deadline on this host's monotonic clock
+ * @param arrivedNanos when the request first arrived at any host, on this host's monotonic clock
+ * @param queuedNanos when the offer arrived at this owner, on this host's monotonic clock
+ * @param uncachedTokens the tokens of the prompt that are not expected in the server's prefix cache
+ * @param workMillis the expected duration of the run, in milliseconds
+ * @param safeMillis the duration of the run at the 90th percentile of the answer length, in
+ *     milliseconds
  */
 record WaitingOffer(
         RunId run,
@@ -34,17 +35,17 @@
                     .thenComparingLong(RequestId::incarnation)
                     .thenComparingLong(RequestId::sequence);
 
-    /** A total order by run, for ties. */
+    /** A total order by run, to break ties. */
     static final Comparator<RunId> BY_RUN =
             Comparator.comparing(RunId::request, BY_REQUEST).thenComparingInt(RunId::attempt);
 
-    /** The earliest deadline first, then the oldest. */
+    /** Earliest deadline first, then earliest arrival. */
     static final Comparator<WaitingOffer> BY_DEADLINE =
             Comparator.comparingLong(WaitingOffer::deadlineNanos)
                     .thenComparingLong(WaitingOffer::arrivedNanos)
                     .thenComparing(WaitingOffer::run, BY_RUN);
 
-    /** The first to come in here first. */
+    /** First in, first out at this owner. */
     static final Comparator<WaitingOffer> BY_QUEUED =
             Comparator.comparingLong(WaitingOffer::queuedNanos)
                     .thenComparing(WaitingOffer::run, BY_RUN);
--- a/src/main/java/org/orioleshed/routing/package-info.java
+++ b/src/main/java/org/orioleshed/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a backend server's owner: who waits, who runs, who yields. All are state
- * machines without I/O, clock or threads.
+ * Request routing: the choice of backend servers on the accepting host, and the queueing, admission
+ * and preemption of runs on each server's owner. All classes are free of I/O, clocks and threads.
  */
 package org.orioleshed.routing;
--- a/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
+++ b/src/test/java/org/orioleshed/routing/AdaptiveLimitTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against limits that oscillate, or that fall for latency that fewer requests would not
- * improve.
+ * Guards against limits that miss the latency targets, and against lowering the limit for latency
+ * that fewer requests would not improve.
  */
 public class AdaptiveLimitTest {
     private static final int SLOTS = 16;
--- a/src/test/java/org/orioleshed/routing/FairQueueProperties.java
+++ b/src/test/java/org/orioleshed/routing/FairQueueProperties.java
@@ -12,22 +12,25 @@
 import org.orioleshed.model.Tier;
 import org.orioleshed.model.WorkspaceId;
 
-/** Properties of {@link FairQueue}. */
+/**
+ * Properties of {@link FairQueue}: shares follow the weights, no offer starves, and each workspace
+ * is served by deadline.
+ */
 class FairQueueProperties {
     private static final int WORKSPACES = 4;
     private static final int MAX_WORK_MILLIS = 1_000;
 
     @Property(seed = "21", tries = 200)
-    boolean backloggedWorkspacesGetWorkByTheirWeights(
+    boolean backloggedWorkspacesShareByWeight(
             @ForAll @Size(40) List<@IntRange(min = 1, max = MAX_WORK_MILLIS) Integer> works,
-            @ForAll @IntRange(min = 0, max = 30) int takesBeforeTheLast,
+            @ForAll @IntRange(min = 0, max = 30) int takesBeforeLastWorkspace,
             @ForAll @IntRange(min = 1, max = 39) int takes) {
         FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
         for (int weight = 1; weight < WORKSPACES; weight++) {
             fill(queue, works, weight);
             fill(queue, works, weight);
         }
-        for (int i = 0; i < takesBeforeTheLast; i++) {
+        for (int i = 0; i < takesBeforeLastWorkspace; i++) {
             queue.take(queue.next(OfferQueue::anyWorkspace).orElseThrow());
         }
         fill(queue, works, WORKSPACES);
@@ -40,7 +43,8 @@
         }
         double most = share.values().stream().mapToDouble(d -> d).max().orElse(0);
         double least = share.size() < WORKSPACES ? 0 : least(share);
-        // Start-time fair queueing: two backlogged flows differ by one job of each at most.
+        // Start-time fair queueing: the weighted work of two backlogged flows differs by at most
+        // one job of each.
         return most - least <= 2.0 * MAX_WORK_MILLIS;
     }
 
@@ -51,7 +55,7 @@
     }
 
     @Property(seed = "22", tries = 200)
-    boolean noOfferStarvesWhileLaterOnesComeIn(
+    boolean noOfferStarvesWhileLaterOnesArrive(
             @ForAll @Size(300) List<@IntRange(min = 0, max = 15) Integer> arrivals) {
         FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
         WaitingOffer first = waiting(1, 1, 0, MAX_WORK_MILLIS);
@@ -69,12 +73,13 @@
                 break;
             }
         }
-        // Equal jobs: before a flow of weight one, the others get their weights' sum at most.
+        // With equal jobs, the other flows are served at most the sum of their weights before a
+        // flow of weight one.
         return takes <= 1 + 2 + 3 + 4 + WORKSPACES;
     }
 
     @Property(seed = "23", tries = 200)
-    boolean aWorkspaceOrderIsByDeadline(
+    boolean offersOfAWorkspaceAreOrderedByDeadline(
             @ForAll @Size(30) List<@IntRange(min = 0, max = 50) Integer> deadlines) {
         FairQueue queue = new FairQueue(WaitingOffer.BY_DEADLINE);
         long sequence = 0;
--- a/src/test/java/org/orioleshed/routing/FleetSnapshots.java
+++ b/src/test/java/org/orioleshed/routing/FleetSnapshots.java
@@ -37,7 +37,7 @@
 final class FleetSnapshots {
     static final RouteId ROUTE = new RouteId("gangway");
     static final Target MODEL = new Target.Model(new ModelId("letters"));
-    static final FailureDomain NEAR = new FailureDomain("suva-a");
+    static final FailureDomain LOCAL_DOMAIN = new FailureDomain("suva-a");
     static final HostId SELF = new HostId("suva-a-h1");
 
     private static final PatienceWindow NIGHT =
@@ -45,16 +45,16 @@
 
     private FleetSnapshots() {}
 
-    /** Returns a fleet snapshot of {@code domains} failure domains, alike in size. */
-    static FleetSnapshot of(int domains, int hostsEach, int serversEach, int slots) {
+    /** Returns a fleet snapshot of {@code domains} failure domains of equal size. */
+    static FleetSnapshot of(int domains, int hostsPerDomain, int serversPerDomain, int slots) {
         List<EntryHost> hosts = new ArrayList<>();
         List<BackendServer> servers = new ArrayList<>();
         for (int d = 0; d < domains; d++) {
             FailureDomain domain = domain(d);
-            for (int h = 1; h <= hostsEach; h++) {
+            for (int h = 1; h <= hostsPerDomain; h++) {
                 hosts.add(host(domain + "-h" + h, domain, EntryHost.State.ALIVE));
             }
-            for (int s = 1; s <= serversEach; s++) {
+            for (int s = 1; s <= serversPerDomain; s++) {
                 servers.add(server(domain + "-" + s, domain, slots));
             }
         }
@@ -100,7 +100,7 @@
                 false);
     }
 
-    /** Returns the id of the workspace with that weight. */
+    /** Returns the ID of the workspace with the given weight. */
     static WorkspaceId workspaceId(int weight) {
         return new WorkspaceId("weight-" + weight);
     }
--- a/src/test/java/org/orioleshed/routing/OneServer.java
+++ b/src/test/java/org/orioleshed/routing/OneServer.java
@@ -18,11 +18,14 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** An owner core with one backend server, and an accepting host that places what is granted. */
+/**
+ * A test harness: an owner core with one backend server, and an accepting host that places granted
+ * runs. Collects violations of the grant order and of the shedding rule.
+ */
 final class OneServer {
     static final ServerId SERVER = new ServerId("suva-a-1");
 
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     final OwnerCore core;
     final List<RunId> granted = new ArrayList<>();
@@ -34,8 +37,8 @@
     final Map<RunId, Tier> tiers = new HashMap<>();
     final Map<RunId, OpenOffer> waiting = new LinkedHashMap<>();
     final List<String> violations = new ArrayList<>();
-    boolean placesGranted = true;
-    long nowNanos = 1_000 * MILLI;
+    boolean placesGrantedRuns = true;
+    long nowNanos = 1_000 * NANOS_PER_MILLI;
 
     OneServer(RoutingLimits limits, int slots) {
         core = new OwnerCore(FleetSnapshots.SELF, limits);
@@ -49,7 +52,9 @@
     void offer(RunId run, Offer offer) {
         if (!tiers.containsKey(run)) {
             tiers.put(run, offer.tier());
-            waiting.put(run, new OpenOffer(offer, nowNanos + offer.remainingMillis() * MILLI));
+            waiting.put(
+                    run,
+                    new OpenOffer(offer, nowNanos + offer.remainingMillis() * NANOS_PER_MILLI));
         }
         receive(new RoutingMessage.Offered(run, SERVER, offer));
     }
@@ -60,7 +65,7 @@
 
     void advance(long millis) {
         for (long left = millis; left > 0; left -= 20) {
-            nowNanos += Math.min(20, left) * MILLI;
+            nowNanos += Math.min(20, left) * NANOS_PER_MILLI;
             handle(new HostEvent.Tick());
         }
     }
@@ -83,7 +88,7 @@
         end(run, new RunEnd.Cancelled(100));
     }
 
-    /** Returns the runs on the engine that nobody asked to stop and whose tier is so. */
+    /** Returns the runs on the engine that are not being cancelled and whose tier matches. */
     List<RunId> running(Predicate<Tier> tier) {
         return onEngine.stream()
                 .filter(run -> !cancelling.contains(run) && tier.test(tiers.get(run)))
@@ -109,7 +114,7 @@
                 checkOrder(m.run());
                 waiting.remove(m.run());
                 granted.add(m.run());
-                if (placesGranted) {
+                if (placesGrantedRuns) {
                     receive(new RoutingMessage.Placed(m.run(), SERVER, Payload.EMPTY, 0, 1_000));
                 }
             }
@@ -135,13 +140,13 @@
             OpenOffer other = entry.getValue();
             boolean urgentWaits = other.offer().tier().rank() == 0;
             if (urgentWaits && chosen.offer().tier().rank() > 0) {
-                violations.add(run + " got a place before the urgent " + entry.getKey());
+                violations.add(run + " got a slot before the urgent " + entry.getKey());
             }
-            boolean alike =
+            boolean sameQueue =
                     other.offer().tier().equals(chosen.offer().tier())
                             && other.offer().workspace().equals(chosen.offer().workspace());
-            if (alike && other.deadlineNanos() < chosen.deadlineNanos()) {
-                violations.add(run + " got a place before the earlier " + entry.getKey());
+            if (sameQueue && other.deadlineNanos() < chosen.deadlineNanos()) {
+                violations.add(run + " got a slot before the earlier " + entry.getKey());
             }
         }
     }
@@ -159,6 +164,6 @@
         }
     }
 
-    /** An offer that was neither granted nor refused yet. */
+    /** An offer that is neither granted nor refused yet. */
     record OpenOffer(Offer offer, long deadlineNanos) {}
 }
--- a/src/test/java/org/orioleshed/routing/OwnerCoreProperties.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreProperties.java
@@ -16,7 +16,7 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.Tier;
 
-/** Properties of {@link OwnerCore} over random orders of events. */
+/** Properties of {@link OwnerCore} over random sequences of events. */
 class OwnerCoreProperties {
     private static final int SLOTS = 4;
     private static final int QUEUE_LENGTH = 5;
@@ -26,14 +26,14 @@
     private static final RoutingLimits LIMITS =
             new RoutingLimits(Policy.ORIOLESHED, 1_600, 79, QUEUE_LENGTH, 1_000, 2, 20_000, 5_000);
 
-    /** One thing that happens; what {@code a} and {@code b} choose depends on the kind. */
+    /** One event; the meaning of {@code a} and {@code b} depends on the kind. */
     record Step(Kind kind, int a, int b) {}
 
-    /** What can happen. */
+    /** The kinds of events. */
     enum Kind {
         OFFER,
         BURST,
-        REPEAT,
+        REPEAT_PLACEMENT,
         FINISH,
         CONFIRM_CANCEL,
         CANCEL,
@@ -68,7 +68,7 @@
     }
 
     @Property(seed = "12", tries = 200)
-    boolean nothingIsForgotten(@ForAll("steps") List<Step> steps) {
+    boolean everyOfferIsSettled(@ForAll("steps") List<Step> steps) {
         OneServer owner = new OneServer(LIMITS, SLOTS);
         for (Step step : steps) {
             apply(owner, step);
@@ -82,33 +82,33 @@
     }
 
     @Property(seed = "13", tries = 200)
-    boolean agreesWithFirstInFirstOutForOneTierAndWorkspace(@ForAll("steps") List<Step> steps) {
-        OneServer oriole = new OneServer(RoutingLimits.DEFAULTS, SLOTS);
+    boolean grantsFirstInFirstOutWithinOneTierAndWorkspace(@ForAll("steps") List<Step> steps) {
+        OneServer prioritized = new OneServer(RoutingLimits.DEFAULTS, SLOTS);
         OneServer naive = new OneServer(RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE), SLOTS);
-        Queue<RunId> line = new ArrayDeque<>();
+        Queue<RunId> waiting = new ArrayDeque<>();
         List<RunId> expected = new ArrayList<>();
         int running = 0;
         long sequence = 0;
         for (Step step : steps) {
             if (step.kind() == Kind.FINISH && running > 0) {
                 RunId done = expected.get(expected.size() - running);
-                oriole.finish(done);
+                prioritized.finish(done);
                 naive.finish(done);
                 running--;
             } else {
                 RunId run = FleetSnapshots.run(++sequence);
-                line.add(run);
-                oriole.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
+                waiting.add(run);
+                prioritized.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
                 naive.offer(run, FleetSnapshots.offer(Tier.STANDARD, 3_600_000));
-                oriole.advance(20);
+                prioritized.advance(20);
                 naive.advance(20);
             }
-            while (running < SLOTS && !line.isEmpty()) {
-                expected.add(line.remove());
+            while (running < SLOTS && !waiting.isEmpty()) {
+                expected.add(waiting.remove());
                 running++;
             }
         }
-        return oriole.granted.equals(expected) && naive.granted.equals(expected);
+        return prioritized.granted.equals(expected) && naive.granted.equals(expected);
     }
 
     private static void apply(OneServer owner, Step step) {
@@ -119,18 +119,21 @@
                     offer(owner, step.a(), step.b());
                 }
             }
-            case REPEAT ->
-                    any(List.copyOf(owner.tiers.keySet()), step.a(), run -> repeat(owner, run));
-            case FINISH -> any(List.copyOf(owner.onEngine), step.a(), owner::finish);
+            case REPEAT_PLACEMENT ->
+                    applyToAny(
+                            List.copyOf(owner.tiers.keySet()),
+                            step.a(),
+                            run -> repeatPlacement(owner, run));
+            case FINISH -> applyToAny(List.copyOf(owner.onEngine), step.a(), owner::finish);
             case CONFIRM_CANCEL ->
-                    any(List.copyOf(owner.cancelling), step.a(), owner::confirmCancel);
+                    applyToAny(List.copyOf(owner.cancelling), step.a(), owner::confirmCancel);
             case CANCEL ->
-                    any(
+                    applyToAny(
                             List.copyOf(owner.tiers.keySet()),
                             step.a(),
                             run -> owner.receive(new RoutingMessage.Cancelled(run)));
             case WITHDRAW ->
-                    any(
+                    applyToAny(
                             List.copyOf(owner.waiting.keySet()),
                             step.a(),
                             run -> {
@@ -138,7 +141,7 @@
                                 owner.receive(new RoutingMessage.Withdrawn(run, OneServer.SERVER));
                             });
             case TOKENS ->
-                    any(
+                    applyToAny(
                             List.copyOf(owner.onEngine),
                             step.a(),
                             run -> owner.tokens(run, 0, 1 + step.b() % 5));
@@ -153,11 +156,11 @@
         owner.offer(run, FleetSnapshots.offer(tier, remainingMillis, 1 + a % 4, b / 7 % 4));
     }
 
-    private static void repeat(OneServer owner, RunId run) {
+    private static void repeatPlacement(OneServer owner, RunId run) {
         owner.receive(new RoutingMessage.Placed(run, OneServer.SERVER, Payload.EMPTY, 0, 10));
     }
 
-    private static void any(List<RunId> runs, int choice, Consumer<RunId> action) {
+    private static void applyToAny(List<RunId> runs, int choice, Consumer<RunId> action) {
         if (!runs.isEmpty()) {
             action.accept(runs.get(choice % runs.size()));
         }
--- a/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
@@ -21,14 +21,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OwnerCore}. */
+/** Tests of the grants, preemptions, cancels and refusals of {@link OwnerCore}. */
 public class OwnerCoreTest {
     private static final long HOUR_MILLIS = 3_600_000;
 
     private final RoutingLimits limits = RoutingLimits.DEFAULTS;
 
     @Test
-    public void grantsAFreePlaceAtOnceAndStartsWhatIsPlaced() {
+    public void grantsAFreeSlotAtOnceAndStartsThePlacedRun() {
         OneServer owner = new OneServer(limits, 2);
         owner.offer(run(1), offer(Tier.URGENT, 10_000));
         assertEquals(owner.granted, List.of(run(1)));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void repeatedMessagesChangeNothing() {
+    public void repeatedMessagesHaveNoEffect() {
         OneServer owner = new OneServer(limits, 2);
         for (int i = 0; i < 3; i++) {
             owner.offer(run(1), offer(Tier.STANDARD, 60_000));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void neverRunsMoreThanTheServersPlaces() {
+    public void runsNoMoreThanTheServersSlots() {
         OneServer owner = new OneServer(limits, 2);
         for (int i = 1; i <= 5; i++) {
             owner.offer(run(i), offer(Tier.STANDARD, 600_000));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void urgentWorkPreemptsTheLowestTier() {
+    public void urgentRequestPreemptsTheLowestTier() {
         OneServer owner = new OneServer(limits, 2);
         owner.handle(new HostEvent.WallClock(23 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    public void preemptedRunTellsWhereTheNextAttemptResumes() {
+    public void preemptedRunReportsTheResumeOffset() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 7);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    public void aRunThatWouldMissItsLastSafeStartIsLetAlone() {
+    public void runThatCouldNotBeRestartedInTimeIsNotPreempted() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.PATIENT, 2_000));
         assertEquals(owner.granted, List.of(run(1)));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void aProtectedRunYieldsBeforeUrgentWorkIsShed() {
+    public void protectedRunIsPreemptedBeforeAnUrgentRequestIsShed() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000, 1, limits.maxPreemptions()));
         owner.offer(run(2), offer(Tier.URGENT, 20_000));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void patientWorkWaitsForItsWindowUnlessThereIsRoomToSpare() {
+    public void patientRequestsWaitForTheirWindowUnlessHalfTheSlotsAreFree() {
         OneServer owner = new OneServer(limits, 4);
         long noonMillis = 12 * HOUR_MILLIS;
         owner.handle(new HostEvent.WallClock(noonMillis));
@@ -122,7 +122,7 @@
     }
 
     @Test
-    public void patientWorkNearItsLastSafeStartGoesBeforeStandardWork() {
+    public void patientRequestNearItsLatestStartPrecedesStandardRequests() {
         OneServer owner = new OneServer(limits, 2);
         owner.handle(new HostEvent.WallClock(12 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
@@ -136,9 +136,9 @@
     }
 
     @Test
-    public void aReservedPlaceThatIsNotUsedGoesToTheNext() {
+    public void unusedReservationExpiresAndGoesToTheNextOffer() {
         OneServer owner = new OneServer(limits, 1);
-        owner.placesGranted = false;
+        owner.placesGrantedRuns = false;
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         assertEquals(owner.granted, List.of(run(1)));
@@ -149,7 +149,7 @@
     }
 
     @Test
-    public void aPlaceIsTakenUntilTheEngineConfirmsTheCancel() {
+    public void slotIsHeldUntilTheEngineConfirmsTheCancel() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
@@ -162,7 +162,7 @@
     }
 
     @Test
-    public void aSilentRunIsGivenUp() {
+    public void stalledRunIsCancelled() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    public void anUnconfirmedCancelIsToldAsSuch() {
+    public void unconfirmedCancelIsReportedAsUnconfirmed() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
@@ -183,7 +183,7 @@
     }
 
     @Test
-    public void aSlowCallerPausesItsRunOnly() {
+    public void slowCallerPausesItsRunWithoutCancellingIt() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1_000);
@@ -195,7 +195,7 @@
     }
 
     @Test
-    public void aCrashedEngineGetsNoWorkForAWhile() {
+    public void crashedEngineGetsNoRunsDuringTheBackoff() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
@@ -215,14 +215,19 @@
                 FleetSnapshots.of(
                         List.of(
                                 FleetSnapshots.host(
-                                        "suva-a-h2", FleetSnapshots.NEAR, EntryHost.State.ALIVE),
+                                        "suva-a-h2",
+                                        FleetSnapshots.LOCAL_DOMAIN,
+                                        EntryHost.State.ALIVE),
                                 FleetSnapshots.host(
                                         FleetSnapshots.SELF.value(),
-                                        FleetSnapshots.NEAR,
+                                        FleetSnapshots.LOCAL_DOMAIN,
                                         EntryHost.State.LEAVING)),
-                        List.of(FleetSnapshots.server(SERVER.value(), FleetSnapshots.NEAR, 1)));
+                        List.of(
+                                FleetSnapshots.server(
+                                        SERVER.value(), FleetSnapshots.LOCAL_DOMAIN, 1)));
         BackendServer leaving =
-                FleetSnapshots.server(SERVER.value(), FleetSnapshots.NEAR, 1).withLeaving(true);
+                FleetSnapshots.server(SERVER.value(), FleetSnapshots.LOCAL_DOMAIN, 1)
+                        .withLeaving(true);
         FleetSnapshot left =
                 FleetSnapshots.of(
                         List.copyOf(FleetSnapshots.of(1, 1, 0, 1).hosts().values()),
@@ -236,7 +241,8 @@
     }
 
     @Test(dataProvider = "closings")
-    public void whatWaitsIsTurnedDownAndWhatRunsFinishes(HostEvent event, RefusalReason reason) {
+    public void closingRefusesWaitingOffersAndLetsRunsFinish(
+            HostEvent event, RefusalReason reason) {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
@@ -252,7 +258,7 @@
     }
 
     @Test
-    public void aFullQueueTurnsTheLowestTierDown() {
+    public void fullQueueRefusesTheLowestTier() {
         RoutingLimits small =
                 new RoutingLimits(Policy.ORIOLESHED, 1_600, 79, 2, 1_000, 2, 20_000, 5_000);
         OneServer owner = new OneServer(small, 1);
@@ -266,14 +272,14 @@
     }
 
     @Test
-    public void tellsLoadsToItsOwnFailureDomainAndSumsToOthers() {
+    public void sendsLoadsToItsOwnFailureDomainAndTotalsToOthers() {
         OneServer owner = new OneServer(limits, 2);
         owner.fleet(FleetSnapshots.of(2, 1, 1, 2));
         owner.advance(1_000);
         long loads = countSent(owner, RoutingMessage.ServerLoads.class);
-        long sums = countSent(owner, RoutingMessage.DomainLoads.class);
+        long totals = countSent(owner, RoutingMessage.DomainLoads.class);
         assertTrue(loads >= 4, "loads " + loads);
-        assertTrue(sums >= 1, "sums " + sums);
+        assertTrue(totals >= 1, "totals " + totals);
     }
 
     private static long countSent(OneServer owner, Class<? extends RoutingMessage> type) {
--- a/src/test/java/org/orioleshed/routing/RoutingBench.java
+++ b/src/test/java/org/orioleshed/routing/RoutingBench.java
@@ -26,7 +26,9 @@
 import org.orioleshed.routing.RoutingMessage.ServerLoad;
 import org.orioleshed.routing.RoutingMessage.ServerLoads;
 
-/** The cost of a choice, and of a run's whole life on its owner, by the fleet's size. */
+/**
+ * Benchmarks of the choice of servers and of the lifecycle of a run on its owner, by fleet size.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -48,7 +50,7 @@
     private long nowNanos;
     private long sequence;
 
-    /** Fills the chooser with loads and prefixes. */
+    /** Fills the chooser with load reports and prefixes. */
     @Setup
     public void setUp() {
         fleet = FleetSnapshots.of(DOMAINS, HOSTS_EACH, servers, SLOTS);
@@ -70,7 +72,7 @@
         List<ServerLoad> loads = new ArrayList<>();
         for (int i = 1; i <= servers; i++) {
             List<Long> waits = List.of(0L, 10L * (i % 7), 50L * (i % 5));
-            ServerId id = new ServerId(FleetSnapshots.NEAR + "-" + i);
+            ServerId id = new ServerId(FleetSnapshots.LOCAL_DOMAIN + "-" + i);
             loads.add(new ServerLoad(id, i % SLOTS, SLOTS, waits, 4_000, 20 + i % 20));
         }
         chooser.observe(0, new ServerLoads(loads));
@@ -87,7 +89,7 @@
         return chooser.choose(fleet, request, Optional.empty(), Set.of(), 2, nowNanos);
     }
 
-    /** A run's life on its owner: offer, grant, start, ten tokens, end. */
+    /** The lifecycle of a run on its owner: offer, grant, start, ten tokens, end. */
     @Benchmark
     public List<HostAction> runOnOwner() {
         nowNanos += 1_000_000;
@@ -103,7 +105,7 @@
         return owner.on(nowNanos, new HostEvent.RunEnded(run, server, new RunEnd.Finished(10)));
     }
 
-    /** The work of 20 ms that comes without any event, over all servers of the owner. */
+    /** The periodic work of one 20 ms tick over all servers of the owner. */
     @Benchmark
     public List<HostAction> tickOfOwners() {
         nowNanos += 20_000_000;
--- a/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
+++ b/src/test/java/org/orioleshed/routing/RoutingCodecProperties.java
@@ -17,7 +17,10 @@
 import org.orioleshed.model.Tier;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of {@link RoutingCodec}. */
+/**
+ * Properties of {@link RoutingCodec}: round trips, and arbitrary or damaged bytes, which must not
+ * cause any other exception than {@link BadMessageException}.
+ */
 class RoutingCodecProperties {
     private static final RunId RUN = FleetSnapshots.run(7);
     private static final ServerId SERVER = new ServerId("suva-a-1");
@@ -65,18 +68,18 @@
     }
 
     @Property(seed = "41")
-    boolean whatIsEncodedIsDecodedAsItWas(@ForAll("messages") RoutingMessage message)
+    boolean decodeInvertsEncode(@ForAll("messages") RoutingMessage message)
             throws BadMessageException {
         return codec.decode(codec.encode(message)).equals(message);
     }
 
     @Property(seed = "42")
-    boolean anyBytesGiveAMessageOrTheTypedError(@ForAll @Size(max = 200) byte[] bytes) {
-        return decodesOrRefuses(bytes);
+    boolean arbitraryBytesDecodeOrFailWithBadMessage(@ForAll @Size(max = 200) byte[] bytes) {
+        return decodesOrFails(bytes);
     }
 
     @Property(seed = "43")
-    boolean damagedBytesGiveAMessageOrTheTypedError(
+    boolean damagedBytesDecodeOrFailWithBadMessage(
             @ForAll("messages") RoutingMessage message,
             @ForAll @IntRange(min = 0, max = 1_000) int position,
             @ForAll byte value,
@@ -84,10 +87,10 @@
         byte[] bytes = codec.encode(message);
         bytes[position % bytes.length] = value;
         byte[] damaged = Arrays.copyOf(bytes, Math.max(0, bytes.length - cut));
-        return decodesOrRefuses(damaged);
+        return decodesOrFails(damaged);
     }
 
-    private boolean decodesOrRefuses(byte[] bytes) {
+    private boolean decodesOrFails(byte[] bytes) {
         try {
             return codec.decode(bytes) != null;
         } catch (BadMessageException e) {
--- a/src/test/java/org/orioleshed/routing/ServerChooserTest.java
+++ b/src/test/java/org/orioleshed/routing/ServerChooserTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ServerChooser}. */
+/** Tests of the order and the filtering of servers in {@link ServerChooser}. */
 public class ServerChooserTest {
     private static final List<Long> PREFIX = List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L);
 
@@ -69,7 +69,7 @@
     }
 
     @Test
-    public void keepsUrgentWorkOffSlowStreams() {
+    public void keepsUrgentRequestsOffSlowStreams() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
         choose(fleet, Tier.URGENT, List.of(), 1);
         chooser.observe(0, new ServerLoads(List.of(load(1, 0, 200), load(2, 600, 30))));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    public void theServerWithMostOfThePromptIsAmongTheChosen() {
+    public void includesTheServerWithTheLongestCachedPrefix() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
         choose(fleet, Tier.STANDARD, PREFIX, 1);
         chooser.observe(
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void aCachedPromptOutweighsAShortWait() {
+    public void cachedPromptOutweighsAShortWait() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 2, 8);
         choose(fleet, Tier.STANDARD, PREFIX, 1);
         chooser.observe(0, new ServerLoads(List.of(load(1, 50, 30), load(2, 0, 30))));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void requestsWithinOneReportSpreadOut() {
+    public void requestsBetweenReportsAreSpreadOverServers() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 4, 2);
         Set<ServerId> chosen = new HashSet<>();
         for (int i = 0; i < 8; i++) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void aDistantDomainsSumLeadsToItsBestServers() {
+    public void totalsOfARemoteDomainLeadToItsBestServers() {
         FleetSnapshot fleet = FleetSnapshots.of(2, 1, 3, 8);
         choose(fleet, Tier.STANDARD, List.of(), 1);
         chooser.observe(
@@ -117,14 +117,14 @@
                 new ServerLoads(
                         List.of(load(1, 5_000, 30), load(2, 5_000, 30), load(3, 5_000, 30))));
         ServerId best = id("suva-b", 2);
-        ModelLoad sum =
+        ModelLoad total =
                 new ModelLoad(new ModelId("letters"), 3, 4, List.of(0L, 0L, 0L), List.of(best));
-        chooser.observe(0, new DomainLoads(new FailureDomain("suva-b"), List.of(sum)));
+        chooser.observe(0, new DomainLoads(new FailureDomain("suva-b"), List.of(total)));
         assertEquals(choose(fleet, Tier.STANDARD, List.of(), 1), List.of(best));
     }
 
     @Test
-    public void leavesOutWhatIsExcludedLeavingOrOfAnotherVersion() {
+    public void omitsExcludedLeavingAndOtherVersionServers() {
         FleetSnapshot fleet = FleetSnapshots.of(1, 1, 3, 8);
         List<Candidate> none =
                 chooser.choose(
@@ -148,7 +148,7 @@
                 FleetSnapshots.of(
                         List.copyOf(fleet.hosts().values()),
                         List.of(
-                                FleetSnapshots.server("suva-a-1", FleetSnapshots.NEAR, 8)
+                                FleetSnapshots.server("suva-a-1", FleetSnapshots.LOCAL_DOMAIN, 8)
                                         .withLeaving(true)));
         assertTrue(choose(leaving, Tier.URGENT, List.of(), 3).isEmpty());
     }
@@ -159,7 +159,7 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void allServersAreReturnedWhenAllAreAskedFor(int servers) {
+    public void returnsAllServersWhenTheCountIsUnlimited(int servers) {
         FleetSnapshot fleet = FleetSnapshots.of(2, 2, servers, 8);
         List<ServerId> all = choose(fleet, Tier.URGENT, List.of(), Integer.MAX_VALUE);
         assertEquals(new HashSet<>(all), fleet.servers().keySet());
@@ -167,7 +167,7 @@
     }
 
     @Test
-    public void theNaivePolicyTakesServersInTurn() {
+    public void naivePolicyIsRoundRobin() {
         ServerChooser naive =
                 new ServerChooser(
                         FleetSnapshots.SELF, RoutingLimits.DEFAULTS.withPolicy(Policy.NAIVE));
@@ -191,7 +191,7 @@
     }
 
     @Test
-    public void learnsTheLengthOfAnswers() {
+    public void expectedTokensFollowTheAnswerLengths() {
         for (int i = 0; i < 50; i++) {
             chooser.answered(new RouteId("gangway"), 20);
         }
--- a/src/test/java/org/orioleshed/routing/ServerOwnersProperties.java
+++ b/src/test/java/org/orioleshed/routing/ServerOwnersProperties.java
@@ -13,12 +13,15 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.model.ServerId;
 
-/** Properties of {@link ServerOwners}. */
+/**
+ * Properties of {@link ServerOwners}: even distribution, minimal moves when a host is lost, and
+ * owners in the server's failure domain.
+ */
 class ServerOwnersProperties {
     private static final int SERVERS = 333;
 
     @Property(seed = "31", tries = 50)
-    boolean losingAHostMovesItsServersOnly(
+    boolean losingAHostMovesOnlyItsServers(
             @ForAll @IntRange(min = 2, max = 8) int hosts,
             @ForAll @IntRange(min = 0, max = 7) int lost) {
         FleetSnapshot before = FleetSnapshots.of(2, hosts, SERVERS, 8);
@@ -38,7 +41,7 @@
     }
 
     @Property(seed = "32", tries = 30)
-    boolean spreadsServersEvenly(@ForAll @IntRange(min = 2, max = 8) int hosts) {
+    boolean distributesServersEvenly(@ForAll @IntRange(min = 2, max = 8) int hosts) {
         FleetSnapshot fleet = FleetSnapshots.of(1, hosts, SERVERS, 8);
         ServerOwners owners = ServerOwners.of(fleet);
         Map<HostId, Integer> counts = new HashMap<>();
@@ -46,14 +49,14 @@
             counts.merge(owners.owner(server).orElseThrow(), 1, Integer::sum);
         }
         double mean = (double) SERVERS / hosts;
-        // Four standard deviations of the count that an even draw gives.
+        // Four standard deviations of the count under a uniform distribution.
         double slack = 4 * Math.sqrt(mean);
         return counts.size() == hosts
                 && counts.values().stream().allMatch(n -> Math.abs(n - mean) <= slack);
     }
 
     @Property(seed = "33", tries = 30)
-    boolean ownersAreInTheServersOwnFailureDomainWhileItHasHosts(
+    boolean ownersAreInTheServersFailureDomainWhileItHasHosts(
             @ForAll @IntRange(min = 1, max = 4) int hosts) {
         FleetSnapshot fleet = FleetSnapshots.of(3, hosts, 20, 8);
         ServerOwners owners = ServerOwners.of(fleet);
@@ -64,9 +67,10 @@
             }
         }
         List<EntryHost> others = new ArrayList<>(fleet.hosts().values());
-        others.removeIf(host -> host.domain().equals(FleetSnapshots.NEAR));
-        FleetSnapshot cut = FleetSnapshots.of(others, List.copyOf(fleet.servers().values()));
-        ServerOwners fallback = ServerOwners.of(cut);
+        others.removeIf(host -> host.domain().equals(FleetSnapshots.LOCAL_DOMAIN));
+        FleetSnapshot withoutDomain =
+                FleetSnapshots.of(others, List.copyOf(fleet.servers().values()));
+        ServerOwners fallback = ServerOwners.of(withoutDomain);
         return fleet.servers().keySet().stream().allMatch(s -> fallback.owner(s).isPresent());
     }
 }
