--- a/src/main/java/org/orioleshed/routing/Candidate.java
+++ b/src/main/java/org/orioleshed/routing/Candidate.java
@@ -8,8 +8,8 @@
  *
  * @param server the server
  * @param owner the server's owner, where the offer goes
- * @param scoreMillis the expected time to the first token plus the cost of a slow stream, in
- *     milliseconds; lower is better
+ * @param scoreMillis the expected time to the end of the answer plus penalties, in milliseconds;
+ *     lower is better
  * @param waitMillis the expected wait for a slot, in milliseconds
  * @param uncachedTokens the tokens of the prompt that are not in the server's prefix cache, as
  *     estimated by this host
--- a/src/main/java/org/orioleshed/routing/HashMix.java
+++ b/src/main/java/org/orioleshed/routing/HashMix.java
@@ -1,6 +1,6 @@
 package org.orioleshed.routing;
 
-/** A deterministic 64-bit hash mix, to break ties without randomness. */
+/** A deterministic 64-bit hash mix, to break ties and vary choices without randomness. */
 final class HashMix {
     private HashMix() {}
 
--- a/src/main/java/org/orioleshed/routing/WaitEstimate.java
+++ b/src/main/java/org/orioleshed/routing/WaitEstimate.java
@@ -5,7 +5,7 @@
 
 /** Estimates the wait for a slot on one engine, by tier rank. */
 final class WaitEstimate {
-    /** The expected wait of an urgent request that preemptionEnabled a run of a lower tier. */
+    /** The expected wait of an urgent request that preempts a run of a lower tier. */
     private static final long PREEMPTION_WAIT_MILLIS = 150;
 
     private final OfferQueue queue;
