--- a/src/main/java/org/orioleshed/routing/LengthEstimate.java
+++ b/src/main/java/org/orioleshed/routing/LengthEstimate.java
@@ -1,20 +1,20 @@
 package org.orioleshed.routing;
 
-/** The mean length of answers, the later ones weighing more. */
+/** Exponentially weighted mean of answer lengths. */
 final class LengthEstimate {
-    private static final double NEW_SHARE = 0.05;
+    private static final double MIN_SAMPLE_WEIGHT = 0.05;
 
     private double meanTokens;
     private int samples;
 
     void add(int tokens) {
         samples++;
-        double share = Math.max(NEW_SHARE, 1.0 / samples);
-        meanTokens += share * (tokens - meanTokens);
+        double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / samples);
+        meanTokens += weight * (tokens - meanTokens);
     }
 
-    /** Returns the mean, in tokens, at least one. */
-    int mean() {
+    /** Returns the mean length in tokens, at least one. */
+    int meanTokens() {
         return Math.max(1, (int) Math.round(meanTokens));
     }
 }
--- a/src/main/java/org/orioleshed/routing/OfferIntake.java
+++ b/src/main/java/org/orioleshed/routing/OfferAdmission.java
@@ -7,9 +7,11 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 import org.orioleshed.routing.RoutingMessage.RefusalReason;
 
-/** Estimates what an offer asks of one backend server, and decides whether it may wait there. */
-final class OfferIntake {
-    private static final long LONGEST_REMAINING_MILLIS = 30L * 24 * 3_600_000;
+/**
+ * Estimates the work of an offer on one backend server, and decides whether it may join the queue.
+ */
+final class OfferAdmission {
+    private static final long MAX_REMAINING_MILLIS = 30L * 24 * 3_600_000;
 
     private final RoutingLimits limits;
     private final OfferQueue queue;
@@ -19,7 +21,7 @@
     private final ServerRuns runs;
     private final Refusals refusals;
 
-    OfferIntake(
+    OfferAdmission(
             RoutingLimits limits,
             OfferQueue queue,
             PrefixIndex prefixes,
@@ -36,49 +38,55 @@
         this.refusals = refusals;
     }
 
-    /** Returns an offer as it would wait here. */
-    Waiting waiting(Moment moment, HostId from, RunId run, Offer offer) {
-        long now = moment.nowNanos();
-        long remainingMillis = Math.clamp(offer.remainingMillis(), -1, LONGEST_REMAINING_MILLIS);
-        long ageMillis = Math.clamp(offer.ageMillis(), 0, LONGEST_REMAINING_MILLIS);
+    /** Returns the queue entry for an offer, with its estimated work. */
+    WaitingOffer waiting(DecisionContext context, HostId from, RunId run, Offer offer) {
+        long now = context.nowNanos();
+        long remainingMillis = Math.clamp(offer.remainingMillis(), -1, MAX_REMAINING_MILLIS);
+        long ageMillis = Math.clamp(offer.ageMillis(), 0, MAX_REMAINING_MILLIS);
         int uncached = prefixes.uncachedTokens(offer);
-        return new Waiting(
+        return new WaitingOffer(
                 run,
                 from,
                 offer,
-                now + remainingMillis * Moment.NANOS_PER_MILLI,
-                now - ageMillis * Moment.NANOS_PER_MILLI,
+                now + remainingMillis * DecisionContext.NANOS_PER_MILLI,
+                now - ageMillis * DecisionContext.NANOS_PER_MILLI,
                 now,
                 uncached,
                 speed.workMillis(offer, uncached),
                 speed.safeWorkMillis(offer, uncached));
     }
 
-    /** Returns why an offer may not wait; empty when there is time and room for it. */
-    Optional<RefusalReason> refusal(Moment moment, Waiting waiting) {
-        boolean late = waiting.deadlineNanos() - moment.nowNanos() <= 0;
-        return late || !hasRoom(moment, waiting)
+    /**
+     * Returns why an offer is refused; empty when its deadline has not passed and the queue has
+     * room.
+     */
+    Optional<RefusalReason> refusal(DecisionContext context, WaitingOffer waiting) {
+        boolean late = waiting.deadlineNanos() - context.nowNanos() <= 0;
+        return late || !hasRoom(context, waiting)
                 ? Optional.of(RefusalReason.OVERLOAD)
                 : Optional.empty();
     }
 
-    /** Makes room in a full queue at the cost of lower tiers, as far as there are any. */
-    private boolean hasRoom(Moment moment, Waiting waiting) {
+    /**
+     * Makes room in a full queue: refuses a waiting offer of a lower tier, or else preempts the
+     * runs of lower tiers.
+     */
+    private boolean hasRoom(DecisionContext context, WaitingOffer waiting) {
         if (queue.size() < limits.queueLength()) {
             return true;
         }
         if (limits.policy() == Policy.NAIVE) {
             return false;
         }
-        Optional<Waiting> yielding = queue.leastUrgentBelow(waiting.rank());
-        if (yielding.isPresent()) {
-            queue.remove(yielding.get().run());
-            refusals.refuse(moment, yielding.get(), RefusalReason.OVERLOAD);
+        Optional<WaitingOffer> lowerTier = queue.leastUrgentBelow(waiting.rank());
+        if (lowerTier.isPresent()) {
+            queue.remove(lowerTier.get().run());
+            refusals.refuse(context, lowerTier.get(), RefusalReason.OVERLOAD);
             return true;
         }
-        // Each run that yields makes room for one more, so the queue stays bounded.
-        List<Running> below = preemption.allBelow(waiting.rank());
-        below.forEach(run -> runs.preempt(moment.nowNanos(), run, "queue-full"));
+        // Each preempted run makes room for one more offer, so the queue stays bounded.
+        List<ActiveRun> below = preemption.allBelow(waiting.rank());
+        below.forEach(run -> runs.preempt(context.nowNanos(), run, "queue-full"));
         return !below.isEmpty();
     }
 }
--- a/src/main/java/org/orioleshed/routing/OfferQueue.java
+++ b/src/main/java/org/orioleshed/routing/OfferQueue.java
@@ -14,13 +14,13 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * The offers that wait for one backend server, by tier. Under {@link Policy#NAIVE} all share one
- * tier and one workspace's order: first in, first out.
+ * The offers that wait for one backend server, by tier. Under {@link Policy#NAIVE} all offers are
+ * in a single tier, first in, first out.
  */
 final class OfferQueue {
     private final Policy policy;
     private final NavigableMap<Integer, FairQueue> tiers = new TreeMap<>();
-    private final Map<RunId, Waiting> byRun = new HashMap<>();
+    private final Map<RunId, WaitingOffer> byRun = new HashMap<>();
 
     OfferQueue(Policy policy) {
         this.policy = policy;
@@ -35,44 +35,44 @@
         return tier == null ? 0 : tier.size();
     }
 
-    Optional<Waiting> get(RunId run) {
+    Optional<WaitingOffer> get(RunId run) {
         return Optional.ofNullable(byRun.get(run));
     }
 
-    Collection<Waiting> all() {
+    Collection<WaitingOffer> all() {
         return Collections.unmodifiableCollection(byRun.values());
     }
 
-    void add(Waiting waiting, int weight) {
+    void add(WaitingOffer waiting, int weight) {
         if (byRun.putIfAbsent(waiting.run(), waiting) == null) {
             tiers.computeIfAbsent(rankOf(waiting), rank -> new FairQueue(order()))
                     .add(waiting, weight);
         }
     }
 
-    Optional<Waiting> remove(RunId run) {
-        Waiting waiting = byRun.remove(run);
+    Optional<WaitingOffer> remove(RunId run) {
+        WaitingOffer waiting = byRun.remove(run);
         if (waiting != null) {
             tiers.get(rankOf(waiting)).remove(waiting);
         }
         return Optional.ofNullable(waiting);
     }
 
-    /** Removes an offer that gets a place. */
-    void take(Waiting waiting) {
+    /** Removes an offer that is granted a slot, and charges its workspace. */
+    void take(WaitingOffer waiting) {
         tiers.get(rankOf(waiting)).take(waiting);
         byRun.remove(waiting.run());
     }
 
-    /** Notes that a place given by {@link #take} was not used. */
-    void refund(Waiting waiting) {
+    /** Refunds the charge of {@link #take} for a slot that was not used. */
+    void refund(WaitingOffer waiting) {
         FairQueue tier = tiers.get(rankOf(waiting));
         if (tier != null) {
             tier.refund(waiting);
         }
     }
 
-    /** Returns the tiers that have offers waiting, the most urgent first. */
+    /** Returns the ranks of the tiers with waiting offers, the most urgent first. */
     List<Integer> ranks() {
         List<Integer> ranks = new ArrayList<>();
         tiers.forEach(
@@ -88,30 +88,36 @@
         return tiers.computeIfAbsent(rank, r -> new FairQueue(order()));
     }
 
-    /** Returns the last offer of the least urgent tier, if that tier is below {@code rank}. */
-    Optional<Waiting> leastUrgentBelow(int rank) {
+    /**
+     * Returns the last offer of the least urgent tier, if that tier is less urgent than {@code
+     * rank}.
+     */
+    Optional<WaitingOffer> leastUrgentBelow(int rank) {
         return ranks().reversed().stream()
                 .filter(lower -> lower > rank)
                 .findFirst()
                 .flatMap(lower -> tiers.get(lower).latest());
     }
 
-    /** Returns the expected work of all that goes before a new offer of {@code rank}. */
+    /** Returns the expected work of the tiers up to {@code rank}, in milliseconds. */
     long workMillisUpTo(int rank) {
         return tiers.headMap(rank, true).values().stream().mapToLong(FairQueue::workMillis).sum();
     }
 
-    /** Returns the offer whose turn it is when tiers and windows don't matter. */
-    Optional<Waiting> firstOfAll() {
+    /**
+     * Returns the earliest offer of the most urgent tier, regardless of fair shares and patience
+     * windows.
+     */
+    Optional<WaitingOffer> firstOfAll() {
         return ranks().stream().findFirst().flatMap(rank -> tiers.get(rank).earliest());
     }
 
-    private int rankOf(Waiting waiting) {
+    private int rankOf(WaitingOffer waiting) {
         return policy == Policy.NAIVE ? 0 : waiting.rank();
     }
 
-    private Comparator<Waiting> order() {
-        return policy == Policy.NAIVE ? Waiting.BY_ARRIVAL_HERE : Waiting.BY_DEADLINE;
+    private Comparator<WaitingOffer> order() {
+        return policy == Policy.NAIVE ? WaitingOffer.BY_QUEUED : WaitingOffer.BY_DEADLINE;
     }
 
     static boolean anyWorkspace(WorkspaceId workspace) {
--- a/src/main/java/org/orioleshed/routing/Quantiles.java
+++ b/src/main/java/org/orioleshed/routing/Quantiles.java
@@ -3,13 +3,16 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.IntCountsHistogram;
 
-/** Quantiles of the latest samples: the older half is forgotten as new ones come in. */
+/**
+ * Quantiles over a sliding window of samples: when the current half is full, the older half is
+ * discarded.
+ */
 final class Quantiles {
     private static final int HALF_SAMPLES = 512;
     private static final int REFRESH_SAMPLES = 16;
     private static final int SIGNIFICANT_DIGITS = 2;
 
-    private final long highest;
+    private final long maxValue;
     private IntCountsHistogram current;
     private IntCountsHistogram previous;
     private int sinceRefresh;
@@ -17,15 +20,15 @@
     private long p90;
     private long mean;
 
-    /** Makes one for values from 0 to {@code highest}; larger ones count as {@code highest}. */
-    Quantiles(long highest) {
-        this.highest = highest;
-        current = new IntCountsHistogram(highest, SIGNIFICANT_DIGITS);
-        previous = new IntCountsHistogram(highest, SIGNIFICANT_DIGITS);
+    /** Creates quantiles for values from 0 to {@code maxValue}; values outside are clamped. */
+    Quantiles(long maxValue) {
+        this.maxValue = maxValue;
+        current = new IntCountsHistogram(maxValue, SIGNIFICANT_DIGITS);
+        previous = new IntCountsHistogram(maxValue, SIGNIFICANT_DIGITS);
     }
 
     void add(long value) {
-        current.recordValue(Math.clamp(value, 0, highest));
+        current.recordValue(Math.clamp(value, 0, maxValue));
         sinceRefresh++;
         if (current.getTotalCount() >= HALF_SAMPLES) {
             IntCountsHistogram oldest = previous;
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Returns the number of samples that the quantiles stand on. */
+    /** Returns the number of samples in the window. */
     long count() {
         return current.getTotalCount() + previous.getTotalCount();
     }
@@ -56,7 +59,7 @@
     }
 
     private void refresh() {
-        Histogram both = new Histogram(highest, SIGNIFICANT_DIGITS);
+        Histogram both = new Histogram(maxValue, SIGNIFICANT_DIGITS);
         both.add(current);
         both.add(previous);
         median = both.getValueAtPercentile(50);
--- a/src/main/java/org/orioleshed/routing/ServerRuns.java
+++ b/src/main/java/org/orioleshed/routing/ServerRuns.java
@@ -9,56 +9,57 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 
 /**
- * The runs on one engine: starts them, passes their tokens on, keeps to the callers' credit, and
- * ends them.
+ * The active runs on one engine: starts them, forwards their tokens, applies the callers' flow
+ * control credit, and ends them.
  */
 final class ServerRuns {
-    private static final long CANCEL_BOUND_NANOS = 2_000_000_000L;
-    private static final long CANCEL_REPEAT_NANOS = 1_000_000_000L;
-    private static final long OVERTIME_NANOS = 2_000_000_000L;
+    private static final long CANCEL_TIMEOUT_NANOS = 2_000_000_000L;
+    private static final long CANCEL_RETRY_NANOS = 1_000_000_000L;
+    private static final long DEADLINE_GRACE_NANOS = 2_000_000_000L;
 
     private final RoutingLimits limits;
     private final ServerId server;
     private final Outbox outbox;
-    private final Places places;
+    private final Slots slots;
     private final PrefixIndex prefixes;
     private final ServerSpeed speed;
     private final AdaptiveLimit limit;
-    private final HoldOff holdOff;
+    private final ServerBackoff backoff;
 
     ServerRuns(
             RoutingLimits limits,
             ServerId server,
             Outbox outbox,
-            Places places,
+            Slots slots,
             PrefixIndex prefixes,
             ServerSpeed speed,
             AdaptiveLimit limit,
-            HoldOff holdOff) {
+            ServerBackoff backoff) {
         this.limits = limits;
         this.server = server;
         this.outbox = outbox;
-        this.places = places;
+        this.slots = slots;
         this.prefixes = prefixes;
         this.speed = speed;
         this.limit = limit;
-        this.holdOff = holdOff;
+        this.backoff = backoff;
     }
 
-    /** Starts a run whose body arrived. */
-    void start(long nowNanos, Waiting waiting, RoutingMessage.Placed placed, boolean canResume) {
+    /** Starts a run whose body has arrived. */
+    void start(
+            long nowNanos, WaitingOffer waiting, RoutingMessage.Placed placed, boolean canResume) {
         Offer offer = waiting.offer();
         int uncached = prefixes.uncachedTokens(offer);
         prefixes.sent(offer.prefixHashes());
-        Running run =
-                new Running(
+        ActiveRun run =
+                new ActiveRun(
                         waiting,
                         placed.resumeFromToken(),
                         placed.creditTokens(),
                         uncached,
                         nowNanos,
                         speed.prefillMillis(offer.route(), uncached));
-        places.start(run);
+        slots.start(run);
         int resumeFrom = canResume ? placed.resumeFromToken() : 0;
         outbox.add(new HostAction.StartRun(waiting.run(), server, placed.body(), resumeFrom));
         outbox.log(
@@ -70,39 +71,39 @@
                 "uncached=" + uncached + "-of-" + offer.promptTokens());
     }
 
-    /** Returns whether the run is here. */
+    /** Adds credit to a run; returns whether the run is on this server. */
     boolean credit(long nowNanos, RunId id, int tokens) {
-        Optional<Running> run = places.run(id);
+        Optional<ActiveRun> run = slots.run(id);
         run.ifPresent(r -> r.addCredit(tokens));
-        run.ifPresent(r -> pauseOrGoOn(nowNanos, r));
+        run.ifPresent(r -> updatePaused(nowNanos, r));
         return run.isPresent();
     }
 
     void tokens(long nowNanos, HostEvent.RunTokens event) {
-        Optional<Running> found = places.run(event.run());
+        Optional<ActiveRun> found = slots.run(event.run());
         if (found.isEmpty()) {
             return;
         }
-        Running run = found.get();
-        holdOff.succeeded();
-        observe(nowNanos, run, event);
-        boolean wanted =
-                switch (run.stop()) {
-                    case NONE, PREEMPTED, SILENT, BROKEN -> !run.told();
-                    case WISHED, ORPHANED -> false;
+        ActiveRun run = found.get();
+        backoff.succeeded();
+        recordTokens(nowNanos, run, event);
+        boolean forwards =
+                switch (run.stopReason()) {
+                    case NONE, PREEMPTED, STALLED, CONNECTION_LOST -> !run.endReported();
+                    case REQUESTED, ORPHANED -> false;
                 };
         boolean isNew = event.firstToken() + event.count() > run.resumeFromToken();
-        if (wanted && isNew) {
+        if (forwards && isNew) {
             outbox.send(
                     run.from(),
                     new RoutingMessage.Tokens(
                             event.run(), event.firstToken(), event.count(), event.text()));
         }
-        pauseOrGoOn(nowNanos, run);
+        updatePaused(nowNanos, run);
     }
 
-    /** Asks the engine to stop a run; its place stays taken until the engine is done with it. */
-    void stop(long nowNanos, Running run, Running.Stop reason) {
+    /** Sends a cancel to the engine; the run holds its slot until the engine confirms its end. */
+    void stop(long nowNanos, ActiveRun run, ActiveRun.StopReason reason) {
         if (run.stopping()) {
             return;
         }
@@ -110,9 +111,9 @@
         outbox.add(new HostAction.CancelRun(run.run(), server));
     }
 
-    /** Stops a run so that more urgent work gets its place. */
-    void preempt(long nowNanos, Running victim, String reason) {
-        stop(nowNanos, victim, Running.Stop.PREEMPTED);
+    /** Cancels a run so that a more urgent request gets its slot. */
+    void preempt(long nowNanos, ActiveRun victim, String reason) {
+        stop(nowNanos, victim, ActiveRun.StopReason.PREEMPTED);
         outbox.log(
                 "preempt",
                 victim.run(),
@@ -122,27 +123,27 @@
                 reason);
     }
 
-    void ended(long nowNanos, Running run, RunEnd end) {
-        judge(nowNanos, end);
+    void ended(long nowNanos, ActiveRun run, RunEnd end) {
+        updateBackoff(nowNanos, end);
         if (end instanceof RunEnd.Broken broken && !broken.confirmedEnded() && !broken.crashed()) {
-            if (run.stop() != Running.Stop.BROKEN) {
-                run.stop(Running.Stop.BROKEN, nowNanos);
+            if (run.stopReason() != ActiveRun.StopReason.CONNECTION_LOST) {
+                run.stop(ActiveRun.StopReason.CONNECTION_LOST, nowNanos);
                 outbox.add(new HostAction.CancelRun(run.run(), server));
             }
             return;
         }
-        places.end(run.run());
+        slots.end(run.run());
         if (end instanceof RunEnd.Finished finished) {
-            speed.answered(run.waiting().offer().route(), finished.totalTokens());
+            speed.recordAnswer(run.waiting().offer().route(), finished.totalTokens());
         }
-        tell(run, meaning(run, end));
+        reportEnd(run, effectiveEnd(run, end));
     }
 
     void tick(long nowNanos) {
-        for (Running run : List.copyOf(places.running())) {
+        for (ActiveRun run : List.copyOf(slots.running())) {
             if (run.stopping()) {
-                pressCancel(nowNanos, run);
-            } else if (isSilent(nowNanos, run)) {
+                repeatCancel(nowNanos, run);
+            } else if (isStalled(nowNanos, run)) {
                 outbox.log(
                         "stop",
                         run.run(),
@@ -150,30 +151,31 @@
                         server,
                         server + ":" + run.generatedTokens(),
                         "no-token-for-too-long");
-                stop(nowNanos, run, Running.Stop.SILENT);
-            } else if (nowNanos - run.waiting().deadlineNanos() > OVERTIME_NANOS) {
-                stop(nowNanos, run, Running.Stop.ORPHANED);
+                stop(nowNanos, run, ActiveRun.StopReason.STALLED);
+            } else if (nowNanos - run.waiting().deadlineNanos() > DEADLINE_GRACE_NANOS) {
+                stop(nowNanos, run, ActiveRun.StopReason.ORPHANED);
             }
         }
     }
 
-    private void observe(long nowNanos, Running run, HostEvent.RunTokens event) {
+    private void recordTokens(long nowNanos, ActiveRun run, HostEvent.RunTokens event) {
         boolean first = !run.hasTokens();
         long gapMicros = run.tokens(event.firstToken(), event.count(), nowNanos);
-        Waiting waiting = run.waiting();
+        WaitingOffer waiting = run.waiting();
         if (first) {
             long nanos = nowNanos - run.startedNanos();
-            speed.firstToken(waiting.offer().route(), run.uncachedTokens(), nanos);
-            long alone = speed.prefillAloneMicros(waiting.offer().route(), run.uncachedTokens());
-            limit.firstToken(nanos / 1_000, alone);
+            speed.recordFirstToken(waiting.offer().route(), run.uncachedTokens(), nanos);
+            long aloneMicros =
+                    speed.prefillAloneMicros(waiting.offer().route(), run.uncachedTokens());
+            limit.recordFirstToken(nanos / 1_000, aloneMicros);
         }
         if (gapMicros >= 0) {
-            speed.gap(waiting.offer().route(), gapMicros);
-            limit.gap(gapMicros);
+            speed.recordGap(waiting.offer().route(), gapMicros);
+            limit.recordGap(gapMicros);
         }
     }
 
-    private void pauseOrGoOn(long nowNanos, Running run) {
+    private void updatePaused(long nowNanos, ActiveRun run) {
         boolean pause = run.creditSpent();
         if (pause != run.paused() && !run.stopping()) {
             run.setPaused(pause, nowNanos);
@@ -181,12 +183,12 @@
         }
     }
 
-    private void judge(long nowNanos, RunEnd end) {
+    private void updateBackoff(long nowNanos, RunEnd end) {
         switch (end) {
-            case RunEnd.Finished finished -> holdOff.succeeded();
-            case RunEnd.NeverStarted never -> holdOff.failed(nowNanos);
-            case RunEnd.EngineError error when error.retryable() -> holdOff.errored(nowNanos);
-            case RunEnd.Broken broken when broken.crashed() -> holdOff.failed(nowNanos);
+            case RunEnd.Finished finished -> backoff.succeeded();
+            case RunEnd.NeverStarted never -> backoff.failed(nowNanos);
+            case RunEnd.EngineError error when error.retryable() -> backoff.errored(nowNanos);
+            case RunEnd.Broken broken when broken.crashed() -> backoff.failed(nowNanos);
             case RunEnd.EngineError error -> {}
             case RunEnd.Broken broken -> {}
             case RunEnd.Cancelled cancelled -> {}
@@ -194,42 +196,45 @@
         }
     }
 
-    /** Returns what an end at the engine means, given why the run was stopped. */
-    private static RunEnd meaning(Running run, RunEnd end) {
+    /**
+     * Returns the end to report, given the end at the engine and the reason why the run was
+     * stopped.
+     */
+    private static RunEnd effectiveEnd(ActiveRun run, RunEnd end) {
         if (!(end instanceof RunEnd.Cancelled)) {
             return end;
         }
-        return switch (run.stop()) {
-            case NONE, WISHED, ORPHANED -> end;
+        return switch (run.stopReason()) {
+            case NONE, REQUESTED, ORPHANED -> end;
             case PREEMPTED -> new RunEnd.Preempted(run.nextToken());
-            case SILENT, BROKEN -> new RunEnd.Broken(false, true);
+            case STALLED, CONNECTION_LOST -> new RunEnd.Broken(false, true);
         };
     }
 
-    private void tell(Running run, RunEnd end) {
-        if (!run.told()) {
-            run.tell();
-            outbox.ended(run.from(), run.run(), end);
+    private void reportEnd(ActiveRun run, RunEnd end) {
+        if (!run.endReported()) {
+            run.markEndReported();
+            outbox.sendEnded(run.from(), run.run(), end);
         }
     }
 
-    private void pressCancel(long nowNanos, Running run) {
+    private void repeatCancel(long nowNanos, ActiveRun run) {
         long sinceStop = nowNanos - run.stopNanos();
-        if (sinceStop > CANCEL_BOUND_NANOS) {
-            tell(run, new RunEnd.Broken(false, false));
+        if (sinceStop > CANCEL_TIMEOUT_NANOS) {
+            reportEnd(run, new RunEnd.Broken(false, false));
         }
-        if (nowNanos - run.lastCancelNanos() > CANCEL_REPEAT_NANOS) {
-            run.cancelRepeated(nowNanos);
+        if (nowNanos - run.lastCancelNanos() > CANCEL_RETRY_NANOS) {
+            run.recordCancelRetry(nowNanos);
             outbox.add(new HostAction.CancelRun(run.run(), server));
         }
     }
 
-    private boolean isSilent(long nowNanos, Running run) {
+    private boolean isStalled(long nowNanos, ActiveRun run) {
         if (run.paused()) {
             return false;
         }
-        long bound =
+        long timeoutMillis =
                 run.hasTokens() ? limits.tokenSilenceMillis() : limits.firstTokenSilenceMillis();
-        return nowNanos - run.lastTokenNanos() > bound * Moment.NANOS_PER_MILLI;
+        return nowNanos - run.lastTokenNanos() > timeoutMillis * DecisionContext.NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/org/orioleshed/routing/Places.java
+++ b/src/main/java/org/orioleshed/routing/Slots.java
@@ -7,10 +7,10 @@
 import java.util.stream.Stream;
 import org.orioleshed.model.RunId;
 
-/** The places of one engine: those reserved by a grant, and those that runs hold. */
-final class Places {
+/** The slots of one engine that are in use: those reserved by a grant, and those held by runs. */
+final class Slots {
     private final Map<RunId, Reservation> reserved = new LinkedHashMap<>();
-    private final Map<RunId, Running> running = new LinkedHashMap<>();
+    private final Map<RunId, ActiveRun> running = new LinkedHashMap<>();
 
     int inFlight() {
         return reserved.size() + running.size();
@@ -20,16 +20,16 @@
         return running.size();
     }
 
-    /** Returns whether no accepting host waits for anything here. */
+    /** Returns whether no accepting host waits for a response. */
     boolean isIdle() {
-        return reserved.isEmpty() && running.values().stream().allMatch(Running::told);
+        return reserved.isEmpty() && running.values().stream().allMatch(ActiveRun::endReported);
     }
 
     boolean isEmpty() {
         return reserved.isEmpty() && running.isEmpty();
     }
 
-    Collection<Running> running() {
+    Collection<ActiveRun> running() {
         return running.values();
     }
 
@@ -37,7 +37,7 @@
         return reserved.values();
     }
 
-    Optional<Running> run(RunId run) {
+    Optional<ActiveRun> run(RunId run) {
         return Optional.ofNullable(running.get(run));
     }
 
@@ -45,7 +45,7 @@
         return Optional.ofNullable(reserved.get(run));
     }
 
-    void reserve(Waiting waiting, long untilNanos) {
+    void reserve(WaitingOffer waiting, long untilNanos) {
         reserved.put(waiting.run(), new Reservation(waiting, untilNanos));
     }
 
@@ -53,7 +53,7 @@
         return Optional.ofNullable(reserved.remove(run));
     }
 
-    void start(Running run) {
+    void start(ActiveRun run) {
         reserved.remove(run.run());
         running.put(run.run(), run);
     }
@@ -62,12 +62,12 @@
         running.remove(run);
     }
 
-    /** Returns how many places work of at least {@code rank} holds. */
-    int heldFrom(int rank) {
+    /** Returns the number of slots held by requests of {@code rank} or a less urgent one. */
+    int countFromRank(int rank) {
         return (int) ranks().filter(held -> held >= rank).count();
     }
 
-    /** Returns how many runs were asked to stop after {@code sinceNanos} and will free a place. */
+    /** Returns the number of runs cancelled since {@code sinceNanos} that still hold a slot. */
     int stoppedSince(long sinceNanos) {
         return (int)
                 running.values().stream()
@@ -75,22 +75,22 @@
                         .count();
     }
 
-    /** Returns whether work of a lower tier than {@code rank} holds a place. */
-    boolean holdsBelow(int rank) {
+    /** Returns whether a request of a less urgent tier than {@code rank} holds a slot. */
+    boolean holdsLowerTier(int rank) {
         return ranks().anyMatch(held -> held > rank);
     }
 
     private Stream<Integer> ranks() {
         return Stream.concat(
                 reserved.values().stream().map(r -> r.waiting().rank()),
-                running.values().stream().map(Running::rank));
+                running.values().stream().map(ActiveRun::rank));
     }
 
     /**
-     * A place kept for a run whose body is on its way.
+     * A slot reserved for a run whose body has not arrived yet.
      *
      * @param waiting the run
-     * @param untilNanos when the place is given up
+     * @param untilNanos when the reservation expires, on the host's monotonic clock
      */
-    record Reservation(Waiting waiting, long untilNanos) {}
+    record Reservation(WaitingOffer waiting, long untilNanos) {}
 }
--- a/src/test/java/org/orioleshed/routing/OneServer.java
+++ b/src/test/java/org/orioleshed/routing/OneServer.java
@@ -18,11 +18,14 @@
 import org.orioleshed.routing.RoutingMessage.Offer;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** An owner core with one backend server, and an accepting host that places what is granted. */
+/**
+ * A test harness: an owner core with one backend server, and an accepting host that places granted
+ * runs. Collects violations of the grant order and of the shedding rule.
+ */
 final class OneServer {
     static final ServerId SERVER = new ServerId("suva-a-1");
 
-    private static final long MILLI = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     final OwnerCore core;
     final List<RunId> granted = new ArrayList<>();
@@ -32,47 +35,49 @@
     final Set<RunId> cancelling = new LinkedHashSet<>();
     final List<HostAction> actions = new ArrayList<>();
     final Map<RunId, Tier> tiers = new HashMap<>();
-    final Map<RunId, Waiting> waiting = new LinkedHashMap<>();
+    final Map<RunId, OpenOffer> waiting = new LinkedHashMap<>();
     final List<String> violations = new ArrayList<>();
-    boolean places = true;
-    long nowNanos = 1_000 * MILLI;
+    boolean placesGrantedRuns = true;
+    long nowNanos = 1_000 * NANOS_PER_MILLI;
 
-    OneServer(RoutingLimits limits, int places) {
+    OneServer(RoutingLimits limits, int slots) {
         core = new OwnerCore(FleetSnapshots.SELF, limits);
-        tell(new HostEvent.FleetChanged(FleetSnapshots.of(1, 1, 1, places)));
+        handle(new HostEvent.FleetChanged(FleetSnapshots.of(1, 1, 1, slots)));
     }
 
     void fleet(FleetSnapshot fleet) {
-        tell(new HostEvent.FleetChanged(fleet));
+        handle(new HostEvent.FleetChanged(fleet));
     }
 
     void offer(RunId run, Offer offer) {
         if (!tiers.containsKey(run)) {
             tiers.put(run, offer.tier());
-            waiting.put(run, new Waiting(offer, nowNanos + offer.remainingMillis() * MILLI));
+            waiting.put(
+                    run,
+                    new OpenOffer(offer, nowNanos + offer.remainingMillis() * NANOS_PER_MILLI));
         }
         receive(new RoutingMessage.Offered(run, SERVER, offer));
     }
 
     void receive(RoutingMessage message) {
-        tell(new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
+        handle(new HostEvent.RoutingReceived(FleetSnapshots.SELF, message));
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         for (long left = millis; left > 0; left -= 20) {
-            nowNanos += Math.min(20, left) * MILLI;
-            tell(new HostEvent.Tick());
+            nowNanos += Math.min(20, left) * NANOS_PER_MILLI;
+            handle(new HostEvent.Tick());
         }
     }
 
     void tokens(RunId run, int firstToken, int count) {
-        tell(new HostEvent.RunTokens(run, SERVER, firstToken, count, Payload.of("t ")));
+        handle(new HostEvent.RunTokens(run, SERVER, firstToken, count, Payload.of("t ")));
     }
 
     void end(RunId run, RunEnd end) {
         onEngine.remove(run);
         cancelling.remove(run);
-        tell(new HostEvent.RunEnded(run, SERVER, end));
+        handle(new HostEvent.RunEnded(run, SERVER, end));
     }
 
     void finish(RunId run) {
@@ -83,19 +88,19 @@
         end(run, new RunEnd.Cancelled(100));
     }
 
-    /** Returns the runs on the engine that nobody asked to stop and whose tier is so. */
+    /** Returns the runs on the engine that are not being cancelled and whose tier matches. */
     List<RunId> running(Predicate<Tier> tier) {
         return onEngine.stream()
                 .filter(run -> !cancelling.contains(run) && tier.test(tiers.get(run)))
                 .toList();
     }
 
-    void tell(HostEvent event) {
+    void handle(HostEvent event) {
         List<HostAction> out = core.on(nowNanos, event);
         actions.addAll(out);
         for (HostAction action : out) {
             switch (action) {
-                case HostAction.SendRouting send -> heard(send.message());
+                case HostAction.SendRouting send -> onSent(send.message());
                 case HostAction.StartRun start -> onEngine.add(start.run());
                 case HostAction.CancelRun cancel -> cancelling.add(cancel.run());
                 default -> {}
@@ -103,13 +108,13 @@
         }
     }
 
-    private void heard(RoutingMessage message) {
+    private void onSent(RoutingMessage message) {
         switch (message) {
             case RoutingMessage.Granted m -> {
                 checkOrder(m.run());
                 waiting.remove(m.run());
                 granted.add(m.run());
-                if (places) {
+                if (placesGrantedRuns) {
                     receive(new RoutingMessage.Placed(m.run(), SERVER, Payload.EMPTY, 0, 1_000));
                 }
             }
@@ -127,27 +132,27 @@
     }
 
     private void checkOrder(RunId run) {
-        Waiting chosen = waiting.get(run);
+        OpenOffer chosen = waiting.get(run);
         if (chosen == null) {
             return;
         }
-        for (Map.Entry<RunId, Waiting> entry : waiting.entrySet()) {
-            Waiting other = entry.getValue();
+        for (Map.Entry<RunId, OpenOffer> entry : waiting.entrySet()) {
+            OpenOffer other = entry.getValue();
             boolean urgentWaits = other.offer().tier().rank() == 0;
             if (urgentWaits && chosen.offer().tier().rank() > 0) {
-                violations.add(run + " got a place before the urgent " + entry.getKey());
+                violations.add(run + " got a slot before the urgent " + entry.getKey());
             }
-            boolean alike =
+            boolean sameQueue =
                     other.offer().tier().equals(chosen.offer().tier())
                             && other.offer().workspace().equals(chosen.offer().workspace());
-            if (alike && other.deadlineNanos() < chosen.deadlineNanos()) {
-                violations.add(run + " got a place before the earlier " + entry.getKey());
+            if (sameQueue && other.deadlineNanos() < chosen.deadlineNanos()) {
+                violations.add(run + " got a slot before the earlier " + entry.getKey());
             }
         }
     }
 
     private void checkShed(Refused message) {
-        Waiting shed = waiting.get(message.run());
+        OpenOffer shed = waiting.get(message.run());
         boolean forOverload = message.reason() == RoutingMessage.RefusalReason.OVERLOAD;
         if (shed == null || !forOverload || shed.deadlineNanos() <= nowNanos) {
             return;
@@ -159,6 +164,6 @@
         }
     }
 
-    /** An offer that was neither granted nor refused yet. */
-    record Waiting(Offer offer, long deadlineNanos) {}
+    /** An offer that is neither granted nor refused yet. */
+    record OpenOffer(Offer offer, long deadlineNanos) {}
 }
--- a/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
+++ b/src/test/java/org/orioleshed/routing/OwnerCoreTest.java
@@ -21,14 +21,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link OwnerCore}. */
+/** Tests of the grants, preemptions, cancels and refusals of {@link OwnerCore}. */
 public class OwnerCoreTest {
     private static final long HOUR_MILLIS = 3_600_000;
 
     private final RoutingLimits limits = RoutingLimits.DEFAULTS;
 
     @Test
-    public void grantsAFreePlaceAtOnceAndStartsWhatIsPlaced() {
+    public void grantsAFreeSlotAtOnceAndStartsThePlacedRun() {
         OneServer owner = new OneServer(limits, 2);
         owner.offer(run(1), offer(Tier.URGENT, 10_000));
         assertEquals(owner.granted, List.of(run(1)));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void repeatedMessagesChangeNothing() {
+    public void repeatedMessagesHaveNoEffect() {
         OneServer owner = new OneServer(limits, 2);
         for (int i = 0; i < 3; i++) {
             owner.offer(run(1), offer(Tier.STANDARD, 60_000));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void neverRunsMoreThanTheServersPlaces() {
+    public void runsNoMoreThanTheServersSlots() {
         OneServer owner = new OneServer(limits, 2);
         for (int i = 1; i <= 5; i++) {
             owner.offer(run(i), offer(Tier.STANDARD, 600_000));
@@ -60,13 +60,13 @@
     }
 
     @Test
-    public void urgentWorkPreemptsTheLowestTier() {
+    public void urgentRequestPreemptsTheLowestTier() {
         OneServer owner = new OneServer(limits, 2);
-        owner.tell(new HostEvent.WallClock(23 * HOUR_MILLIS));
+        owner.handle(new HostEvent.WallClock(23 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.PATIENT, 8 * HOUR_MILLIS));
         owner.offer(run(3), offer(Tier.URGENT, 10_000));
-        owner.pass(400);
+        owner.advance(400);
         assertEquals(owner.cancelling, Set.of(run(2)));
         assertFalse(owner.onEngine.contains(run(3)));
         owner.confirmCancel(run(2));
@@ -75,86 +75,86 @@
     }
 
     @Test
-    public void preemptedRunTellsWhereTheNextAttemptResumes() {
+    public void preemptedRunReportsTheResumeOffset() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 7);
         owner.offer(run(2), offer(Tier.URGENT, 10_000));
-        owner.pass(300);
+        owner.advance(300);
         owner.confirmCancel(run(1));
         assertEquals(owner.ended.get(run(1)), new RunEnd.Preempted(7));
     }
 
     @Test
-    public void aRunThatWouldMissItsLastSafeStartIsLetAlone() {
+    public void runThatCouldNotBeRestartedInTimeIsNotPreempted() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.PATIENT, 2_000));
         assertEquals(owner.granted, List.of(run(1)));
         owner.offer(run(2), offer(Tier.URGENT, 60_000));
-        owner.pass(500);
+        owner.advance(500);
         assertTrue(owner.cancelling.isEmpty());
     }
 
     @Test
-    public void aProtectedRunYieldsBeforeUrgentWorkIsShed() {
+    public void protectedRunIsPreemptedBeforeAnUrgentRequestIsShed() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000, 1, limits.maxPreemptions()));
         owner.offer(run(2), offer(Tier.URGENT, 20_000));
-        owner.pass(1_000);
+        owner.advance(1_000);
         assertTrue(owner.cancelling.isEmpty());
-        owner.pass(18_000);
+        owner.advance(18_000);
         assertEquals(owner.cancelling, Set.of(run(1)));
         assertFalse(owner.refused.containsKey(run(2)));
     }
 
     @Test
-    public void patientWorkWaitsForItsWindowUnlessThereIsRoomToSpare() {
+    public void patientRequestsWaitForTheirWindowUnlessHalfTheSlotsAreFree() {
         OneServer owner = new OneServer(limits, 4);
         long noonMillis = 12 * HOUR_MILLIS;
-        owner.tell(new HostEvent.WallClock(noonMillis));
+        owner.handle(new HostEvent.WallClock(noonMillis));
         for (int i = 1; i <= 4; i++) {
             owner.offer(run(i), offer(Tier.PATIENT, 16 * HOUR_MILLIS));
         }
         assertEquals(owner.onEngine.size(), 2);
-        owner.tell(new HostEvent.WallClock(noonMillis + 9 * HOUR_MILLIS));
-        owner.pass(20);
+        owner.handle(new HostEvent.WallClock(noonMillis + 9 * HOUR_MILLIS));
+        owner.advance(20);
         assertEquals(owner.onEngine.size(), 4);
     }
 
     @Test
-    public void patientWorkNearItsLastSafeStartGoesBeforeStandardWork() {
+    public void patientRequestNearItsLatestStartPrecedesStandardRequests() {
         OneServer owner = new OneServer(limits, 2);
-        owner.tell(new HostEvent.WallClock(12 * HOUR_MILLIS));
+        owner.handle(new HostEvent.WallClock(12 * HOUR_MILLIS));
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         owner.offer(run(3), offer(Tier.STANDARD, 600_000));
         owner.offer(run(4), offer(Tier.PATIENT, 3_500));
-        owner.pass(1_000);
+        owner.advance(1_000);
         owner.finish(run(1));
         assertTrue(owner.onEngine.contains(run(4)));
         assertFalse(owner.onEngine.contains(run(3)));
     }
 
     @Test
-    public void aReservedPlaceThatIsNotUsedGoesToTheNext() {
+    public void unusedReservationExpiresAndGoesToTheNextOffer() {
         OneServer owner = new OneServer(limits, 1);
-        owner.places = false;
+        owner.placesGrantedRuns = false;
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         assertEquals(owner.granted, List.of(run(1)));
-        owner.pass(limits.reservationMillis() + 20);
+        owner.advance(limits.reservationMillis() + 20);
         assertEquals(owner.granted, List.of(run(1), run(2)));
         owner.receive(new RoutingMessage.Placed(run(1), SERVER, Payload.EMPTY, 0, 10));
         assertEquals(owner.ended.get(run(1)), new RunEnd.NeverStarted());
     }
 
     @Test
-    public void aPlaceIsTakenUntilTheEngineConfirmsTheCancel() {
+    public void slotIsHeldUntilTheEngineConfirmsTheCancel() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
         owner.receive(new RoutingMessage.Cancelled(run(1)));
-        owner.pass(1_000);
+        owner.advance(1_000);
         assertFalse(owner.onEngine.contains(run(2)));
         owner.confirmCancel(run(1));
         assertTrue(owner.onEngine.contains(run(2)));
@@ -162,40 +162,40 @@
     }
 
     @Test
-    public void aSilentRunIsGivenUp() {
+    public void stalledRunIsCancelled() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
-        owner.pass(limits.tokenSilenceMillis() + 100);
+        owner.advance(limits.tokenSilenceMillis() + 100);
         assertTrue(owner.cancelling.contains(run(1)));
         owner.confirmCancel(run(1));
         assertEquals(owner.ended.get(run(1)), new RunEnd.Broken(false, true));
     }
 
     @Test
-    public void anUnconfirmedCancelIsToldAsSuch() {
+    public void unconfirmedCancelIsReportedAsUnconfirmed() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1);
-        owner.pass(limits.tokenSilenceMillis() + 5_000);
+        owner.advance(limits.tokenSilenceMillis() + 5_000);
         assertEquals(owner.ended.get(run(1)), new RunEnd.Broken(false, false));
         assertTrue(owner.core.isIdle());
     }
 
     @Test
-    public void aSlowCallerPausesItsRunOnly() {
+    public void slowCallerPausesItsRunWithoutCancellingIt() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.tokens(run(1), 0, 1_000);
         assertTrue(owner.actions.contains(new HostAction.PauseRun(run(1), true)));
-        owner.pass(limits.tokenSilenceMillis() * 2L);
+        owner.advance(limits.tokenSilenceMillis() * 2L);
         assertFalse(owner.cancelling.contains(run(1)));
         owner.receive(new RoutingMessage.Credit(run(1), 10));
         assertTrue(owner.actions.contains(new HostAction.PauseRun(run(1), false)));
     }
 
     @Test
-    public void aCrashedEngineGetsNoWorkForAWhile() {
+    public void crashedEngineGetsNoRunsDuringTheBackoff() {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
@@ -203,7 +203,7 @@
         assertEquals(owner.refused.get(run(2)).reason(), RefusalReason.NO_SERVER);
         owner.offer(run(3), offer(Tier.URGENT, 5_000));
         assertEquals(owner.refused.get(run(3)).reason(), RefusalReason.NO_SERVER);
-        owner.pass(300);
+        owner.advance(300);
         owner.offer(run(4), offer(Tier.URGENT, 5_000));
         assertTrue(owner.onEngine.contains(run(4)));
     }
@@ -215,14 +215,19 @@
                 FleetSnapshots.of(
                         List.of(
                                 FleetSnapshots.host(
-                                        "suva-a-h2", FleetSnapshots.NEAR, EntryHost.State.ALIVE),
+                                        "suva-a-h2",
+                                        FleetSnapshots.LOCAL_DOMAIN,
+                                        EntryHost.State.ALIVE),
                                 FleetSnapshots.host(
                                         FleetSnapshots.SELF.value(),
-                                        FleetSnapshots.NEAR,
+                                        FleetSnapshots.LOCAL_DOMAIN,
                                         EntryHost.State.LEAVING)),
-                        List.of(FleetSnapshots.server(SERVER.value(), FleetSnapshots.NEAR, 1)));
+                        List.of(
+                                FleetSnapshots.server(
+                                        SERVER.value(), FleetSnapshots.LOCAL_DOMAIN, 1)));
         BackendServer leaving =
-                FleetSnapshots.server(SERVER.value(), FleetSnapshots.NEAR, 1).withLeaving(true);
+                FleetSnapshots.server(SERVER.value(), FleetSnapshots.LOCAL_DOMAIN, 1)
+                        .withLeaving(true);
         FleetSnapshot left =
                 FleetSnapshots.of(
                         List.copyOf(FleetSnapshots.of(1, 1, 0, 1).hosts().values()),
@@ -236,11 +241,12 @@
     }
 
     @Test(dataProvider = "closings")
-    public void whatWaitsIsTurnedDownAndWhatRunsFinishes(HostEvent event, RefusalReason reason) {
+    public void closingRefusesWaitingOffersAndLetsRunsFinish(
+            HostEvent event, RefusalReason reason) {
         OneServer owner = new OneServer(limits, 1);
         owner.offer(run(1), offer(Tier.STANDARD, 600_000));
         owner.offer(run(2), offer(Tier.STANDARD, 600_000));
-        owner.tell(event);
+        owner.handle(event);
         assertEquals(owner.refused.get(run(2)).reason(), reason);
         assertTrue(owner.cancelling.isEmpty());
         assertFalse(owner.core.isIdle());
@@ -252,7 +258,7 @@
     }
 
     @Test
-    public void aFullQueueTurnsTheLowestTierDown() {
+    public void fullQueueRefusesTheLowestTier() {
         RoutingLimits small =
                 new RoutingLimits(Policy.ORIOLESHED, 1_600, 79, 2, 1_000, 2, 20_000, 5_000);
         OneServer owner = new OneServer(small, 1);
@@ -266,14 +272,14 @@
     }
 
     @Test
-    public void tellsLoadsToItsOwnFailureDomainAndSumsToOthers() {
+    public void sendsLoadsToItsOwnFailureDomainAndTotalsToOthers() {
         OneServer owner = new OneServer(limits, 2);
         owner.fleet(FleetSnapshots.of(2, 1, 1, 2));
-        owner.pass(1_000);
+        owner.advance(1_000);
         long loads = countSent(owner, RoutingMessage.ServerLoads.class);
-        long sums = countSent(owner, RoutingMessage.DomainLoads.class);
+        long totals = countSent(owner, RoutingMessage.DomainLoads.class);
         assertTrue(loads >= 4, "loads " + loads);
-        assertTrue(sums >= 1, "sums " + sums);
+        assertTrue(totals >= 1, "totals " + totals);
     }
 
     private static long countSent(OneServer owner, Class<? extends RoutingMessage> type) {
