--- a/src/main/java/org/orioleshed/dispatch/AdmissionRule.java
+++ b/src/main/java/org/orioleshed/dispatch/AdmissionRule.java
@@ -4,104 +4,114 @@
 import java.util.List;
 
 /**
- * Decides whether a request may wait. Answers the load pattern of a burst beyond the servers: who
- * can't be served before much of its time is gone is told at once when to come back, and the others
- * are not delayed by it.
+ * Decides whether a request may be queued. In a burst that exceeds the capacity of the servers, a
+ * request that can't be served before much of its time is used up is refused at once with a retry
+ * time, so that it does not delay the others.
  */
 final class AdmissionRule {
-    /** Waiting longer than this part of the caller's time is as bad as being turned away. */
-    private static final double MAX_WAIT_PART = 0.5;
+    /**
+     * The longest useful wait as a fraction of the time left until the caller's deadline; a longer
+     * one is as bad as a refusal.
+     */
+    private static final double MAX_WAIT_FRACTION = 0.5;
 
-    /** Callers come back after at most a third of their time; a little less meets that. */
-    private static final double MAX_RETRY_PART = 0.3;
+    /** A caller is to retry after at most a third of its remaining time; this leaves a margin. */
+    private static final double MAX_RETRY_FRACTION = 0.3;
 
-    private static final long LEAST_RETRY_MILLIS = 100;
+    private static final long MIN_RETRY_MILLIS = 100;
 
-    /** A part of the places is thought to come free for each rank, however urgent others are. */
-    private static final double LEAST_PART = 0.1;
+    /**
+     * The fraction of slots that each rank is assumed to get, whatever the load of more urgent
+     * ranks.
+     */
+    private static final double MIN_SLOT_FRACTION = 0.1;
 
     private final PoolState pool;
-    private final double places;
+    private final double slots;
     private final long nowNanos;
 
-    AdmissionRule(PoolState pool, double places, long nowNanos) {
+    AdmissionRule(PoolState pool, double slots, long nowNanos) {
         this.pool = pool;
-        this.places = places;
+        this.slots = slots;
         this.nowNanos = nowNanos;
     }
 
     /**
-     * Returns how long a request of {@code rank} waits for those ahead, in milliseconds. More
-     * urgent ones go on coming as they did in the last second, and take places first.
+     * Returns how long a request of {@code rank} waits for the requests ahead of it, in
+     * milliseconds. Assumes that more urgent requests keep arriving at the rate of the last second
+     * and are served first.
      */
     double waitMillis(int rank) {
-        return waitMillis(ahead(rank), rank);
+        return waitMillis(aheadMillis(rank), rank);
     }
 
-    private double ahead(int rank) {
-        return pool.waiters().stream()
+    private double aheadMillis(int rank) {
+        return pool.queuedRequests().stream()
                 .map(QueuedRequest::request)
                 .filter(request -> request.rank() <= rank)
-                .mapToDouble(pool::busyMillis)
+                .mapToDouble(pool::expectedRunMillis)
                 .sum();
     }
 
-    /** Returns how long it takes to do work in the places that ranks before another leave. */
-    private double waitMillis(double aheadMillis, int before) {
-        if (places == 0) {
+    /**
+     * Returns the time to finish the work ahead in the slots that ranks before {@code rank} leave
+     * free.
+     */
+    private double waitMillis(double aheadMillis, int rank) {
+        if (slots == 0) {
             return Double.POSITIVE_INFINITY;
         }
-        double left = places - pool.load().placesBefore(before, nowNanos);
-        return aheadMillis / Math.max(left, LEAST_PART * places);
+        double freeSlots = slots - pool.load().slotsUsedBefore(rank, nowNanos);
+        return aheadMillis / Math.max(freeSlots, MIN_SLOT_FRACTION * slots);
     }
 
-    /** Returns whether a new request may wait. */
-    boolean mayWait(PlacementRequest request) {
-        double ahead = ahead(request.rank());
-        double wait = waitMillis(ahead, request.rank());
-        if (wait > request.targetLeftMillis()) {
-            // Those of its own rank that can still be in time go on coming, and go before it.
-            wait = waitMillis(ahead, request.rank() + 1);
+    /** Returns whether a new request may be queued. */
+    boolean mayQueue(PlacementRequest request) {
+        double aheadMillis = aheadMillis(request.rank());
+        double waitMillis = waitMillis(aheadMillis, request.rank());
+        if (waitMillis > request.targetLeftMillis()) {
+            // Later requests of the same rank that can still meet their targets are served first.
+            waitMillis = waitMillis(aheadMillis, request.rank() + 1);
         }
-        double needed = wait + pool.busyMillis(request);
-        return wait <= MAX_WAIT_PART * request.deadlineLeftMillis()
-                && needed <= request.deadlineLeftMillis();
+        double neededMillis = waitMillis + pool.expectedRunMillis(request);
+        return waitMillis <= MAX_WAIT_FRACTION * request.deadlineLeftMillis()
+                && neededMillis <= request.deadlineLeftMillis();
     }
 
     /**
-     * Returns the requests that should not go on waiting: their time is up, or they are late and
-     * those before them leave no room.
+     * Returns the queued requests to refuse: those whose time is used up, and late ones that can't
+     * be served in time behind those ahead of them.
      */
-    List<QueuedRequest> hopeless() {
+    List<QueuedRequest> unservable() {
         List<QueuedRequest> result = new ArrayList<>();
-        double ahead = 0;
-        for (QueuedRequest waiter : pool.inOrder()) {
-            if (mayGoOn(waiter, ahead)) {
-                ahead += pool.busyMillis(waiter.request());
+        double aheadMillis = 0;
+        for (QueuedRequest queued : pool.inOrder()) {
+            if (mayKeepWaiting(queued, aheadMillis)) {
+                aheadMillis += pool.expectedRunMillis(queued.request());
             } else {
-                result.add(waiter);
+                result.add(queued);
             }
         }
         return result;
     }
 
-    private boolean mayGoOn(QueuedRequest waiter, double ahead) {
-        PlacementRequest request = waiter.request();
-        long waited = waiter.waitedMillis(nowNanos);
-        boolean late = waiter.targetNanos() < nowNanos;
-        double more = late ? waitMillis(ahead, request.rank() + 1) : 0;
-        return waited + more <= MAX_WAIT_PART * request.deadlineLeftMillis()
-                && waited + pool.busyMillis(request) <= request.deadlineLeftMillis();
+    private boolean mayKeepWaiting(QueuedRequest queued, double aheadMillis) {
+        PlacementRequest request = queued.request();
+        long waitedMillis = queued.waitedMillis(nowNanos);
+        boolean late = queued.targetNanos() < nowNanos;
+        double remainingMillis = late ? waitMillis(aheadMillis, request.rank() + 1) : 0;
+        return waitedMillis + remainingMillis <= MAX_WAIT_FRACTION * request.deadlineLeftMillis()
+                && waitedMillis + pool.expectedRunMillis(request) <= request.deadlineLeftMillis();
     }
 
     /**
-     * Returns when a caller that is turned away should come back, in milliseconds.
+     * Returns when a refused caller should retry, in milliseconds from now.
      *
-     * @param request what it needed
-     * @param betterMillis when it would fare better
+     * @param request the refused request
+     * @param expectedMillis when the request is expected to succeed, in milliseconds from now
      */
-    static long retryAfterMillis(PlacementRequest request, double betterMillis) {
-        double most = MAX_RETRY_PART * Math.max(0, request.deadlineLeftMillis());
-        return (long) Math.clamp(betterMillis, Math.min(LEAST_RETRY_MILLIS, most), most);
+    static long retryAfterMillis(PlacementRequest request, double expectedMillis) {
+        double maxMillis = MAX_RETRY_FRACTION * Math.max(0, request.deadlineLeftMillis());
+        return (long) Math.clamp(expectedMillis, Math.min(MIN_RETRY_MILLIS, maxMillis), maxMillis);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/CrashTracker.java
+++ b/src/main/java/org/orioleshed/dispatch/CrashTracker.java
@@ -11,91 +11,99 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * Finds content that crashes the servers that run it, and holds it. A broken run alone proves
- * nothing; a crash is a broken run after which the server is not there. What merely ran beside the
- * culprit is cleared by its next answer.
+ * Finds content that crashes servers, and quarantines it. A broken run alone is no proof; it counts
+ * as a crash if the server is gone or restarted soon after. Content that only ran at the same time
+ * is cleared when a run of it is answered.
  */
 final class CrashTracker {
-    /** Crashes of different servers, or of one at different times, that hold content. */
-    private static final int HOLDING_CRASHES = 3;
+    /**
+     * The number of crashes, of different servers or of one at different times, that quarantines
+     * content.
+     */
+    private static final int QUARANTINE_CRASHES = 3;
 
-    /** A server that crashed is missed within this time after its runs broke. */
-    private static final long LINK_NANOS = TimeUnit.SECONDS.toNanos(6);
+    /** A crashed server is detected as lost within this time after its runs broke. */
+    private static final long CRASH_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-    private static final long HELD_NANOS = TimeUnit.SECONDS.toNanos(60);
-    private static final int MAX_BREAKS = 256;
+    private static final long QUARANTINE_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final int MAX_BROKEN_RUNS = 256;
     private static final int MAX_CONTENTS = 1_024;
 
-    private final Deque<Break> breaks = new ArrayDeque<>();
-    private final Map<Long, Strikes> contents = new LinkedHashMap<>();
+    private final Deque<BrokenRun> brokenRuns = new ArrayDeque<>();
+    private final Map<Long, CrashCount> countsByContent = new LinkedHashMap<>();
 
-    private record Break(ServerId server, long content, long atNanos) {}
+    private record BrokenRun(ServerId server, long content, long atNanos) {}
 
-    private record Strikes(int crashes, long untilNanos) {}
+    private record CrashCount(int crashes, long expiresNanos) {}
 
-    /** A run of {@code content} broke off at a server. */
-    void broke(ServerId server, long content, long nowNanos) {
-        breaks.addLast(new Break(server, content, nowNanos));
-        if (breaks.size() > MAX_BREAKS) {
-            breaks.removeFirst();
+    /** Records that a run of {@code content} broke on a server. */
+    void runBroke(ServerId server, long content, long nowNanos) {
+        brokenRuns.addLast(new BrokenRun(server, content, nowNanos));
+        if (brokenRuns.size() > MAX_BROKEN_RUNS) {
+            brokenRuns.removeFirst();
         }
     }
 
-    /** A server is not there, or started anew: what broke there lately is suspected. */
-    void missed(ServerId server, long nowNanos) {
+    /**
+     * Records that a server is gone or restarted, and counts a crash for the content of its
+     * recently broken runs.
+     */
+    void serverLost(ServerId server, long nowNanos) {
         Set<Long> suspects = new HashSet<>();
-        for (Break broken : breaks) {
-            if (broken.server().equals(server) && nowNanos - broken.atNanos() < LINK_NANOS) {
-                suspects.add(broken.content());
+        for (BrokenRun run : brokenRuns) {
+            if (run.server().equals(server) && nowNanos - run.atNanos() < CRASH_WINDOW_NANOS) {
+                suspects.add(run.content());
             }
         }
-        breaks.removeIf(broken -> broken.server().equals(server));
-        suspects.forEach(content -> strike(content, nowNanos));
+        brokenRuns.removeIf(run -> run.server().equals(server));
+        suspects.forEach(content -> addCrash(content, nowNanos));
     }
 
-    private void strike(long content, long nowNanos) {
-        Strikes before = contents.remove(content);
-        int crashes = before == null || nowNanos > before.untilNanos() ? 0 : before.crashes();
-        contents.put(content, new Strikes(crashes + 1, nowNanos + HELD_NANOS));
-        if (contents.size() > MAX_CONTENTS) {
-            contents.remove(contents.keySet().iterator().next());
+    private void addCrash(long content, long nowNanos) {
+        CrashCount before = countsByContent.remove(content);
+        int crashes = before == null || nowNanos > before.expiresNanos() ? 0 : before.crashes();
+        countsByContent.put(content, new CrashCount(crashes + 1, nowNanos + QUARANTINE_NANOS));
+        if (countsByContent.size() > MAX_CONTENTS) {
+            countsByContent.remove(countsByContent.keySet().iterator().next());
         }
     }
 
-    /** A run of {@code content} was answered. */
-    void answered(long content, long nowNanos) {
-        if (!isHeld(content, nowNanos)) {
-            contents.remove(content);
+    /**
+     * Records that a run of {@code content} was answered, which clears it unless it is quarantined.
+     */
+    void runAnswered(long content, long nowNanos) {
+        if (!isQuarantined(content, nowNanos)) {
+            countsByContent.remove(content);
         }
     }
 
-    /** Returns how many crashes each content that is suspected has caused. */
-    Map<Long, Integer> strikes(long nowNanos) {
+    /** Returns the crash counts by the content's fingerprint. */
+    Map<Long, Integer> counts(long nowNanos) {
         Map<Long, Integer> result = new HashMap<>();
-        contents.forEach(
-                (content, strikes) -> {
-                    if (nowNanos <= strikes.untilNanos()) {
-                        result.put(content, strikes.crashes());
+        countsByContent.forEach(
+                (content, count) -> {
+                    if (nowNanos <= count.expiresNanos()) {
+                        result.put(content, count.crashes());
                     }
                 });
         return result;
     }
 
-    /** Adds crashes that another host saw. */
+    /** Adds crashes that another host observed. */
     void applyReport(Map<Long, Integer> crashes, long nowNanos) {
         crashes.forEach(
                 (content, count) -> {
-                    for (int crash = 0; crash < Math.min(count, HOLDING_CRASHES); crash++) {
-                        strike(content, nowNanos);
+                    for (int crash = 0; crash < Math.min(count, QUARANTINE_CRASHES); crash++) {
+                        addCrash(content, nowNanos);
                     }
                 });
     }
 
-    /** Returns whether content must not be run. */
-    boolean isHeld(long content, long nowNanos) {
-        Strikes strikes = contents.get(content);
-        return strikes != null
-                && strikes.crashes() >= HOLDING_CRASHES
-                && nowNanos <= strikes.untilNanos();
+    /** Returns whether content is quarantined and must not run. */
+    boolean isQuarantined(long content, long nowNanos) {
+        CrashCount count = countsByContent.get(content);
+        return count != null
+                && count.crashes() >= QUARANTINE_CRASHES
+                && nowNanos <= count.expiresNanos();
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/DispatchAction.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchAction.java
@@ -2,41 +2,41 @@
 
 import org.orioleshed.model.ServerId;
 
-/** What a scheduler wants told to the host that accepted a request. */
+/** A decision of a scheduler, for the host that accepted the request. */
 public sealed interface DispatchAction {
-    /** Returns the run concerned. */
+    /** Returns the run that the decision is for. */
     RunKey run();
 
     /**
-     * Send the request to a server.
+     * The request is to be sent to a server.
      *
      * @param run the run
-     * @param server where to
-     * @param why the inputs of the choice, for the log
+     * @param server the chosen server
+     * @param why the inputs of the decision, for the log
      */
     record Grant(RunKey run, ServerId server, String why) implements DispatchAction {}
 
-    /** The request waits. */
+    /** The request is queued. */
     record Queued(RunKey run) implements DispatchAction {}
 
     /**
-     * The request is turned away; it has not run.
+     * The request is refused; it has not run.
      *
      * @param run the run
-     * @param reason why
-     * @param retryAfterMillis when it would fare better, in milliseconds from now
+     * @param reason the reason
+     * @param retryAfterMillis when to retry, in milliseconds from now
      */
     record Refuse(RunKey run, Reason reason, long retryAfterMillis) implements DispatchAction {}
 
-    /** Why a request is turned away. */
+    /** Why a request is refused. */
     enum Reason {
         /** Its workspace's quota is used up. */
         QUOTA,
-        /** It would not be answered in time. */
+        /** It can't be answered in time. */
         OVERLOAD,
-        /** No server of the pool may get it. */
+        /** The pool has no server that may run it. */
         NO_SERVER,
-        /** Its content crashed the servers that ran it. */
+        /** Its content is quarantined because it crashed the servers that ran it. */
         HELD
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
@@ -15,7 +15,9 @@
 import org.orioleshed.peer.MessageCodec;
 import org.orioleshed.wire.DispatchWire.Dispatch;
 
-/** Writes dispatch messages as protobuf. A run's origin is the host that accepted it. */
+/**
+ * Encodes dispatch messages as protobuf. The origin of a run is the host that accepted the request.
+ */
 public final class DispatchCodec implements MessageCodec<DispatchMessage> {
     @Override
     public byte[] encode(DispatchMessage message) {
@@ -74,18 +76,20 @@
                             .toByteArray();
             case DispatchEvent.CrashesReported reported -> ReportCodec.write(reported);
             case DispatchEvent.RolloutReported reported -> ReportCodec.write(reported);
-            case DispatchEvent.HostGone gone -> throw new IllegalArgumentException("not sent");
+            case DispatchEvent.HostGone gone ->
+                    throw new IllegalArgumentException("HostGone is not sent between hosts");
             case DispatchEvent.ServersChanged changed ->
-                    throw new IllegalArgumentException("not sent");
+                    throw new IllegalArgumentException("ServersChanged is not sent between hosts");
             case DispatchEvent.LimitsChanged changed ->
-                    throw new IllegalArgumentException("not sent");
+                    throw new IllegalArgumentException("LimitsChanged is not sent between hosts");
             case DispatchEvent.ShareChanged changed ->
-                    throw new IllegalArgumentException("not sent");
+                    throw new IllegalArgumentException("ShareChanged is not sent between hosts");
             case DispatchEvent.RolloutOrdered ordered ->
-                    throw new IllegalArgumentException("not sent");
+                    throw new IllegalArgumentException("RolloutOrdered is not sent between hosts");
             case DispatchEvent.RolloutSettled settled ->
-                    throw new IllegalArgumentException("not sent");
-            case DispatchEvent.Tick tick -> throw new IllegalArgumentException("not sent");
+                    throw new IllegalArgumentException("RolloutSettled is not sent between hosts");
+            case DispatchEvent.Tick tick ->
+                    throw new IllegalArgumentException("Tick is not sent between hosts");
         };
     }
 
@@ -176,7 +180,7 @@
         try {
             return read(Dispatch.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new BadMessageException("no dispatch message: " + e.getMessage());
+            throw new BadMessageException("invalid dispatch message: " + e.getMessage());
         }
     }
 
@@ -242,7 +246,8 @@
                     MOVE_RECALLED,
                     UNKNOWN,
                     UNRECOGNIZED ->
-                    throw new BadMessageException("unknown kind");
+                    throw new BadMessageException(
+                            "unknown kind of dispatch message " + wire.getKindValue());
         };
     }
 
@@ -268,7 +273,8 @@
             case OVERLOAD -> DispatchAction.Reason.OVERLOAD;
             case NO_SERVER -> DispatchAction.Reason.NO_SERVER;
             case HELD -> DispatchAction.Reason.HELD;
-            case NONE, UNRECOGNIZED -> throw new BadMessageException("refused without a reason");
+            case NONE, UNRECOGNIZED ->
+                    throw new BadMessageException("refusal without a known reason");
         };
     }
 
--- a/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
@@ -12,26 +12,26 @@
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.WorkspaceId;
 
-/** What can happen to a scheduler. */
+/** An input of a scheduler. */
 public sealed interface DispatchEvent {
-    /** A request needs a server. */
+    /** A request is to be placed on a server. */
     record PlacementRequested(RunKey run, PlacementRequest request) implements DispatchEvent {}
 
-    /** A request needs none any more. */
+    /** A request no longer needs a server. */
     record Withdrawn(RunKey run) implements DispatchEvent {}
 
     /** A request was placed by another scheduler. */
     record Placed(RunKey run, PlacementRequest request, ServerId server) implements DispatchEvent {}
 
     /**
-     * A run's first event came.
+     * A run produced its first event.
      *
      * @param run the run
-     * @param firstMillis the time since it was sent, in milliseconds
-     * @param limit what the answer says of how many requests its server takes
+     * @param firstMillis the time from sending the request to its first event, in milliseconds
+     * @param limit the rate limit that the server stated in the answer
      */
     record First(RunKey run, long firstMillis, StatedLimit limit) implements DispatchEvent {
-        /** Makes one that says nothing of the server's limit. */
+        /** Makes an event without a stated rate limit. */
         public First(RunKey run, long firstMillis) {
             this(run, firstMillis, StatedLimit.UNKNOWN);
         }
@@ -40,11 +40,11 @@
     /** A run ended. */
     record Ended(RunKey run, RunReport report) implements DispatchEvent {}
 
-    /** A host is gone, and its runs with it. */
+    /** A host is gone; its runs and queued requests are removed. */
     record HostGone(HostId host) implements DispatchEvent {}
 
     /**
-     * A server told a host in an answer that it leaves.
+     * A server stated in an answer that it is leaving.
      *
      * @param server the server
      * @param startMillis which start of it, as {@link
@@ -53,21 +53,21 @@
     record ServerLeaving(ServerId server, long startMillis) implements DispatchEvent {}
 
     /**
-     * A server told a host some time ago how many requests it takes.
+     * A host reports the rate limit that a server stated to it earlier.
      *
      * @param server the server
      * @param startMillis which start of it, as {@link
      *     org.orioleshed.catalog.PoolServer#startMillis()}
-     * @param limit how many
+     * @param limit the stated rate limit
      */
     record ServerLimited(ServerId server, long startMillis, StatedLimit.Rate limit)
             implements DispatchEvent {}
 
     /**
-     * What a host saw of requests that crash servers, told to a primary that begins.
+     * A host reports the crashes that it observed to a new primary.
      *
      * @param host the host
-     * @param crashes how many crashes each content caused, by its fingerprint
+     * @param crashes the number of crashes by the fingerprint of the content
      */
     record CrashesReported(HostId host, Map<Long, Integer> crashes) implements DispatchEvent {
         /** Copies the map. */
@@ -77,11 +77,11 @@
     }
 
     /**
-     * What a host saw of a rollout, told to a primary that begins.
+     * A host reports the evidence of a rollout that it observed to a new primary.
      *
      * @param host the host
-     * @param order the rollout
-     * @param tallies what it saw of each server
+     * @param order the order of the rollout
+     * @param tallies the evidence by server and route
      */
     record RolloutReported(HostId host, RolloutOrder order, List<RolloutTally> tallies)
             implements DispatchEvent {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** The servers in force. */
+    /** The current servers. */
     record ServersChanged(List<PoolServer> servers) implements DispatchEvent {
         /** Copies the list. */
         public ServersChanged {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The pools and quotas in force. */
+    /** The current pools and quotas. */
     record LimitsChanged(Map<ServiceId, Pool> pools, Map<WorkspaceId, Quota> quotas)
             implements DispatchEvent {
         /** Copies the maps. */
@@ -110,43 +110,46 @@
     }
 
     /**
-     * The parts of all servers' places and of all quotas that this scheduler may give out.
+     * The fractions of all servers' slots and of all quotas that this scheduler may grant.
      *
-     * @param places from 0 (exclusive) to 1
+     * @param slots from 0 (exclusive) to 1
      * @param quota from 0 (exclusive) to 1
      */
-    record ShareChanged(double places, double quota) implements DispatchEvent {}
+    record ShareChanged(double slots, double quota) implements DispatchEvent {}
 
     /**
-     * The primary before this one has stopped giving out quotas and hands over what is left.
+     * The previous primary stopped granting quotas and hands over what is left of them.
      *
-     * @param parts the part of its burst that each workspace has left: at most 1, and negative for
-     *     a debt
+     * @param parts the fraction of its burst that each workspace has left: at most 1, and negative
+     *     for a debt
      */
     record QuotasHanded(Map<WorkspaceId, Double> parts) implements DispatchEvent {
         /** Copies the map and checks the parts. */
         public QuotasHanded {
             parts = Map.copyOf(parts);
             if (parts.values().stream().anyMatch(part -> !Double.isFinite(part) || part > 1)) {
-                throw new IllegalArgumentException("parts must be at most 1");
+                throw new IllegalArgumentException(
+                        "quota parts must be finite and at most 1, found " + parts);
             }
         }
     }
 
     /**
-     * An order to roll out a version of a pool.
+     * A version of a pool is to be rolled out.
      *
      * @param order the order
-     * @param seenNanos when this host saw it, on its monotonic clock
-     * @param evidenceHere whether this scheduler sees the pool's answers and may use the new
-     *     version
+     * @param observedNanos when this host observed the order, on its monotonic clock
+     * @param evidenceHere whether this scheduler receives the outcomes of the pool's runs and may
+     *     use the new version
      */
-    record RolloutOrdered(RolloutOrder order, long seenNanos, boolean evidenceHere)
+    record RolloutOrdered(RolloutOrder order, long observedNanos, boolean evidenceHere)
             implements DispatchEvent {}
 
     /** The recorded outcome of a rollout. */
     record RolloutSettled(RolloutOrder order, RolloutOutcome outcome) implements DispatchEvent {}
 
-    /** Time passed; comes at least every 20 ms while anything waits, and every 100 ms else. */
+    /**
+     * Time passed. Sent at least every 20 ms while requests are queued, and every 100 ms otherwise.
+     */
     record Tick() implements DispatchEvent {}
 }
--- a/src/main/java/org/orioleshed/dispatch/DispatchMessage.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchMessage.java
@@ -1,9 +1,10 @@
 package org.orioleshed.dispatch;
 
-/** What hosts and the primary of a pool say to each other. */
+/** A message between a host and the primary of the pools. */
 public sealed interface DispatchMessage {
     /**
-     * Something happened to a run of the sender, or to its being the primary.
+     * An event of a run of the sender, a report to the primary, or the handover from the previous
+     * primary.
      *
      * @param event one of {@link DispatchEvent.PlacementRequested}, {@link
      *     DispatchEvent.Withdrawn}, {@link DispatchEvent.Placed}, {@link DispatchEvent.First},
@@ -13,12 +14,12 @@
      */
     record ToPrimary(DispatchEvent event) implements DispatchMessage {}
 
-    /** The sender looks to the receiver as the primary, and lends it its part of all quotas. */
+    /** The sender follows the receiver as the primary and lends it its share of all quotas. */
     record Follow() implements DispatchMessage {}
 
-    /** The sender begins as the primary, and wants to know what those who look to it know. */
+    /** The sender started as the primary and requests the reports of its followers. */
     record PrimaryStarted() implements DispatchMessage {}
 
-    /** The primary's answer about a run of the receiver. */
+    /** The primary's decision on a run of the receiver. */
     record FromPrimary(DispatchAction action) implements DispatchMessage {}
 }
--- a/src/main/java/org/orioleshed/dispatch/LinearFit.java
+++ b/src/main/java/org/orioleshed/dispatch/LinearFit.java
@@ -1,9 +1,9 @@
 package org.orioleshed.dispatch;
 
-/** A straight line through recent points, older ones counting less. */
+/** A linear regression over recent points whose weights decay exponentially. */
 final class LinearFit {
-    private static final double KEEP = 0.995;
-    private static final double LEAST_SPREAD = 1e-6;
+    private static final double DECAY = 0.995;
+    private static final double MIN_SQUARES_X = 1e-6;
 
     private double weight;
     private double sumX;
@@ -12,12 +12,12 @@
     private double sumXy;
 
     /**
-     * Makes a line that is believed as much as {@code priorWeight} points until others come.
+     * Makes a fit with a prior line.
      *
-     * @param offset its height at 0
-     * @param slope its slope
-     * @param scaleX the size of usual x
-     * @param priorWeight how many points the first belief is worth
+     * @param offset the prior's value at 0
+     * @param slope the prior's slope
+     * @param scaleX a typical x
+     * @param priorWeight how many points the prior weighs as much as
      */
     LinearFit(double offset, double slope, double scaleX, double priorWeight) {
         addWeighted(0, offset, priorWeight / 2);
@@ -25,27 +25,29 @@
     }
 
     void add(double x, double y) {
-        weight *= KEEP;
-        sumX *= KEEP;
-        sumY *= KEEP;
-        sumXx *= KEEP;
-        sumXy *= KEEP;
+        weight *= DECAY;
+        sumX *= DECAY;
+        sumY *= DECAY;
+        sumXx *= DECAY;
+        sumXy *= DECAY;
         addWeighted(x, y, 1);
     }
 
-    private void addWeighted(double x, double y, double by) {
-        weight += by;
-        sumX += by * x;
-        sumY += by * y;
-        sumXx += by * x * x;
-        sumXy += by * x * y;
+    private void addWeighted(double x, double y, double pointWeight) {
+        weight += pointWeight;
+        sumX += pointWeight * x;
+        sumY += pointWeight * y;
+        sumXx += pointWeight * x * x;
+        sumXy += pointWeight * x * y;
     }
 
-    /** Returns the line's height at {@code x}, at least a thousandth. */
+    /** Returns the fitted value at {@code x}, at least 0.001. */
     double at(double x) {
-        double spread = sumXx - sumX * sumX / weight;
+        double squaresX = sumXx - sumX * sumX / weight;
         double slope =
-                spread < LEAST_SPREAD ? 0 : Math.max(0, (sumXy - sumX * sumY / weight) / spread);
+                squaresX < MIN_SQUARES_X
+                        ? 0
+                        : Math.max(0, (sumXy - sumX * sumY / weight) / squaresX);
         double offset = Math.max(0, (sumY - slope * sumX) / weight);
         return Math.max(0.001, offset + slope * x);
     }
--- a/src/main/java/org/orioleshed/dispatch/Placement.java
+++ b/src/main/java/org/orioleshed/dispatch/Placement.java
@@ -5,64 +5,75 @@
 import org.orioleshed.catalog.Pool;
 
 /**
- * Chooses the server that is expected to answer first. Answers the load pattern of unlike servers
- * under mixed sizes: a long prompt must not wait behind another one while a server is free, and a
- * server that fails some of its calls, or went silent, must not look attractive because it is
- * empty.
+ * Chooses the server with the lowest expected time to answer. Covers pools of servers that differ
+ * in speed and requests that differ in size: a long prompt must not wait behind another one while a
+ * server is free, and a server that fails some of its runs or stopped responding must not be
+ * preferred because it is idle.
  */
 final class Placement {
-    /** A run that fails costs its caller about this many targets. */
-    private static final double FAULT_TARGETS = 3;
+    /** The cost of a failed run to its caller, in multiples of the latency target. */
+    private static final double FAULT_COST_TARGETS = 3;
 
-    private static final double USUAL_TARGET_MILLIS = 600;
+    private static final double TYPICAL_TARGET_MILLIS = 600;
 
-    /** What a full server is slower than an empty one, at a usual step time of engines. */
-    private static final double FULL_MILLIS = 30;
+    /**
+     * How much slower a full server is than an idle one, at a typical step time of inference
+     * engines.
+     */
+    private static final double FULL_SERVER_PENALTY_MILLIS = 30;
 
-    /** Bytes between failure domains cost; a server nearby is taken if it is slower by less. */
-    private static final double OTHER_DOMAIN_ENGINE_MILLIS = 15;
+    /**
+     * Traffic between failure domains is costly: a server in the request's own domain is preferred
+     * unless it is slower by more than this.
+     */
+    private static final double ENGINE_DOMAIN_PENALTY_MILLIS = 15;
 
-    private static final double OTHER_DOMAIN_PLAIN_MILLIS = 3;
+    private static final double PLAIN_DOMAIN_PENALTY_MILLIS = 3;
 
-    /** Events that count when a stream's speed is weighed against its first event. */
-    private static final double WEIGHED_EVENTS = 4;
+    /**
+     * The number of stream events whose gaps count in the score beside the time to the first event.
+     */
+    private static final double SCORED_EVENTS = 4;
 
-    /** Memory beyond this part makes engines preempt their newest runs. */
-    private static final double MEMORY_PART = 0.92;
+    /** Engines preempt their newest runs when more than this fraction of their memory is in use. */
+    private static final double MAX_MEMORY_FRACTION = 0.92;
 
-    /** Longer than this without a first event, and longer than thrice the expected time. */
+    /**
+     * A server is silent when a run has waited longer than this for its first event and the server
+     * has sent nothing for as long.
+     */
     private static final long SILENT_MILLIS = 700;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final PoolState pool;
     private final ServerRates rates;
-    private final double share;
+    private final double slotShare;
     private final long nowNanos;
 
-    Placement(PoolState pool, ServerRates rates, double share, long nowNanos) {
+    Placement(PoolState pool, ServerRates rates, double slotShare, long nowNanos) {
         this.pool = pool;
         this.rates = rates;
-        this.share = share;
+        this.slotShare = slotShare;
         this.nowNanos = nowNanos;
     }
 
-    /** Returns the best server with a free place; empty where none has one. */
+    /** Returns the best server with a free slot; empty if there is none. */
     Optional<ServerState> choose(PlacementRequest request) {
         if (pool.rollout().isEmpty()) {
             return best(request, server -> true);
         }
         VersionRollout rollout = pool.rollout().get();
-        boolean wantsNew =
+        boolean preferNew =
                 (rollout.nextIsNew() && hasVersion(rollout, true)) || !hasVersion(rollout, false);
         Optional<ServerState> chosen =
-                best(request, server -> rollout.isTarget(server.server().version()) == wantsNew);
-        return chosen.isEmpty() && rollout.mayUseOther(wantsNew)
-                ? best(request, server -> rollout.isTarget(server.server().version()) != wantsNew)
+                best(request, server -> rollout.isTarget(server.server().version()) == preferNew);
+        return chosen.isEmpty() && rollout.mayUseOther(preferNew)
+                ? best(request, server -> rollout.isTarget(server.server().version()) != preferNew)
                 : chosen;
     }
 
-    /** Returns whether any server of the new, or of the old, version takes calls. */
+    /** Returns whether any server of the target version, or of another one, accepts requests. */
     private boolean hasVersion(VersionRollout rollout, boolean target) {
         return pool.servers().all().stream()
                 .anyMatch(
@@ -71,11 +82,11 @@
                                         && rollout.isTarget(server.server().version()) == target);
     }
 
-    private Optional<ServerState> best(PlacementRequest request, Predicate<ServerState> allowed) {
+    private Optional<ServerState> best(PlacementRequest request, Predicate<ServerState> filter) {
         ServerState best = null;
         double bestScore = Double.POSITIVE_INFINITY;
         for (ServerState server : pool.servers().all()) {
-            if (!allowed.test(server) || !maySend(server, request) || !hasRoom(server, request)) {
+            if (!filter.test(server) || !isEligible(server, request) || !hasRoom(server, request)) {
                 continue;
             }
             double score = score(server, request);
@@ -88,78 +99,93 @@
     }
 
     /**
-     * Returns the places of servers that are well; one where all of them are held off for a moment,
-     * and none where all are leaving. One that takes few requests counts by the places that these
-     * keep.
+     * Returns the number of slots on usable servers: one if all servers are backing off or silent,
+     * and zero if all are draining. A server with a stated rate limit counts with the slots that
+     * its rate can keep busy.
      *
-     * @param busyMillis how long a request keeps its place
+     * @param expectedRunMillis how long a request occupies a slot, in milliseconds
      */
-    double usablePlaces(double busyMillis) {
-        double places = 0;
-        boolean someStay = false;
+    double usableSlots(double expectedRunMillis) {
+        double slots = 0;
+        boolean anyStaying = false;
         for (ServerState server : pool.servers().all()) {
-            double takes = takenPlaces(server, busyMillis);
-            places += isUsable(server) ? takes : 0;
-            someStay |= !server.isLeaving() && takes > 0;
+            double effective = effectiveSlots(server, expectedRunMillis);
+            slots += isUsable(server) ? effective : 0;
+            anyStaying |= !server.isLeaving() && effective > 0;
         }
-        return places == 0 && someStay ? 1 : places;
+        return slots == 0 && anyStaying ? 1 : slots;
     }
 
-    private double takenPlaces(ServerState server, double busyMillis) {
-        double most = limit(server);
+    private double effectiveSlots(ServerState server, double expectedRunMillis) {
+        double maxSlots = slotLimit(server);
         return rates.of(server.server())
-                .map(rate -> Math.min(most, rate.perSecond() * busyMillis / MILLIS_PER_SECOND))
-                .orElse(most);
+                .map(
+                        rate ->
+                                Math.min(
+                                        maxSlots,
+                                        rate.perSecond() * expectedRunMillis / MILLIS_PER_SECOND))
+                .orElse(maxSlots);
     }
 
-    private boolean maySend(ServerState server, PlacementRequest request) {
+    private boolean isEligible(ServerState server, PlacementRequest request) {
         return isUsable(server) && !request.excluded().contains(server.server().id());
     }
 
     private boolean isUsable(ServerState server) {
         return !server.isLeaving()
-                && !server.isHeldOff(nowNanos)
+                && !server.isBackingOff(nowNanos)
                 && !server.isSilent(SILENT_MILLIS, nowNanos);
     }
 
     private boolean hasRoom(ServerState server, PlacementRequest request) {
-        if (server.running() >= limit(server) || !takesOne(server)) {
+        if (server.running() >= slotLimit(server) || !rateAllows(server)) {
             return false;
         }
-        long memory = pool.declared().map(Pool::memoryTokens).orElse(0L);
-        long needed = server.heldTokens() + request.promptTokens() + request.outputTokens();
-        return memory == 0 || server.running() == 0 || needed <= memory * MEMORY_PART;
+        long memoryTokens = pool.definition().map(Pool::memoryTokens).orElse(0L);
+        long requiredTokens =
+                server.reservedTokens() + request.promptTokens() + request.outputTokens();
+        return memoryTokens == 0
+                || server.running() == 0
+                || requiredTokens <= memoryTokens * MAX_MEMORY_FRACTION;
     }
 
-    /** Returns whether the rate that a server has named, if any, leaves room for a request. */
-    private boolean takesOne(ServerState server) {
+    /** Returns whether the stated rate limit of a server, if any, admits a request now. */
+    private boolean rateAllows(ServerState server) {
         return rates.of(server.server()).map(rate -> rate.hasRoom(nowNanos)).orElse(true);
     }
 
-    private int limit(ServerState server) {
-        return Math.max(1, (int) (server.server().slots() * share));
+    private int slotLimit(ServerState server) {
+        return Math.max(1, (int) (server.server().slots() * slotShare));
     }
 
-    /** Returns the expected time to the first event, and what else counts, in milliseconds. */
+    /**
+     * Returns the expected time to the first event plus the penalties, in milliseconds; lower is
+     * better.
+     */
     double score(ServerState server, PlacementRequest request) {
         boolean engine = request.promptTokens() > 0;
-        double load = (double) server.running() / limit(server);
-        double expected = engine ? engineMillis(server, request) : plainMillis(server, load);
-        boolean near = server.server().domain().equals(request.domain());
-        double away = engine ? OTHER_DOMAIN_ENGINE_MILLIS : OTHER_DOMAIN_PLAIN_MILLIS;
-        double faults = server.faultRate(nowNanos) * FAULT_TARGETS * USUAL_TARGET_MILLIS;
-        return expected + faults + (near ? 0 : away);
+        double load = (double) server.running() / slotLimit(server);
+        double expectedMillis = engine ? engineMillis(server, request) : plainMillis(server, load);
+        boolean sameDomain = server.server().domain().equals(request.domain());
+        double domainPenalty = engine ? ENGINE_DOMAIN_PENALTY_MILLIS : PLAIN_DOMAIN_PENALTY_MILLIS;
+        double faultMillis =
+                server.faultRate(nowNanos) * FAULT_COST_TARGETS * TYPICAL_TARGET_MILLIS;
+        return expectedMillis + faultMillis + (sameDomain ? 0 : domainPenalty);
     }
 
     private double engineMillis(ServerState server, PlacementRequest request) {
-        double first =
-                server.firstFactor()
-                        * pool.speed().firstMillis(server.pendingTokens() + request.promptTokens());
-        double stream = server.eventFactor() * pool.speed().eventMillis() * WEIGHED_EVENTS;
-        return first + stream + FULL_MILLIS * server.running() / limit(server);
+        double firstMillis =
+                server.firstEventFactor()
+                        * pool.speed()
+                                .firstEventMillis(server.pendingTokens() + request.promptTokens());
+        double streamMillis =
+                server.eventGapFactor() * pool.speed().eventGapMillis() * SCORED_EVENTS;
+        return firstMillis
+                + streamMillis
+                + FULL_SERVER_PENALTY_MILLIS * server.running() / slotLimit(server);
     }
 
     private double plainMillis(ServerState server, double load) {
-        return server.firstFactor() * pool.speed().plainMillis() * (1 + load);
+        return server.firstEventFactor() * pool.speed().plainMillis() * (1 + load);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/PlacementRequest.java
+++ b/src/main/java/org/orioleshed/dispatch/PlacementRequest.java
@@ -9,21 +9,21 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * What a request needs of a pool.
+ * What a request requires of a pool.
  *
  * @param service the pool
  * @param route the route of the request
- * @param workspace whose quota it uses; empty where it uses none, as for a second server
+ * @param workspace the workspace whose quota it uses; empty if it uses none, as for a further
+ *     server
  * @param domain the failure domain of the host that accepted it
- * @param rank its urgency, 0 first
- * @param targetLeftMillis the time left in which an answer is worth most, in milliseconds; may be
- *     negative
- * @param deadlineLeftMillis the time left until its caller gives up, in milliseconds
- * @param promptTokens the tokens to read; 0 for a plain service
- * @param outputTokens the expected tokens to generate; 0 for a plain service
- * @param quotaUnits what it uses of the workspace's quota
- * @param content a fingerprint of what is asked and by whom
- * @param excluded servers that must not get it
+ * @param rank its rank; 0 is the most urgent
+ * @param targetLeftMillis the time left until the latency target, in milliseconds; may be negative
+ * @param deadlineLeftMillis the time left until the caller's deadline, in milliseconds
+ * @param promptTokens the number of prompt tokens; 0 for a plain service
+ * @param outputTokens the expected number of output tokens; 0 for a plain service
+ * @param quotaUnits the units that it uses of the workspace's quota
+ * @param content a fingerprint of the content and its sender
+ * @param excluded the servers that must not run it
  */
 public record PlacementRequest(
         ServiceId service,
@@ -38,8 +38,8 @@
         long quotaUnits,
         long content,
         Set<ServerId> excluded) {
-    /** A workspace's rank goes before the route's; no route has a rank this low. */
-    private static final int RANKS_OF_A_WORKSPACE = 64;
+    /** The number of route ranks within each workspace rank; workspace ranks take precedence. */
+    private static final int ROUTE_RANKS = 64;
 
     /** Copies the set. */
     public PlacementRequest {
@@ -47,35 +47,42 @@
     }
 
     /**
-     * Returns the rank of a call.
+     * Combines the ranks of a workspace and a route.
      *
-     * @param ofWorkspace the rank of its workspace, 0 first
-     * @param ofRoute the rank of its route, 0 first
+     * @param workspaceRank the rank of the workspace; 0 is the most urgent
+     * @param routeRank the rank of the route; 0 is the most urgent
      */
-    public static int rank(int ofWorkspace, int ofRoute) {
-        return ofWorkspace * RANKS_OF_A_WORKSPACE + Math.min(ofRoute, RANKS_OF_A_WORKSPACE - 1);
+    public static int rank(int workspaceRank, int routeRank) {
+        return workspaceRank * ROUTE_RANKS + Math.min(routeRank, ROUTE_RANKS - 1);
     }
 
-    /** Returns the rank of its route among those of a workspace. */
+    /** Returns the rank of the route within its workspace rank. */
     int routeRank() {
-        return rank % RANKS_OF_A_WORKSPACE;
+        return rank % ROUTE_RANKS;
     }
 
-    /** Returns the same request without a quota to use, since that is paid elsewhere. */
+    /**
+     * Returns this request without a quota, for use where the quota is charged by another
+     * scheduler.
+     */
     public PlacementRequest withoutQuota() {
         return with(Optional.empty(), 0, 0);
     }
 
-    /** Returns the same request at a later moment. */
+    /**
+     * Returns this request as of a later moment, with less time left.
+     *
+     * @param laterMillis how much later, in milliseconds
+     */
     public PlacementRequest aged(long laterMillis) {
         return with(workspace, quotaUnits, laterMillis);
     }
 
-    private PlacementRequest with(Optional<WorkspaceId> payer, long units, long laterMillis) {
+    private PlacementRequest with(Optional<WorkspaceId> quotaOwner, long units, long laterMillis) {
         return new PlacementRequest(
                 service,
                 route,
-                payer,
+                quotaOwner,
                 domain,
                 rank,
                 targetLeftMillis - laterMillis,
--- a/src/main/java/org/orioleshed/dispatch/PoolServers.java
+++ b/src/main/java/org/orioleshed/dispatch/PoolServers.java
@@ -11,9 +11,9 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * The servers of one pool. What is known of a server outlasts its entry for a while: an entry comes
- * back after a silence of its heartbeat, and the server's runs, its word that it leaves and its
- * speed are what they were.
+ * The servers of one pool. The state of a server is kept for a while after its entry disappears: an
+ * entry can return after an interruption of its heartbeat, and the server's runs, its notice of
+ * leaving and its speed still hold then.
  */
 final class PoolServers {
     private static final int MAX_ABSENT = 1_024;
@@ -30,47 +30,49 @@
         return present.keySet();
     }
 
-    /** Returns a server that has an entry. */
+    /** Returns a server by id if it has an entry. */
     Optional<ServerState> get(ServerId id) {
         return Optional.ofNullable(present.get(id));
     }
 
     /**
-     * Takes a server's entry.
+     * Adds or updates a server's entry.
      *
-     * @return whether another start of it was there
+     * @return whether another incarnation of the server was recorded
      */
     boolean put(PoolServer server, long nowNanos) {
-        ServerState known = present.get(server.id());
-        boolean wasAbsent = known == null;
+        ServerState recorded = present.get(server.id());
+        boolean wasAbsent = recorded == null;
         if (wasAbsent) {
-            known = absent.remove(server.id());
+            recorded = absent.remove(server.id());
         }
-        if (known != null && isSameStart(known, server, wasAbsent)) {
-            known.update(server);
-            present.put(server.id(), known);
+        if (recorded != null && isSameStart(recorded, server, wasAbsent)) {
+            recorded.update(server);
+            present.put(server.id(), recorded);
             return false;
         }
         present.put(server.id(), new ServerState(server, nowNanos));
-        return known != null;
+        return recorded != null;
     }
 
-    /** One that does not state its birth may have started anew while its entry was away. */
-    private static boolean isSameStart(ServerState known, PoolServer server, boolean wasAbsent) {
-        boolean stated = server.startMillis() != 0;
-        return known.server().sameStart(server) && (stated || !wasAbsent);
+    /**
+     * A server that does not state its start time may have restarted while its entry was absent.
+     */
+    private static boolean isSameStart(ServerState recorded, PoolServer server, boolean wasAbsent) {
+        boolean hasStartTime = server.startMillis() != 0;
+        return recorded.server().sameStart(server) && (hasStartTime || !wasAbsent);
     }
 
-    /** Removes a server that belongs to another pool now. */
-    void forget(ServerId id) {
+    /** Removes a server that was moved to another pool. */
+    void remove(ServerId id) {
         present.remove(id);
         absent.remove(id);
     }
 
     /**
-     * Sets aside the servers without an entry.
+     * Sets aside the servers that no longer have an entry.
      *
-     * @return those that had one until now
+     * @return the servers that had an entry before this call
      */
     Set<ServerId> retain(Set<ServerId> entries) {
         Set<ServerId> gone = new HashSet<>(present.keySet());
--- a/src/main/java/org/orioleshed/dispatch/PoolSpeed.java
+++ b/src/main/java/org/orioleshed/dispatch/PoolSpeed.java
@@ -1,49 +1,56 @@
 package org.orioleshed.dispatch;
 
-/** How fast the servers of a pool are on average, learned from all their answers. */
+/** The average speed of the servers of a pool, estimated from all their answers. */
 final class PoolSpeed {
-    /** First beliefs, replaced by some tens of answers: usual figures of large model engines. */
-    private static final double FIRST_OFFSET_MILLIS = 50;
-
-    private static final double FIRST_MILLIS_PER_TOKEN = 0.01;
-    private static final double USUAL_TOKENS = 4_000;
+    /**
+     * Initial estimates, typical of inference engines for large models; some tens of answers
+     * replace them.
+     */
+    private static final double INITIAL_OFFSET_MILLIS = 50;
+
+    private static final double INITIAL_MILLIS_PER_TOKEN = 0.01;
+    private static final double TYPICAL_TOKENS = 4_000;
     private static final double PRIOR_POINTS = 20;
-    private static final double EVENT_MILLIS = 25;
-    private static final double PLAIN_MILLIS = 30;
-    private static final double NEW_PART = 0.02;
-
-    private final LinearFit first =
-            new LinearFit(FIRST_OFFSET_MILLIS, FIRST_MILLIS_PER_TOKEN, USUAL_TOKENS, PRIOR_POINTS);
-    private double eventMillis = EVENT_MILLIS;
-    private double plainMillis = PLAIN_MILLIS;
-
-    /** Returns the time to the first event with {@code tokens} to read before it. */
-    double firstMillis(long tokens) {
-        return first.at((double) tokens);
+    private static final double INITIAL_EVENT_GAP_MILLIS = 25;
+    private static final double INITIAL_PLAIN_MILLIS = 30;
+    private static final double SMOOTHING = 0.02;
+
+    private final LinearFit firstEvent =
+            new LinearFit(
+                    INITIAL_OFFSET_MILLIS, INITIAL_MILLIS_PER_TOKEN, TYPICAL_TOKENS, PRIOR_POINTS);
+    private double eventGapMillis = INITIAL_EVENT_GAP_MILLIS;
+    private double plainMillis = INITIAL_PLAIN_MILLIS;
+
+    /** Returns the time to the first event after a prefill of {@code tokens}, in milliseconds. */
+    double firstEventMillis(long tokens) {
+        return firstEvent.at((double) tokens);
     }
 
-    /** Returns the usual time to a run's first event, or to the answer of a plain call. */
-    double expectedMillis(Running run) {
-        return run.reading() > 0 ? firstMillis(run.reading()) : plainMillis;
+    /**
+     * Returns the expected time to a run's first event, or to the answer of a plain call, in
+     * milliseconds.
+     */
+    double expectedMillis(ActiveRun run) {
+        return run.prefillTokens() > 0 ? firstEventMillis(run.prefillTokens()) : plainMillis;
     }
 
-    double eventMillis() {
-        return eventMillis;
+    double eventGapMillis() {
+        return eventGapMillis;
     }
 
     double plainMillis() {
         return plainMillis;
     }
 
-    void learnFirst(long tokens, double millis) {
-        first.add((double) tokens, millis);
+    void recordFirstEvent(long tokens, double millis) {
+        firstEvent.add((double) tokens, millis);
     }
 
-    void learnEvent(double millis) {
-        eventMillis += NEW_PART * (millis - eventMillis);
+    void recordEventGap(double millis) {
+        eventGapMillis += SMOOTHING * (millis - eventGapMillis);
     }
 
-    void learnPlain(double millis) {
-        plainMillis += NEW_PART * (millis - plainMillis);
+    void recordPlain(double millis) {
+        plainMillis += SMOOTHING * (millis - plainMillis);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/PoolState.java
+++ b/src/main/java/org/orioleshed/dispatch/PoolState.java
@@ -10,20 +10,20 @@
 import java.util.TreeSet;
 import org.orioleshed.catalog.Pool;
 
-/** One pool: its servers, its speed, and who waits for it. */
+/** The state of one pool: its servers, their speed, its queued requests and its rollout. */
 final class PoolState {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** A request waits long for its answer after so many times what is usual. */
-    private static final double LONG_WAIT = 2;
+    /** A run without an answer counts as slow once it took this many times the expected time. */
+    private static final double SLOW_RUN_FACTOR = 2;
 
     private final PoolServers servers = new PoolServers();
     private final TreeSet<QueuedRequest> onTime = new TreeSet<>(QueuedRequest.URGENCY);
     private final TreeSet<QueuedRequest> late = new TreeSet<>(QueuedRequest.URGENCY);
-    private final Map<RunKey, QueuedRequest> waiters = new HashMap<>();
+    private final Map<RunKey, QueuedRequest> queuedByRun = new HashMap<>();
     private final PoolSpeed speed = new PoolSpeed();
     private final RankLoad load = new RankLoad();
-    private Pool declared;
+    private Pool definition;
     private VersionRollout rollout;
 
     PoolServers servers() {
@@ -38,166 +38,175 @@
         return load;
     }
 
-    void declare(Pool pool) {
-        declared = pool;
+    void define(Pool pool) {
+        definition = pool;
     }
 
-    Optional<Pool> declared() {
-        return Optional.ofNullable(declared);
+    Optional<Pool> definition() {
+        return Optional.ofNullable(definition);
     }
 
-    /** Returns the rollout that was ordered last. */
+    /** Returns the most recently ordered rollout. */
     Optional<VersionRollout> rollout() {
         return Optional.ofNullable(rollout);
     }
 
-    void rollout(VersionRollout newRollout) {
+    void setRollout(VersionRollout newRollout) {
         rollout = newRollout;
     }
 
     int waiting() {
-        return waiters.size();
+        return queuedByRun.size();
     }
 
-    boolean isWaiting(RunKey run) {
-        return waiters.containsKey(run);
+    boolean isQueued(RunKey run) {
+        return queuedByRun.containsKey(run);
     }
 
-    Collection<QueuedRequest> waiters() {
-        return waiters.values();
+    Collection<QueuedRequest> queuedRequests() {
+        return queuedByRun.values();
     }
 
-    void add(QueuedRequest waiter) {
-        waiters.put(waiter.run(), waiter);
-        onTime.add(waiter);
+    void add(QueuedRequest queued) {
+        queuedByRun.put(queued.run(), queued);
+        onTime.add(queued);
     }
 
-    /** Removes a waiter; empty when it does not wait. */
+    /** Removes a queued request; empty if it is not queued. */
     Optional<QueuedRequest> remove(RunKey run) {
-        QueuedRequest waiter = waiters.remove(run);
-        if (waiter == null) {
+        QueuedRequest queued = queuedByRun.remove(run);
+        if (queued == null) {
             return Optional.empty();
         }
-        onTime.remove(waiter);
-        late.remove(waiter);
-        return Optional.of(waiter);
+        onTime.remove(queued);
+        late.remove(queued);
+        return Optional.of(queued);
     }
 
-    /** Puts those who can't be answered in time any more behind their rank's others. */
-    void sortLate(long nowNanos) {
+    /** Moves requests that missed their target behind the other requests of their rank. */
+    void moveLate(long nowNanos) {
         Iterator<QueuedRequest> all = onTime.iterator();
-        List<QueuedRequest> moved = new ArrayList<>();
+        List<QueuedRequest> missed = new ArrayList<>();
         while (all.hasNext()) {
-            QueuedRequest waiter = all.next();
-            if (waiter.targetNanos() < nowNanos) {
+            QueuedRequest queued = all.next();
+            if (queued.targetNanos() < nowNanos) {
                 all.remove();
-                moved.add(waiter);
+                missed.add(queued);
             }
         }
-        late.addAll(moved);
+        late.addAll(missed);
     }
 
-    /** Returns all waiters, the next one first. */
+    /** Returns all queued requests in the order in which they are to be served. */
     List<QueuedRequest> inOrder() {
-        List<QueuedRequest> result = new ArrayList<>(waiters.size());
-        Iterator<QueuedRequest> first = onTime.iterator();
-        Iterator<QueuedRequest> second = late.iterator();
-        QueuedRequest a = next(first);
-        QueuedRequest b = next(second);
-        while (a != null || b != null) {
-            if (b == null || (a != null && a.request().rank() <= b.request().rank())) {
-                result.add(a);
-                a = next(first);
+        List<QueuedRequest> result = new ArrayList<>(queuedByRun.size());
+        Iterator<QueuedRequest> onTimeIterator = onTime.iterator();
+        Iterator<QueuedRequest> lateIterator = late.iterator();
+        QueuedRequest nextOnTime = next(onTimeIterator);
+        QueuedRequest nextLate = next(lateIterator);
+        while (nextOnTime != null || nextLate != null) {
+            if (nextLate == null
+                    || (nextOnTime != null
+                            && nextOnTime.request().rank() <= nextLate.request().rank())) {
+                result.add(nextOnTime);
+                nextOnTime = next(onTimeIterator);
             } else {
-                result.add(b);
-                b = next(second);
+                result.add(nextLate);
+                nextLate = next(lateIterator);
             }
         }
         return result;
     }
 
-    private static QueuedRequest next(Iterator<QueuedRequest> from) {
-        return from.hasNext() ? from.next() : null;
+    private static QueuedRequest next(Iterator<QueuedRequest> iterator) {
+        return iterator.hasNext() ? iterator.next() : null;
     }
 
-    /** Returns how long a server of usual speed is busy with {@code request}, in milliseconds. */
-    double busyMillis(PlacementRequest request) {
+    /**
+     * Returns how long {@code request} occupies a slot of a server of average speed, in
+     * milliseconds.
+     */
+    double expectedRunMillis(PlacementRequest request) {
         if (request.promptTokens() == 0) {
             return speed.plainMillis();
         }
         double events = (double) request.outputTokens() / eventTokens();
-        return speed.firstMillis(request.promptTokens()) + events * speed.eventMillis();
+        return speed.firstEventMillis(request.promptTokens()) + events * speed.eventGapMillis();
     }
 
-    /** Returns the same for those who wait, on average. */
-    double waitersBusyMillis() {
-        return waiters.values().stream()
-                .mapToDouble(waiter -> busyMillis(waiter.request()))
+    /** Returns the mean of {@link #expectedRunMillis} over the queued requests, in milliseconds. */
+    double meanQueuedRunMillis() {
+        return queuedByRun.values().stream()
+                .mapToDouble(queued -> expectedRunMillis(queued.request()))
                 .average()
                 .orElse(0);
     }
 
-    /** A run's first event came; tells the rollout how long it took. */
-    void firstInRollout(ServerState server, RunKey run, long firstMillis) {
-        Running running = server.runs().get(run);
-        if (running != null && running.reading() > 0) {
-            tookInRollout(server, running, firstMillis);
+    /** Records the time to a run's first event in the rollout. */
+    void recordFirstEvent(ServerState server, RunKey run, long firstMillis) {
+        ActiveRun running = server.runs().get(run);
+        if (running != null && running.prefillTokens() > 0) {
+            recordLatency(server, running, firstMillis);
         }
     }
 
-    private void tookInRollout(ServerState server, Running running, long millis) {
+    private void recordLatency(ServerState server, ActiveRun running, long millis) {
         double slowness = millis / speed.expectedMillis(running);
-        rollout().ifPresent(it -> it.took(server.server(), running.request().route(), slowness));
+        rollout()
+                .ifPresent(
+                        active ->
+                                active.recordSlowness(
+                                        server.server(), running.request().route(), slowness));
     }
 
-    /** A run ended; tells the rollout how. */
-    void endInRollout(ServerState server, RunKey run, RunReport report) {
-        Running running = server.runs().get(run);
+    /** Records the outcome of a run in the rollout. */
+    void recordEnd(ServerState server, RunKey run, RunReport report) {
+        ActiveRun running = server.runs().get(run);
         if (running == null) {
             return;
         }
         boolean plain = running.request().promptTokens() == 0;
         if (plain && report.outcome() == RunReport.Outcome.ANSWERED) {
-            tookInRollout(server, running, report.totalMillis());
+            recordLatency(server, running, report.totalMillis());
         }
         rollout()
                 .ifPresent(
-                        it ->
-                                it.ended(
+                        active ->
+                                active.recordEnd(
                                         server.server(),
                                         running.request().route(),
                                         report.outcome()));
     }
 
-    /** Has the rollout, if any is under way, decide. */
-    void decideRollout(long nowNanos) {
+    /** Updates the rollout, if there is one, with the runs under way and lets it decide. */
+    void updateRollout(long nowNanos) {
         if (rollout == null) {
             return;
         }
-        rollout.nobodyWaits();
+        rollout.clearPending();
         int oldRuns = 0;
-        boolean newServers = false;
+        boolean hasNewServers = false;
         for (ServerState server : servers.all()) {
             boolean target = rollout.isTarget(server.server().version());
             oldRuns += target ? 0 : server.running();
-            newServers |= target && !server.isLeaving();
-            tellWaiting(server, nowNanos);
+            hasNewServers |= target && !server.isLeaving();
+            recordPending(server, nowNanos);
         }
-        rollout.decide(nowNanos, oldRuns, newServers);
+        rollout.decide(nowNanos, oldRuns, hasNewServers);
     }
 
-    /** Tells the rollout which requests wait longer for their answers than usual. */
-    private void tellWaiting(ServerState server, long nowNanos) {
-        for (Running run : server.runs().values()) {
+    /** Records runs in the rollout that already took longer than expected without a first event. */
+    private void recordPending(ServerState server, long nowNanos) {
+        for (ActiveRun run : server.runs().values()) {
             double millis = (nowNanos - run.sentNanos()) / NANOS_PER_MILLI;
             double slowness = millis / speed.expectedMillis(run);
-            if (run.waitsForFirst() && slowness > LONG_WAIT) {
-                rollout.waits(server.server(), run.request().route(), slowness);
+            if (run.waitsForFirst() && slowness > SLOW_RUN_FACTOR) {
+                rollout.recordPending(server.server(), run.request().route(), slowness);
             }
         }
     }
 
     private int eventTokens() {
-        return declared().map(Pool::eventTokens).orElse(1);
+        return definition().map(Pool::eventTokens).orElse(1);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/QueuedRequest.java
+++ b/src/main/java/org/orioleshed/dispatch/QueuedRequest.java
@@ -3,21 +3,21 @@
 import java.util.Comparator;
 
 /**
- * A request that waits for a server.
+ * A request that is queued for a server.
  *
- * @param run its key
- * @param request what it needed when it came
- * @param sinceNanos when it came
- * @param order grows with each request
+ * @param run the key of its run
+ * @param request the placement request as of its arrival
+ * @param sinceNanos when it arrived, on the monotonic clock
+ * @param sequence increases with each request
  */
-record QueuedRequest(RunKey run, PlacementRequest request, long sinceNanos, long order) {
+record QueuedRequest(RunKey run, PlacementRequest request, long sinceNanos, long sequence) {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** The more urgent rank first, then the earlier target, then the earlier arrival. */
+    /** Orders by rank, then by target, then by arrival. */
     static final Comparator<QueuedRequest> URGENCY =
-            Comparator.comparingInt((QueuedRequest waiter) -> waiter.request().rank())
+            Comparator.comparingInt((QueuedRequest queued) -> queued.request().rank())
                     .thenComparingLong(QueuedRequest::targetNanos)
-                    .thenComparingLong(QueuedRequest::order);
+                    .thenComparingLong(QueuedRequest::sequence);
 
     long targetNanos() {
         return sinceNanos + request.targetLeftMillis() * NANOS_PER_MILLI;
--- a/src/main/java/org/orioleshed/dispatch/Quotas.java
+++ b/src/main/java/org/orioleshed/dispatch/Quotas.java
@@ -6,18 +6,18 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * What workspaces may still use, as far as one scheduler may give it out. A part of each quota is
- * this scheduler's; the rest belongs to schedulers that it does not see.
+ * The quotas of workspaces, as far as one scheduler may grant them. Each scheduler grants its share
+ * of each quota; the rest belongs to schedulers that it has no contact with.
  */
 public final class Quotas {
-    private static final double KEPT_FOR_EACH_RANK = 0.2;
-    private static final double MAX_KEPT = 0.6;
+    private static final double RESERVED_FRACTION_PER_RANK = 0.2;
+    private static final double MAX_RESERVED_FRACTION = 0.6;
 
     /**
-     * A bucket is filled to this part at first: what was used before this scheduler began is not
-     * known.
+     * The fraction to which a new bucket is filled. The usage before this scheduler started is
+     * unknown.
      */
-    private final double firstFill;
+    private final double initialFill;
 
     private final Slack slack;
     private final Role role;
@@ -26,63 +26,67 @@
     private double share = 1;
 
     /**
-     * What operators tolerate beyond a quota.
+     * The tolerance beyond a quota, set by operators.
      *
-     * @param part a part of the quota, not negative
-     * @param units units beside that, not negative
+     * @param fraction a fraction of the quota, not negative
+     * @param units units in addition to that, not negative
      */
-    public record Slack(double part, double units) {
-        /** Nothing beyond the quota. */
+    public record Slack(double fraction, double units) {
+        /** No tolerance. */
         public static final Slack NONE = new Slack(0, 0);
 
         /** Checks the arguments. */
         public Slack {
-            if (part < 0 || units < 0) {
-                throw new IllegalArgumentException("slack must not be negative");
+            if (fraction < 0 || units < 0) {
+                throw new IllegalArgumentException(
+                        "slack must not be negative, found fraction "
+                                + fraction
+                                + " and units "
+                                + units);
             }
         }
     }
 
-    /** Who gives out quotas. */
+    /** The role of a scheduler in granting quotas. */
     public enum Role {
-        /** The primary of the pools. */
+        /** The scheduler of the primary. */
         PRIMARY(1, 1, 1),
         /**
-         * A host that does not hear the primary. Answers the load pattern of a primary that falls
-         * silent just after it gave out the bursts, or goes on giving out beyond a cut that it has
-         * not noticed: bursts are not given out again, the rate by a third only, and servers that
-         * take few requests are left to the primary.
+         * A host that receives nothing from the primary. The primary may have granted the bursts
+         * just before it stopped responding, or it may still grant quotas across an undetected
+         * network partition. So a fallback grants no bursts, only about a third of the rates, and
+         * nothing on servers with a stated rate limit.
          */
         FALLBACK(0.35, 0, 0);
 
-        private final double ratePart;
-        private final double burstPart;
-        private final double serverRatePart;
+        private final double rateFraction;
+        private final double burstFraction;
+        private final double serverRateFraction;
 
-        Role(double ratePart, double burstPart, double serverRatePart) {
-            this.ratePart = ratePart;
-            this.burstPart = burstPart;
-            this.serverRatePart = serverRatePart;
+        Role(double rateFraction, double burstFraction, double serverRateFraction) {
+            this.rateFraction = rateFraction;
+            this.burstFraction = burstFraction;
+            this.serverRateFraction = serverRateFraction;
         }
 
-        /** Returns the part of the rates that servers name which it gives out. */
-        double serverRatePart() {
-            return serverRatePart;
+        /** Returns the fraction of the rates stated by servers that this role grants. */
+        double serverRateFraction() {
+            return serverRateFraction;
         }
     }
 
-    Quotas(double firstFill, Slack slack, Role role) {
-        this.firstFill = firstFill;
+    Quotas(double initialFill, Slack slack, Role role) {
+        this.initialFill = initialFill;
         this.slack = slack;
         this.role = role;
     }
 
-    void limit(Map<WorkspaceId, Quota> quotas, long nowNanos) {
+    void setLimits(Map<WorkspaceId, Quota> quotas, long nowNanos) {
         limits = quotas;
         apply(nowNanos);
     }
 
-    void share(double newShare, long nowNanos) {
+    void setShare(double newShare, long nowNanos) {
         share = newShare;
         apply(nowNanos);
     }
@@ -92,22 +96,23 @@
         limits.forEach(
                 (workspace, quota) -> {
                     if (!quota.unlimited()) {
-                        limitOne(workspace, quota, nowNanos);
+                        setLimit(workspace, quota, nowNanos);
                     }
                 });
     }
 
-    private void limitOne(WorkspaceId workspace, Quota quota, long nowNanos) {
-        double perSecond = quota.perSecond() * role.ratePart * (1 + slack.part()) * share;
+    private void setLimit(WorkspaceId workspace, Quota quota, long nowNanos) {
+        double perSecond = quota.perSecond() * role.rateFraction * (1 + slack.fraction()) * share;
         double extraUnits = quota.inTokens() ? slack.units() : 0;
-        double ofQuota = quota.burst() * role.burstPart * (1 + slack.part());
-        double burst = Math.max(1, (ofQuota + extraUnits) * share);
+        double quotaBurst = quota.burst() * role.burstFraction * (1 + slack.fraction());
+        double burst = Math.max(1, (quotaBurst + extraUnits) * share);
         TokenBucket bucket = buckets.get(workspace);
         if (bucket == null) {
-            buckets.put(workspace, new TokenBucket(perSecond, burst, burst * firstFill, nowNanos));
+            buckets.put(
+                    workspace, new TokenBucket(perSecond, burst, burst * initialFill, nowNanos));
             return;
         }
-        bucket.limit(perSecond, burst, nowNanos);
+        bucket.setLimit(perSecond, burst, nowNanos);
     }
 
     private Quota quota(WorkspaceId workspace) {
@@ -115,8 +120,8 @@
     }
 
     /**
-     * Gives out nothing more of what has gathered, and returns what that is: for each workspace the
-     * part of its burst, at most 1, and negative for a debt.
+     * Empties the buckets and returns what they held: for each workspace a fraction of its burst,
+     * at most 1, and negative for a debt.
      */
     Map<WorkspaceId, Double> handOver(long nowNanos) {
         Map<WorkspaceId, Double> parts = new HashMap<>();
@@ -124,54 +129,59 @@
         return parts;
     }
 
-    /** Goes on with what another scheduler has handed over, in place of the first fill. */
+    /** Replaces the initial fill by what another scheduler has handed over. */
     void takeOver(Map<WorkspaceId, Double> parts) {
         parts.forEach(
-                (workspace, part) -> {
+                (workspace, fraction) -> {
                     TokenBucket bucket = buckets.get(workspace);
                     if (bucket != null) {
-                        bucket.addPart(part - firstFill);
+                        bucket.addFraction(fraction - initialFill);
                     }
                 });
     }
 
-    /** Takes units; false when too few are left. */
-    boolean take(PlacementRequest request, long nowNanos) {
+    /** Takes the units of {@code request}; returns false if too few are left. */
+    boolean tryTake(PlacementRequest request, long nowNanos) {
         return request.workspace()
                 .map(buckets::get)
-                .map(bucket -> bucket.take(request.quotaUnits(), kept(request), nowNanos))
+                .map(
+                        bucket ->
+                                bucket.tryTake(
+                                        request.quotaUnits(), reservedFraction(request), nowNanos))
                 .orElse(true);
     }
 
     /**
-     * Returns the part of a burst that a call leaves to more urgent ones of its workspace. Answers
-     * the load pattern of a workspace beyond its quota, whose patient calls used up what its urgent
-     * ones needed. A plain call uses next to nothing.
+     * Returns the fraction of a burst that a request must leave to more urgent ones of its
+     * workspace. Otherwise the less urgent requests of a workspace at its quota use up what its
+     * urgent ones need. Plain calls use very little and leave nothing.
      */
-    private static double kept(PlacementRequest request) {
+    private static double reservedFraction(PlacementRequest request) {
         boolean plain = request.promptTokens() == 0;
-        return plain ? 0 : Math.min(MAX_KEPT, KEPT_FOR_EACH_RANK * request.routeRank());
+        return plain
+                ? 0
+                : Math.min(MAX_RESERVED_FRACTION, RESERVED_FRACTION_PER_RANK * request.routeRank());
     }
 
-    /** Takes units of a request that another scheduler placed, whether or not they are there. */
+    /** Charges a request that another scheduler placed, even beyond what is left. */
     void charge(PlacementRequest request) {
         request.workspace()
                 .map(buckets::get)
-                .ifPresent(bucket -> bucket.giveBack(-request.quotaUnits()));
+                .ifPresent(bucket -> bucket.refund(-request.quotaUnits()));
     }
 
-    /** Gives back what a request that never ran had taken. */
-    void giveBack(PlacementRequest request) {
+    /** Puts back the units of a request that never ran. */
+    void refund(PlacementRequest request) {
         request.workspace()
                 .map(buckets::get)
-                .ifPresent(bucket -> bucket.giveBack(request.quotaUnits()));
+                .ifPresent(bucket -> bucket.refund(request.quotaUnits()));
     }
 
-    /** Returns when the units of {@code request} can be taken, in milliseconds from now. */
+    /** Returns the time until the units of {@code request} can be taken, in milliseconds. */
     long millisUntil(PlacementRequest request) {
         return request.workspace()
                 .map(buckets::get)
-                .map(bucket -> bucket.millisUntil(request.quotaUnits(), kept(request)))
+                .map(bucket -> bucket.millisUntil(request.quotaUnits(), reservedFraction(request)))
                 .orElse(0L);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/ReportCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/ReportCodec.java
@@ -10,7 +10,7 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.wire.DispatchWire.Dispatch;
 
-/** Writes what hosts tell a primary that begins as protobuf. */
+/** Encodes the reports of hosts to a new primary as protobuf. */
 final class ReportCodec {
     private ReportCodec() {}
 
@@ -31,8 +31,8 @@
 
     static DispatchEvent.CrashesReported readCrashes(Dispatch wire) {
         Map<Long, Integer> crashes = new HashMap<>();
-        for (Dispatch.Crashes one : wire.getCrashesList()) {
-            crashes.put(one.getContent(), one.getCount());
+        for (Dispatch.Crashes entry : wire.getCrashesList()) {
+            crashes.put(entry.getContent(), entry.getCount());
         }
         return new DispatchEvent.CrashesReported(new HostId(wire.getOrigin()), crashes);
     }
--- a/src/main/java/org/orioleshed/dispatch/RolloutEvidence.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutEvidence.java
@@ -9,19 +9,19 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * What the answers of old and new servers showed in a rollout, by server and route. Evidence of
- * several hosts adds up.
+ * The outcomes and times of runs on servers of the old and new version in a rollout, by server and
+ * route. Evidence of several hosts can be added.
  */
 final class RolloutEvidence {
-    private static final double LEAST_SLOWNESS = 0.05;
-    private static final double MOST_SLOWNESS = 20;
+    private static final double MIN_SLOWNESS = 0.05;
+    private static final double MAX_SLOWNESS = 20;
 
     private final Map<Key, Tally> tallies = new HashMap<>();
 
-    /** A server's part in one route. */
+    /** A server and a route. */
     record Key(ServerId server, RouteId route, boolean isNew) {}
 
-    /** What one server's answers on one route showed. */
+    /** The evidence of one server on one route. */
     static final class Tally {
         private int sent;
         private int answers;
@@ -47,12 +47,12 @@
             return logSum;
         }
 
-        /** Returns the sum of the squares of these logarithms about their mean. */
-        double logDeviations() {
+        /** Returns the sum of squared deviations of these logarithms from their mean. */
+        double squaredDeviations() {
             return samples == 0 ? 0 : Math.max(0, logSquares - logSum * logSum / samples);
         }
 
-        private RolloutTally toTell(Key key) {
+        private RolloutTally toTally(Key key) {
             return new RolloutTally(
                     key.server(),
                     key.route(),
@@ -65,13 +65,13 @@
                     logSquares);
         }
 
-        private void add(RolloutTally told) {
-            sent += told.sent();
-            answers += told.answers();
-            faults += told.faults();
-            samples += told.samples();
-            logSum += told.logSum();
-            logSquares += told.logSquares();
+        private void add(RolloutTally reported) {
+            sent += reported.sent();
+            answers += reported.answers();
+            faults += reported.faults();
+            samples += reported.samples();
+            logSum += reported.logSum();
+            logSquares += reported.logSquares();
         }
 
         private void add(Tally other) {
@@ -88,30 +88,33 @@
         return tallies.computeIfAbsent(key, unused -> new Tally());
     }
 
-    void sent(Key key) {
+    void recordSent(Key key) {
         tally(key).sent++;
     }
 
-    void answered(Key key, boolean fault) {
+    void recordEnd(Key key, boolean fault) {
         Tally tally = tally(key);
         tally.answers++;
         tally.faults += fault ? 1 : 0;
     }
 
     /**
-     * Notes how long an answer took.
+     * Records how long an answer took.
      *
-     * @param slowness its time against what is usual in the pool; positive
+     * @param slowness its time relative to the expected time in the pool; positive
      */
-    void took(Key key, double slowness) {
-        double log = Math.log(Math.clamp(slowness, LEAST_SLOWNESS, MOST_SLOWNESS));
+    void recordSlowness(Key key, double slowness) {
+        double log = Math.log(Math.clamp(slowness, MIN_SLOWNESS, MAX_SLOWNESS));
         Tally tally = tally(key);
         tally.samples++;
         tally.logSum += log;
         tally.logSquares += log * log;
     }
 
-    /** Returns this and other evidence together; it must not change any more. */
+    /**
+     * Returns the sum of this and other evidence. The result may share state with this evidence and
+     * must not be changed.
+     */
     RolloutEvidence plus(RolloutEvidence other) {
         if (other.tallies.isEmpty()) {
             return this;
@@ -122,7 +125,7 @@
         return sum;
     }
 
-    /** Returns what came since an earlier state of this evidence. */
+    /** Returns the evidence added since an earlier copy of this evidence. */
     RolloutEvidence since(RolloutEvidence earlier) {
         RolloutEvidence later = new RolloutEvidence();
         tallies.forEach(
@@ -144,7 +147,10 @@
         return new RolloutEvidence().plus(this);
     }
 
-    /** Returns the evidence of each route; it must not change any more. */
+    /**
+     * Returns the evidence of each route. The results share state with this evidence and must not
+     * be changed.
+     */
     Collection<RolloutEvidence> byRoute() {
         Map<RouteId, RolloutEvidence> parts = new HashMap<>();
         tallies.forEach(
@@ -159,38 +165,38 @@
         return tallies;
     }
 
-    int sent(boolean ofNew) {
-        return sum(ofNew, tally -> tally.sent);
+    int sent(boolean isNew) {
+        return sum(isNew, tally -> tally.sent);
     }
 
-    int answers(boolean ofNew) {
-        return sum(ofNew, tally -> tally.answers);
+    int answers(boolean isNew) {
+        return sum(isNew, tally -> tally.answers);
     }
 
-    int faults(boolean ofNew) {
-        return sum(ofNew, tally -> tally.faults);
+    int faults(boolean isNew) {
+        return sum(isNew, tally -> tally.faults);
     }
 
-    private int sum(boolean ofNew, ToIntFunction<Tally> count) {
+    private int sum(boolean isNew, ToIntFunction<Tally> count) {
         return tallies.entrySet().stream()
-                .filter(entry -> entry.getKey().isNew() == ofNew)
+                .filter(entry -> entry.getKey().isNew() == isNew)
                 .mapToInt(entry -> count.applyAsInt(entry.getValue()))
                 .sum();
     }
 
-    /** Returns all of it, for another host. */
-    List<RolloutTally> toTell() {
+    /** Returns the tallies of all servers and routes, for another host. */
+    List<RolloutTally> toTallies() {
         return tallies.entrySet().stream()
-                .map(entry -> entry.getValue().toTell(entry.getKey()))
+                .map(entry -> entry.getValue().toTally(entry.getKey()))
                 .toList();
     }
 
-    /** Returns the evidence that another host told. */
-    static RolloutEvidence of(List<RolloutTally> told) {
+    /** Returns the evidence that another host reported. */
+    static RolloutEvidence of(List<RolloutTally> reported) {
         RolloutEvidence evidence = new RolloutEvidence();
-        for (RolloutTally one : told) {
-            Key key = new Key(one.server(), one.route(), one.isNew());
-            evidence.tally(key).add(one);
+        for (RolloutTally tally : reported) {
+            Key key = new Key(tally.server(), tally.route(), tally.isNew());
+            evidence.tally(key).add(tally);
         }
         return evidence;
     }
--- a/src/main/java/org/orioleshed/dispatch/RolloutPolicy.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutPolicy.java
@@ -1,19 +1,23 @@
 package org.orioleshed.dispatch;
 
 /**
- * What a bad version may cost.
+ * The bounds on the requests that a version may get before it is proved.
  *
- * @param share the part of a pool's requests that it may get, from 0 to 1
- * @param slack requests that it may get beside that
+ * @param share the fraction of a pool's requests, from 0 to 1
+ * @param slack the number of requests in addition to that, not negative
  */
 public record RolloutPolicy(double share, double slack) {
-    /** What holds where nothing is said. */
+    /** The default bounds. */
     public static final RolloutPolicy DEFAULT = new RolloutPolicy(0.1, 50);
 
     /** Checks the arguments. */
     public RolloutPolicy {
         if (share < 0 || share > 1 || slack < 0) {
-            throw new IllegalArgumentException("share must be a part, and slack not negative");
+            throw new IllegalArgumentException(
+                    "share must be from 0 to 1 and slack not negative, found share "
+                            + share
+                            + " and slack "
+                            + slack);
         }
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/RolloutTally.java
+++ b/src/main/java/org/orioleshed/dispatch/RolloutTally.java
@@ -4,17 +4,17 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * What a host saw of one server's answers on one route in a rollout, as hosts tell it to a new
+ * The evidence that a host observed of one server on one route in a rollout, as reported to a new
  * primary.
  *
  * @param server the server
  * @param route the route
- * @param isNew whether the server is of the new version
- * @param sent requests that were sent
- * @param answers how many of them ended
- * @param faults how many of these failed
- * @param samples times that were measured
- * @param logSum the sum of the logarithms of these times against what is usual
+ * @param isNew whether the server runs the new version
+ * @param sent the number of requests sent
+ * @param answers the number of runs that ended
+ * @param faults the number of these that failed
+ * @param samples the number of measured times
+ * @param logSum the sum of the logarithms of these times relative to the expected time
  * @param logSquares the sum of the squares of these logarithms
  */
 public record RolloutTally(
@@ -29,9 +29,10 @@
         double logSquares) {
     /** Checks the counts. */
     public RolloutTally {
-        boolean counts = sent >= 0 && answers >= faults && faults >= 0 && samples >= 0;
-        if (!counts || !Double.isFinite(logSum) || !Double.isFinite(logSquares)) {
-            throw new IllegalArgumentException("no tally: " + server);
+        boolean validCounts = sent >= 0 && answers >= faults && faults >= 0 && samples >= 0;
+        if (!validCounts || !Double.isFinite(logSum) || !Double.isFinite(logSquares)) {
+            throw new IllegalArgumentException(
+                    "invalid counts or sums in the tally of server " + server);
         }
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/RunKey.java
+++ b/src/main/java/org/orioleshed/dispatch/RunKey.java
@@ -3,10 +3,10 @@
 import org.orioleshed.model.HostId;
 
 /**
- * Names one placement of a request: each time that it needs a server it gets a new key.
+ * Identifies one placement of a request; each further attempt gets a new key.
  *
  * @param origin the host that accepted the request
- * @param number unique at that host over its starts
+ * @param number unique at that host, also across its restarts
  */
 public record RunKey(HostId origin, long number) {
     @Override
--- a/src/main/java/org/orioleshed/dispatch/RunReport.java
+++ b/src/main/java/org/orioleshed/dispatch/RunReport.java
@@ -1,43 +1,43 @@
 package org.orioleshed.dispatch;
 
 /**
- * How a run at a server ended.
+ * How a run on a server ended.
  *
- * @param outcome what came of it
- * @param events the events of its stream; 0 for a plain service
- * @param firstMillis the time to the first event or to the answer, in milliseconds; 0 where none
- *     came
- * @param totalMillis the whole time at the server, in milliseconds
- * @param limit what the answer says of how many requests its server takes; unknown where that was
- *     told with its first event
+ * @param outcome the outcome
+ * @param events the number of events in its stream; 0 for a plain service
+ * @param firstMillis the time to the first event or to the answer, in milliseconds; 0 if there was
+ *     none
+ * @param totalMillis the total time on the server, in milliseconds
+ * @param limit the rate limit that the server stated in its answer; unknown if it was reported with
+ *     the first event already
  */
 public record RunReport(
         Outcome outcome, int events, long firstMillis, long totalMillis, StatedLimit limit) {
-    /** Makes one that says nothing of the server's limit. */
+    /** Makes a report without a stated rate limit. */
     public RunReport(Outcome outcome, int events, long firstMillis, long totalMillis) {
         this(outcome, events, firstMillis, totalMillis, StatedLimit.UNKNOWN);
     }
 
-    /** What came of a run. */
+    /** The outcome of a run. */
     public enum Outcome {
-        /** Its caller left, or it was never sent. */
+        /** The caller disconnected, or the run was never sent. */
         CANCELLED,
-        /** A whole answer. */
+        /** A complete answer. */
         ANSWERED,
-        /** A whole answer that reports a failure of the server. */
+        /** A complete answer that reports a server error. */
         FAILED,
-        /** The server stated that it did not run it. */
+        /** The server stated that it did not run the request. */
         REJECTED,
         /** No connection to the server. */
         UNREACHABLE,
-        /** The answer broke off, or was none. */
+        /** The answer was incomplete or invalid. */
         BROKEN,
-        /** No answer in time. */
+        /** No answer within the time limit. */
         TIMED_OUT,
-        /** Another server has the address. */
+        /** The address belongs to another server. */
         MISDIRECTED;
 
-        /** Returns whether it speaks against the server. */
+        /** Returns whether the outcome counts as a fault of the server. */
         boolean isFault() {
             return switch (this) {
                 case FAILED, UNREACHABLE, BROKEN, TIMED_OUT -> true;
--- a/src/main/java/org/orioleshed/dispatch/Scheduler.java
+++ b/src/main/java/org/orioleshed/dispatch/Scheduler.java
@@ -18,26 +18,29 @@
 import org.orioleshed.model.StateMachine;
 
 /**
- * The primary of pools: one queue for each pool, ordered by urgency, before servers that get no
- * more at once than they can run. Everything that hosts see of the servers comes here, so no two
- * requests are sent to the same idle place.
+ * Schedules the requests of all pools on the primary. Each pool has one queue ordered by urgency,
+ * and its servers get no more requests at once than they can run. All hosts report their runs here,
+ * so no two requests are sent to the same free slot.
  */
 public final class Scheduler implements StateMachine<DispatchEvent, DispatchAction> {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** When no server of a pool is known, one may come within this time. */
+    /** The retry time when a pool has no server; a server may register within this time. */
     private static final long NO_SERVER_RETRY_MILLIS = 700;
 
-    /** Waiters behind one that no server may take are looked at up to this many. */
-    private static final int LOOK_AHEAD = 32;
+    /**
+     * The number of queued requests without an eligible server after which the rest of the queue is
+     * not tried.
+     */
+    private static final int MAX_SKIPPED = 32;
 
-    /** A run of which nothing was heard for this long after its deadline is forgotten. */
-    private static final long FORGET_MILLIS = 1_500;
+    /** A run whose end was not reported this long after its deadline is removed. */
+    private static final long OVERDUE_GRACE_MILLIS = 1_500;
 
-    /** Hosts tell a primary that begins what they know within this time. */
+    /** The time after the start of a primary in which reports of other hosts count. */
     private static final long REPORT_WINDOW_NANOS = 2_000 * NANOS_PER_MILLI;
 
-    private static final long FORGET_PERIOD_NANOS = 200 * NANOS_PER_MILLI;
+    private static final long OVERDUE_CHECK_PERIOD_NANOS = 200 * NANOS_PER_MILLI;
 
     private final Map<ServiceId, PoolState> pools = new HashMap<>();
     private final Map<RunKey, ServerState> runs = new HashMap<>();
@@ -47,75 +50,80 @@
     private final ServerRates rates;
     private final RolloutPolicy rolloutPolicy;
     private List<DispatchAction> actions = new ArrayList<>();
-    private double placeShare = 1;
-    private long order;
+    private double slotShare = 1;
+    private long nextSequence;
     private long nowNanos;
-    private long beganNanos;
-    private boolean began;
-    private long forgotNanos = Long.MIN_VALUE / 2;
+    private long startedNanos;
+    private boolean started;
+    private long overdueCheckedNanos = Long.MIN_VALUE / 2;
 
     /**
-     * Makes a scheduler without servers.
+     * Creates a scheduler without servers.
      *
-     * @param firstFill the part of each quota that may be used at once, from 0 to 1
-     * @param slack what may be used beyond quotas
-     * @param role whether it gives out quotas as the primary or in its place
-     * @param rolloutPolicy what a bad version may cost
+     * @param initialFill the fraction of each quota's burst that is available initially, from 0 to
+     *     1
+     * @param slack the tolerance beyond quotas
+     * @param role whether it grants quotas as the primary or as a fallback
+     * @param rolloutPolicy the bounds on the requests to a version that is not proved
      */
     public Scheduler(
-            double firstFill, Quotas.Slack slack, Quotas.Role role, RolloutPolicy rolloutPolicy) {
+            double initialFill, Quotas.Slack slack, Quotas.Role role, RolloutPolicy rolloutPolicy) {
         this.rolloutPolicy = rolloutPolicy;
-        this.quotas = new Quotas(firstFill, slack, role);
+        this.quotas = new Quotas(initialFill, slack, role);
         this.rates = new ServerRates(role);
     }
 
     @Override
     public List<DispatchAction> on(long now, DispatchEvent event) {
         nowNanos = now;
-        if (!began) {
-            began = true;
-            beganNanos = now;
+        if (!started) {
+            started = true;
+            startedNanos = now;
         }
         actions = new ArrayList<>();
         switch (event) {
             case DispatchEvent.PlacementRequested requested ->
                     admit(requested.run(), requested.request());
             case DispatchEvent.Withdrawn withdrawn -> withdraw(withdrawn.run());
-            case DispatchEvent.Placed placed -> placed(placed);
-            case DispatchEvent.First first -> first(first);
+            case DispatchEvent.Placed placed -> recordPlaced(placed);
+            case DispatchEvent.First first -> recordFirstEvent(first);
             case DispatchEvent.Ended ended -> end(ended.run(), ended.report());
             case DispatchEvent.CrashesReported reported -> applyReport(reported);
             case DispatchEvent.RolloutReported reported -> applyReport(reported);
-            case DispatchEvent.HostGone gone -> forget(gone.host());
-            case DispatchEvent.ServersChanged changed -> take(changed.servers());
-            case DispatchEvent.ServerLeaving leaving -> leave(leaving);
+            case DispatchEvent.HostGone gone -> removeHost(gone.host());
+            case DispatchEvent.ServersChanged changed -> updateServers(changed.servers());
+            case DispatchEvent.ServerLeaving leaving -> markLeaving(leaving);
             case DispatchEvent.ServerLimited limited ->
-                    rates.reported(
+                    rates.recordReported(
                             limited.server(),
                             limited.startMillis(),
                             limited.limit().perSecond(),
                             nowNanos);
-            case DispatchEvent.LimitsChanged changed -> limit(changed);
-            case DispatchEvent.ShareChanged changed -> share(changed);
+            case DispatchEvent.LimitsChanged changed -> updateLimits(changed);
+            case DispatchEvent.ShareChanged changed -> updateShare(changed);
             case DispatchEvent.QuotasHanded handed -> quotas.takeOver(handed.parts());
-            case DispatchEvent.RolloutOrdered ordered -> order(ordered);
-            case DispatchEvent.RolloutSettled settled -> settle(settled);
+            case DispatchEvent.RolloutOrdered ordered -> startRollout(ordered);
+            case DispatchEvent.RolloutSettled settled -> settleRollout(settled);
             case DispatchEvent.Tick tick -> tick();
         }
         return actions;
     }
 
-    /** Stops giving out what has gathered of quotas, and returns that for the next scheduler. */
+    /**
+     * Stops granting the accrued quotas and returns them for the next scheduler.
+     *
+     * @param now the current time on the monotonic clock, in nanoseconds
+     */
     public DispatchEvent.QuotasHanded handOverQuotas(long now) {
         return new DispatchEvent.QuotasHanded(quotas.handOver(now));
     }
 
-    /** Returns how many requests wait, over all pools. */
+    /** Returns the number of queued requests over all pools. */
     public int waiting() {
         return pools.values().stream().mapToInt(PoolState::waiting).sum();
     }
 
-    /** Returns how many runs are known, over all pools. */
+    /** Returns the number of runs under way over all pools. */
     public int running() {
         return runs.size();
     }
@@ -126,53 +134,56 @@
 
     private void admit(RunKey run, PlacementRequest request) {
         PoolState pool = pool(request.service());
-        if (repeats(run, pool)) {
+        if (repeatDecision(run, pool)) {
             return;
         }
-        if (crashes.isHeld(request.content(), nowNanos)) {
+        if (crashes.isQuarantined(request.content(), nowNanos)) {
             refuse(run, request, Reason.HELD, (double) request.deadlineLeftMillis());
             return;
         }
-        if (!quotas.take(request, nowNanos)) {
+        if (!quotas.tryTake(request, nowNanos)) {
             refuse(run, request, Reason.QUOTA, (double) quotas.millisUntil(request));
             return;
         }
         if (request.excluded().containsAll(pool.servers().ids())) {
-            turnAway(run, request, Reason.NO_SERVER, (double) NO_SERVER_RETRY_MILLIS);
+            refundAndRefuse(run, request, Reason.NO_SERVER, (double) NO_SERVER_RETRY_MILLIS);
             return;
         }
-        Placement placement = new Placement(pool, rates, placeShare, nowNanos);
+        Placement placement = new Placement(pool, rates, slotShare, nowNanos);
         if (isNext(pool, request) && grant(pool, placement, run, request)) {
             return;
         }
-        double places = placement.usablePlaces(pool.busyMillis(request));
-        AdmissionRule admission = new AdmissionRule(pool, places, nowNanos);
-        if (!admission.mayWait(request)) {
-            turnAway(run, request, Reason.OVERLOAD, admission.waitMillis(request.rank()));
+        double slots = placement.usableSlots(pool.expectedRunMillis(request));
+        AdmissionRule admission = new AdmissionRule(pool, slots, nowNanos);
+        if (!admission.mayQueue(request)) {
+            refundAndRefuse(run, request, Reason.OVERLOAD, admission.waitMillis(request.rank()));
             return;
         }
-        pool.add(new QueuedRequest(run, request, nowNanos, order++));
+        pool.add(new QueuedRequest(run, request, nowNanos, nextSequence++));
         actions.add(new DispatchAction.Queued(run));
     }
 
-    /** Answers a repeated request again, since the first answer may be lost. */
-    private boolean repeats(RunKey run, PoolState pool) {
+    /**
+     * Repeats the decision on a repeated request, since the first message may be lost; returns
+     * whether there was one.
+     */
+    private boolean repeatDecision(RunKey run, PoolState pool) {
         ServerState server = runs.get(run);
         if (server != null) {
             actions.add(new DispatchAction.Grant(run, server.server().id(), "again"));
             return true;
         }
-        if (pool.isWaiting(run)) {
+        if (pool.isQueued(run)) {
             actions.add(new DispatchAction.Queued(run));
             return true;
         }
         return false;
     }
 
-    /** Returns whether nobody of the same or a more urgent rank waits. */
+    /** Returns whether no request of the same or a more urgent rank is queued. */
     private static boolean isNext(PoolState pool, PlacementRequest request) {
-        return pool.waiters().stream()
-                .noneMatch(waiter -> waiter.request().rank() <= request.rank());
+        return pool.queuedRequests().stream()
+                .noneMatch(queued -> queued.request().rank() <= request.rank());
     }
 
     private boolean grant(
@@ -182,7 +193,7 @@
             return false;
         }
         ServerState server = chosen.get();
-        String why =
+        String inputs =
                 "running=%d pending_tokens=%d score_ms=%.0f faults=%.2f waiting=%d"
                         .formatted(
                                 server.running(),
@@ -190,50 +201,51 @@
                                 placement.score(server, request),
                                 server.faultRate(nowNanos),
                                 pool.waiting());
-        String limit =
+        String limitInput =
                 rates.of(server.server())
                         .map(rate -> " limit_per_second=%.2f".formatted(rate.perSecond()))
                         .orElse("");
         start(server, run, request);
-        actions.add(new DispatchAction.Grant(run, server.server().id(), why + limit));
+        actions.add(new DispatchAction.Grant(run, server.server().id(), inputs + limitInput));
         return true;
     }
 
     private void start(ServerState server, RunKey run, PlacementRequest request) {
         boolean engine = request.promptTokens() > 0;
-        long reading = engine ? server.pendingTokens() + request.promptTokens() : 0;
-        server.start(run, new Running(request, nowNanos, reading, true));
+        long prefillTokens = engine ? server.pendingTokens() + request.promptTokens() : 0;
+        server.start(run, new ActiveRun(request, nowNanos, prefillTokens, true));
         runs.put(run, server);
-        rates.of(server.server()).ifPresent(rate -> rate.sent(nowNanos));
+        rates.of(server.server()).ifPresent(rate -> rate.recordSent(nowNanos));
         PoolState pool = pool(request.service());
-        pool.load().add(request.rank(), pool.busyMillis(request), nowNanos);
-        pool.rollout().ifPresent(rollout -> rollout.sent(server.server(), request.route()));
+        pool.load().add(request.rank(), pool.expectedRunMillis(request), nowNanos);
+        pool.rollout().ifPresent(rollout -> rollout.recordSent(server.server(), request.route()));
     }
 
-    /** Refuses what had taken of its quota. */
-    private void turnAway(
-            RunKey run, PlacementRequest request, Reason reason, double betterMillis) {
-        quotas.giveBack(request);
-        refuse(run, request, reason, betterMillis);
+    /** Refuses a request after refunding its quota. */
+    private void refundAndRefuse(
+            RunKey run, PlacementRequest request, Reason reason, double expectedMillis) {
+        quotas.refund(request);
+        refuse(run, request, reason, expectedMillis);
     }
 
-    private void refuse(RunKey run, PlacementRequest request, Reason reason, double betterMillis) {
-        long retryAfterMillis = AdmissionRule.retryAfterMillis(request, betterMillis);
+    private void refuse(
+            RunKey run, PlacementRequest request, Reason reason, double expectedMillis) {
+        long retryAfterMillis = AdmissionRule.retryAfterMillis(request, expectedMillis);
         actions.add(new DispatchAction.Refuse(run, reason, retryAfterMillis));
     }
 
     private void withdraw(RunKey run) {
         for (PoolState pool : pools.values()) {
-            Optional<QueuedRequest> waiter = pool.remove(run);
-            if (waiter.isPresent()) {
-                quotas.giveBack(waiter.get().request());
+            Optional<QueuedRequest> queued = pool.remove(run);
+            if (queued.isPresent()) {
+                quotas.refund(queued.get().request());
                 return;
             }
         }
         end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
     }
 
-    private void placed(DispatchEvent.Placed placed) {
+    private void recordPlaced(DispatchEvent.Placed placed) {
         PoolState pool = pool(placed.request().service());
         pool.remove(placed.run());
         if (runs.containsKey(placed.run())) {
@@ -245,21 +257,21 @@
                 .ifPresent(server -> start(server, placed.run(), placed.request()));
     }
 
-    private void first(DispatchEvent.First first) {
+    private void recordFirstEvent(DispatchEvent.First first) {
         ServerState server = runs.get(first.run());
         if (server == null) {
             return;
         }
-        stated(server, first.run(), first.limit());
+        recordLimit(server, first.run(), first.limit());
         PoolState pool = pool(server.server().service());
-        pool.firstInRollout(server, first.run(), first.firstMillis());
-        server.first(first.run(), first.firstMillis(), pool.speed(), nowNanos);
+        pool.recordFirstEvent(server, first.run(), first.firstMillis());
+        server.recordFirstEvent(first.run(), first.firstMillis(), pool.speed(), nowNanos);
     }
 
-    private void stated(ServerState server, RunKey run, StatedLimit limit) {
-        Running running = server.runs().get(run);
+    private void recordLimit(ServerState server, RunKey run, StatedLimit limit) {
+        ActiveRun running = server.runs().get(run);
         if (running != null) {
-            rates.stated(server.server(), limit, running.sentNanos(), nowNanos);
+            rates.recordStated(server.server(), limit, running.sentNanos(), nowNanos);
         }
     }
 
@@ -269,108 +281,107 @@
             return;
         }
         PoolState pool = pool(server.server().service());
-        stated(server, run, report.limit());
-        watchCrashes(server, run, report.outcome());
-        pool.endInRollout(server, run, report);
+        recordLimit(server, run, report.limit());
+        trackCrash(server, run, report.outcome());
+        pool.recordEnd(server, run, report);
         server.end(run, report, pool.speed(), nowNanos);
-        serve(pool);
+        serveQueue(pool);
     }
 
-    private void watchCrashes(ServerState server, RunKey run, RunReport.Outcome outcome) {
-        Running running = server.runs().get(run);
+    private void trackCrash(ServerState server, RunKey run, RunReport.Outcome outcome) {
+        ActiveRun running = server.runs().get(run);
         if (running == null) {
             return;
         }
         ServerId id = server.server().id();
         long content = running.request().content();
         switch (outcome) {
-            case BROKEN -> crashes.broke(id, content, nowNanos);
-            case UNREACHABLE -> crashes.missed(id, nowNanos);
-            case ANSWERED -> crashes.answered(content, nowNanos);
+            case BROKEN -> crashes.runBroke(id, content, nowNanos);
+            case UNREACHABLE -> crashes.serverLost(id, nowNanos);
+            case ANSWERED -> crashes.runAnswered(content, nowNanos);
             case CANCELLED, FAILED, REJECTED, TIMED_OUT, MISDIRECTED -> {}
         }
     }
 
-    private void forget(HostId host) {
+    private void removeHost(HostId host) {
         List<RunKey> gone =
                 runs.keySet().stream().filter(run -> run.origin().equals(host)).toList();
         for (RunKey run : gone) {
             end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
         }
         for (PoolState pool : pools.values()) {
-            List<QueuedRequest> waiters =
-                    pool.waiters().stream()
-                            .filter(waiter -> waiter.run().origin().equals(host))
+            List<QueuedRequest> ofHost =
+                    pool.queuedRequests().stream()
+                            .filter(queued -> queued.run().origin().equals(host))
                             .toList();
-            waiters.forEach(waiter -> pool.remove(waiter.run()));
+            ofHost.forEach(queued -> pool.remove(queued.run()));
         }
     }
 
-    private void take(List<PoolServer> servers) {
+    private void updateServers(List<PoolServer> servers) {
         Set<ServerId> present = new HashSet<>();
         for (PoolServer server : servers) {
             present.add(server.id());
-            put(server);
+            updateServer(server);
         }
         for (PoolState pool : pools.values()) {
-            pool.servers().retain(present).forEach(server -> crashes.missed(server, nowNanos));
+            pool.servers().retain(present).forEach(server -> crashes.serverLost(server, nowNanos));
         }
-        pools.values().forEach(this::serve);
+        pools.values().forEach(this::serveQueue);
     }
 
-    private void leave(DispatchEvent.ServerLeaving leaving) {
+    private void markLeaving(DispatchEvent.ServerLeaving leaving) {
         for (PoolState pool : pools.values()) {
             pool.servers()
                     .get(leaving.server())
                     .filter(server -> server.server().startMillis() == leaving.startMillis())
-                    .ifPresent(ServerState::leave);
+                    .ifPresent(ServerState::markLeaving);
         }
     }
 
-    private void put(PoolServer server) {
+    private void updateServer(PoolServer server) {
         PoolState pool = pool(server.service());
         for (PoolState other : pools.values()) {
             if (other != pool) {
-                other.servers().forget(server.id());
+                other.servers().remove(server.id());
             }
         }
         if (pool.servers().put(server, nowNanos)) {
-            crashes.missed(server.id(), nowNanos);
+            crashes.serverLost(server.id(), nowNanos);
         }
     }
 
-    private void limit(DispatchEvent.LimitsChanged changed) {
-        changed.pools().forEach((service, pool) -> pool(service).declare(pool));
-        quotas.limit(changed.quotas(), nowNanos);
+    private void updateLimits(DispatchEvent.LimitsChanged changed) {
+        changed.pools().forEach((service, pool) -> pool(service).define(pool));
+        quotas.setLimits(changed.quotas(), nowNanos);
     }
 
-    private void share(DispatchEvent.ShareChanged changed) {
-        placeShare = changed.places();
-        quotas.share(changed.quota(), nowNanos);
-        rates.share(changed.quota(), nowNanos);
+    private void updateShare(DispatchEvent.ShareChanged changed) {
+        slotShare = changed.slots();
+        quotas.setShare(changed.quota(), nowNanos);
+        rates.setShare(changed.quota(), nowNanos);
     }
 
-    private void order(DispatchEvent.RolloutOrdered ordered) {
+    private void startRollout(DispatchEvent.RolloutOrdered ordered) {
         PoolState pool = pool(ordered.order().service());
-        boolean known =
+        boolean alreadyOrdered =
                 pool.rollout()
                         .map(rollout -> rollout.order().equals(ordered.order()))
                         .orElse(false);
-        if (!known) {
-            RolloutPolicy allowed =
-                    ordered.evidenceHere() ? rolloutPolicy : new RolloutPolicy(0, 0);
-            pool.rollout(new VersionRollout(ordered.order(), allowed, ordered.seenNanos()));
+        if (!alreadyOrdered) {
+            RolloutPolicy policy = ordered.evidenceHere() ? rolloutPolicy : new RolloutPolicy(0, 0);
+            pool.setRollout(new VersionRollout(ordered.order(), policy, ordered.observedNanos()));
         }
     }
 
-    private void settle(DispatchEvent.RolloutSettled settled) {
+    private void settleRollout(DispatchEvent.RolloutSettled settled) {
         pool(settled.order().service())
                 .rollout()
                 .filter(rollout -> rollout.order().equals(settled.order()))
                 .ifPresent(rollout -> rollout.settle(settled.outcome()));
     }
 
-    /** Returns the rollouts under way and those decided, with their outcomes so far. */
+    /** Returns the most recent rollout of each pool, with its outcome so far. */
     public List<RolloutView> rollouts() {
         return pools.values().stream()
                 .flatMap(pool -> pool.rollout().stream())
@@ -385,27 +396,28 @@
     }
 
     /**
-     * A rollout.
+     * The state of a rollout.
      *
      * @param order the order
-     * @param outcome its outcome so far
-     * @param step which step of its share the new version has reached; -1 until it is proved
-     * @param evidence says what speaks for it, for the log
+     * @param outcome the outcome so far
+     * @param step the traffic step that the new version has reached; -1 until it is proved
+     * @param evidence formats the evidence for the log
      */
     public record RolloutView(
             RolloutOrder order, RolloutOutcome outcome, int step, Supplier<String> evidence) {}
 
     /**
-     * Returns what this scheduler saw itself and the next primary can't know: crashes by content,
+     * Returns the observations of this scheduler that the next primary needs: crashes by content,
      * and the evidence of rollouts.
      *
-     * @param self the host that tells it
+     * @param self the reporting host
+     * @param now the current time on the monotonic clock, in nanoseconds
      */
     public List<DispatchEvent> reports(HostId self, long now) {
         List<DispatchEvent> events = new ArrayList<>();
-        Map<Long, Integer> strikes = crashes.strikes(now);
-        if (!strikes.isEmpty()) {
-            events.add(new DispatchEvent.CrashesReported(self, strikes));
+        Map<Long, Integer> crashCounts = crashes.counts(now);
+        if (!crashCounts.isEmpty()) {
+            events.add(new DispatchEvent.CrashesReported(self, crashCounts));
         }
         for (PoolState pool : pools.values()) {
             pool.rollout()
@@ -413,20 +425,20 @@
                     .map(
                             rollout ->
                                     new DispatchEvent.RolloutReported(
-                                            self, rollout.order(), rollout.toTell()))
+                                            self, rollout.order(), rollout.tallies()))
                     .ifPresent(events::add);
         }
         return events;
     }
 
     private void applyReport(DispatchEvent.CrashesReported reported) {
-        if (isYoung() && crashesReportedBy.add(reported.host())) {
+        if (acceptsReports() && crashesReportedBy.add(reported.host())) {
             crashes.applyReport(reported.crashes(), nowNanos);
         }
     }
 
     private void applyReport(DispatchEvent.RolloutReported reported) {
-        if (isYoung()) {
+        if (acceptsReports()) {
             pool(reported.order().service())
                     .rollout()
                     .filter(rollout -> rollout.order().equals(reported.order()))
@@ -434,28 +446,31 @@
         }
     }
 
-    /** What hosts report is new to a primary that begins; one that goes on saw it itself. */
-    private boolean isYoung() {
-        return nowNanos - beganNanos < REPORT_WINDOW_NANOS;
+    /**
+     * Reports only add to a recently started primary; one that runs longer observed the same events
+     * itself.
+     */
+    private boolean acceptsReports() {
+        return nowNanos - startedNanos < REPORT_WINDOW_NANOS;
     }
 
     private void tick() {
-        forgetOverdue();
-        pools.values().forEach(pool -> pool.decideRollout(nowNanos));
+        removeOverdue();
+        pools.values().forEach(pool -> pool.updateRollout(nowNanos));
         for (PoolState pool : pools.values()) {
             if (pool.waiting() > 0) {
-                pool.sortLate(nowNanos);
-                giveUp(pool);
-                serve(pool);
+                pool.moveLate(nowNanos);
+                refuseUnservable(pool);
+                serveQueue(pool);
             }
         }
     }
 
-    private void forgetOverdue() {
-        if (runs.isEmpty() || nowNanos - forgotNanos < FORGET_PERIOD_NANOS) {
+    private void removeOverdue() {
+        if (runs.isEmpty() || nowNanos - overdueCheckedNanos < OVERDUE_CHECK_PERIOD_NANOS) {
             return;
         }
-        forgotNanos = nowNanos;
+        overdueCheckedNanos = nowNanos;
         List<RunKey> overdue =
                 runs.entrySet().stream()
                         .filter(entry -> isOverdue(entry.getValue().runs().get(entry.getKey())))
@@ -464,37 +479,37 @@
         overdue.forEach(run -> end(run, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0)));
     }
 
-    private boolean isOverdue(Running run) {
-        long allowed = run.request().deadlineLeftMillis() + FORGET_MILLIS;
-        return nowNanos - run.sentNanos() > allowed * NANOS_PER_MILLI;
+    private boolean isOverdue(ActiveRun run) {
+        long allowedMillis = run.request().deadlineLeftMillis() + OVERDUE_GRACE_MILLIS;
+        return nowNanos - run.sentNanos() > allowedMillis * NANOS_PER_MILLI;
     }
 
-    private void giveUp(PoolState pool) {
-        Placement placement = new Placement(pool, rates, placeShare, nowNanos);
-        double places = placement.usablePlaces(pool.waitersBusyMillis());
-        AdmissionRule admission = new AdmissionRule(pool, places, nowNanos);
-        for (QueuedRequest waiter : admission.hopeless()) {
-            pool.remove(waiter.run());
-            PlacementRequest left = waiter.request().aged(waiter.waitedMillis(nowNanos));
-            quotas.giveBack(waiter.request());
-            refuse(waiter.run(), left, Reason.OVERLOAD, admission.waitMillis(left.rank()));
+    private void refuseUnservable(PoolState pool) {
+        Placement placement = new Placement(pool, rates, slotShare, nowNanos);
+        double slots = placement.usableSlots(pool.meanQueuedRunMillis());
+        AdmissionRule admission = new AdmissionRule(pool, slots, nowNanos);
+        for (QueuedRequest queued : admission.unservable()) {
+            pool.remove(queued.run());
+            PlacementRequest aged = queued.request().aged(queued.waitedMillis(nowNanos));
+            quotas.refund(queued.request());
+            refuse(queued.run(), aged, Reason.OVERLOAD, admission.waitMillis(aged.rank()));
         }
     }
 
-    /** Gives free places to those who wait. */
-    private void serve(PoolState pool) {
+    /** Grants free slots to queued requests. */
+    private void serveQueue(PoolState pool) {
         if (pool.waiting() == 0) {
             return;
         }
-        Placement placement = new Placement(pool, rates, placeShare, nowNanos);
+        Placement placement = new Placement(pool, rates, slotShare, nowNanos);
         int skipped = 0;
-        for (QueuedRequest waiter : pool.inOrder()) {
-            if (grant(pool, placement, waiter.run(), waiter.request())) {
-                pool.remove(waiter.run());
+        for (QueuedRequest queued : pool.inOrder()) {
+            if (grant(pool, placement, queued.run(), queued.request())) {
+                pool.remove(queued.run());
             } else {
                 skipped++;
             }
-            if (skipped >= LOOK_AHEAD) {
+            if (skipped >= MAX_SKIPPED) {
                 return;
             }
         }
--- a/src/main/java/org/orioleshed/dispatch/ServerRate.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerRate.java
@@ -1,63 +1,65 @@
 package org.orioleshed.dispatch;
 
 /**
- * How many requests a server takes from all hosts together, as it names it in its answers, and how
- * many of them may be sent now. Answers the load pattern of a server in need whose callers go on as
- * before: every request that goes to it is counted here, whoever placed it and whether it is its
- * first, and nothing is there at the start, so that a new primary or a repeated notice gives
- * nothing out again.
+ * The rate limit that a server stated in its answers for the requests of all hosts together. It
+ * protects an overloaded server: every request sent to it is counted, whichever scheduler placed it
+ * and whichever attempt it is. The bucket starts empty, so that a new primary or a repeated
+ * statement grants nothing twice.
  */
 final class ServerRate {
-    /** A pause lets this much gather, and one request at least. */
+    /** The burst, as the time in which it accrues; at least one request. */
     private static final double BURST_SECONDS = 0.25;
 
-    /** A server that takes none is sent one now and then, to hear whether that still holds. */
-    private static final double LEAST_PER_SECOND = 0.1;
+    /**
+     * The lowest rate: a server that accepts no requests is probed at this rate to detect the end
+     * of the limit.
+     */
+    private static final double MIN_PER_SECOND = 0.1;
 
     private final TokenBucket bucket;
-    private double namedPerSecond;
-    private double part;
-    private long namedNanos;
+    private double statedPerSecond;
+    private double fraction;
+    private long statedNanos;
 
     /**
-     * Makes one for a server that has just named its rate.
+     * Makes the rate limit of a server that just stated it.
      *
-     * @param perSecond requests a second, as named
-     * @param part the part of it that this scheduler gives out, from 0 to 1
+     * @param perSecond the stated rate, in requests per second
+     * @param fraction the fraction of it that this scheduler may use, from 0 to 1
      */
-    ServerRate(double perSecond, double part, long nowNanos) {
-        this.namedPerSecond = perSecond;
-        this.part = part;
-        this.namedNanos = nowNanos;
+    ServerRate(double perSecond, double fraction, long nowNanos) {
+        this.statedPerSecond = perSecond;
+        this.fraction = fraction;
+        this.statedNanos = nowNanos;
         this.bucket = new TokenBucket(perSecond(), burst(), 0, nowNanos);
     }
 
-    /** The server named its rate again. */
-    void named(double newPerSecond, long nowNanos) {
-        namedPerSecond = newPerSecond;
-        namedNanos = nowNanos;
-        bucket.limit(perSecond(), burst(), nowNanos);
+    /** Records that the server stated its rate again. */
+    void update(double newPerSecond, long nowNanos) {
+        statedPerSecond = newPerSecond;
+        statedNanos = nowNanos;
+        bucket.setLimit(perSecond(), burst(), nowNanos);
     }
 
-    /** Takes the part of the rate that this scheduler gives out from now on. */
-    void part(double newPart, long nowNanos) {
-        part = newPart;
-        bucket.limit(perSecond(), burst(), nowNanos);
+    /** Sets the fraction of the rate that this scheduler may use. */
+    void setFraction(double newFraction, long nowNanos) {
+        fraction = newFraction;
+        bucket.setLimit(perSecond(), burst(), nowNanos);
     }
 
     /**
-     * Returns whether an answer without a limit ends it. One to a request that was sent before the
-     * server last named its limit may have been made before that, too.
+     * Returns whether an answer without a stated limit ends this limit. An answer to a request that
+     * was sent before the last statement may be older than that statement, and does not.
      *
-     * @param sentNanos when the answered request was placed
+     * @param sentNanos when the answered request was placed, on the monotonic clock
      */
     boolean isEndedByAnswerTo(long sentNanos) {
-        return sentNanos - namedNanos >= 0;
+        return sentNanos - statedNanos >= 0;
     }
 
-    /** Returns the requests a second that this scheduler may send. */
+    /** Returns the rate that this scheduler may use, in requests per second. */
     double perSecond() {
-        return part * Math.max(namedPerSecond, LEAST_PER_SECOND);
+        return fraction * Math.max(statedPerSecond, MIN_PER_SECOND);
     }
 
     private double burst() {
@@ -66,11 +68,11 @@
 
     /** Returns whether a request may be sent now. */
     boolean hasRoom(long nowNanos) {
-        return part > 0 && bucket.holds(1, nowNanos);
+        return fraction > 0 && bucket.holds(1, nowNanos);
     }
 
-    /** Counts a request that was sent, whether or not there was room. */
-    void sent(long nowNanos) {
+    /** Counts a request that was sent, even beyond the rate. */
+    void recordSent(long nowNanos) {
         bucket.charge(1, nowNanos);
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/ServerRates.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerRates.java
@@ -7,48 +7,49 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * The rates that servers named, by start of the server. One stays while its server's entry is away:
- * that comes back after a silence of its heartbeat, and the server's need with it.
+ * The rate limits stated by servers, by incarnation of the server. A limit is kept while the
+ * server's entry is absent, since the entry can return after an interruption of its heartbeat and
+ * the limit still holds then.
  */
 final class ServerRates {
     private static final int MAX_SERVERS = 4_096;
 
     private final Map<ServerId, Entry> entries = new LinkedHashMap<>();
-    private final double rolePart;
+    private final double roleFraction;
     private double share = 1;
 
     private record Entry(long startMillis, ServerRate rate) {}
 
     /**
-     * Makes an empty one.
+     * Makes an empty set of limits.
      *
-     * @param role who gives out
+     * @param role the role of this scheduler
      */
     ServerRates(Quotas.Role role) {
-        this.rolePart = role.serverRatePart();
+        this.roleFraction = role.serverRateFraction();
     }
 
-    /** Returns the rate that a server has named. */
+    /** Returns the rate limit that a server stated, if any. */
     Optional<ServerRate> of(PoolServer server) {
         Entry entry = entries.get(server.id());
-        boolean same = entry != null && entry.startMillis() == server.startMillis();
-        return same ? Optional.of(entry.rate()) : Optional.empty();
+        boolean sameStart = entry != null && entry.startMillis() == server.startMillis();
+        return sameStart ? Optional.of(entry.rate()) : Optional.empty();
     }
 
-    /** Takes the part of each rate that belongs to this scheduler and those who follow it. */
-    void share(double newShare, long nowNanos) {
+    /** Sets the share of each rate that belongs to this scheduler and its followers. */
+    void setShare(double newShare, long nowNanos) {
         share = newShare;
-        entries.values().forEach(entry -> entry.rate().part(share * rolePart, nowNanos));
+        entries.values().forEach(entry -> entry.rate().setFraction(share * roleFraction, nowNanos));
     }
 
     /**
-     * Takes what an answer of a server says.
+     * Records the limit that a server stated in an answer.
      *
-     * @param sentNanos when the answered request was placed
+     * @param sentNanos when the answered request was placed, on the monotonic clock
      */
-    void stated(PoolServer server, StatedLimit limit, long sentNanos, long nowNanos) {
+    void recordStated(PoolServer server, StatedLimit limit, long sentNanos, long nowNanos) {
         switch (limit) {
-            case StatedLimit.Rate rate -> named(server, rate.perSecond(), nowNanos);
+            case StatedLimit.Rate rate -> update(server, rate.perSecond(), nowNanos);
             case StatedLimit.None none ->
                     of(server)
                             .filter(rate -> rate.isEndedByAnswerTo(sentNanos))
@@ -57,26 +58,29 @@
         }
     }
 
-    private void named(PoolServer server, double perSecond, long nowNanos) {
-        Optional<ServerRate> known = of(server);
-        if (known.isPresent()) {
-            known.get().named(perSecond, nowNanos);
+    private void update(PoolServer server, double perSecond, long nowNanos) {
+        Optional<ServerRate> recorded = of(server);
+        if (recorded.isPresent()) {
+            recorded.get().update(perSecond, nowNanos);
             return;
         }
-        begin(server.id(), server.startMillis(), perSecond, nowNanos);
+        put(server.id(), server.startMillis(), perSecond, nowNanos);
     }
 
-    /** A host remembers a rate that a server has named to it; a known one counts for more. */
-    void reported(ServerId server, long startMillis, double perSecond, long nowNanos) {
+    /**
+     * Records a limit that a host reports. A limit already recorded for this or a later incarnation
+     * takes precedence.
+     */
+    void recordReported(ServerId server, long startMillis, double perSecond, long nowNanos) {
         Entry entry = entries.get(server);
         if (entry == null || entry.startMillis() < startMillis) {
-            begin(server, startMillis, perSecond, nowNanos);
+            put(server, startMillis, perSecond, nowNanos);
         }
     }
 
-    private void begin(ServerId server, long startMillis, double perSecond, long nowNanos) {
+    private void put(ServerId server, long startMillis, double perSecond, long nowNanos) {
         entries.remove(server);
-        ServerRate rate = new ServerRate(perSecond, share * rolePart, nowNanos);
+        ServerRate rate = new ServerRate(perSecond, share * roleFraction, nowNanos);
         entries.put(server, new Entry(startMillis, rate));
         if (entries.size() > MAX_SERVERS) {
             entries.remove(entries.keySet().iterator().next());
--- a/src/main/java/org/orioleshed/dispatch/ServerState.java
+++ b/src/main/java/org/orioleshed/dispatch/ServerState.java
@@ -4,39 +4,39 @@
 import java.util.Map;
 import org.orioleshed.catalog.PoolServer;
 
-/** What a scheduler knows of one start of a server: its runs, speed and faults. */
+/** The state of one incarnation of a server: its runs, speed and faults. */
 final class ServerState {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A server's own speed follows its last ten answers or so. */
-    private static final double NEW_PART = 0.12;
+    /** The smoothing factor of a server's speed; it reflects about the last ten answers. */
+    private static final double SPEED_SMOOTHING = 0.12;
 
-    /** The fault rate forgets half in this time, so that a server is tried again. */
+    /** The fault rate decays with this half-life, so that a server with faults is tried again. */
     private static final double FAULT_HALF_LIFE_NANOS = 4e9;
 
-    private static final double FAULT_PART = 0.15;
-    private static final long FIRST_HOLD_OFF_MILLIS = 250;
-    private static final long MAX_HOLD_OFF_MILLIS = 4_000;
-    private static final long REJECTED_HOLD_OFF_MILLIS = 40;
-    private static final double SLOWEST = 20;
-    private static final double FASTEST = 0.05;
+    private static final double FAULT_SMOOTHING = 0.15;
+    private static final long INITIAL_BACKOFF_MILLIS = 250;
+    private static final long MAX_BACKOFF_MILLIS = 4_000;
+    private static final long REJECTED_BACKOFF_MILLIS = 40;
+    private static final double MAX_SLOWNESS = 20;
+    private static final double MIN_SLOWNESS = 0.05;
 
-    private final Map<RunKey, Running> runs = new HashMap<>();
+    private final Map<RunKey, ActiveRun> runs = new HashMap<>();
     private PoolServer server;
-    private double firstFactor = 1;
-    private double eventFactor = 1;
+    private double firstEventFactor = 1;
+    private double eventGapFactor = 1;
     private double faultRate;
     private long faultNanos;
-    private int faultsInRow;
-    private boolean toldLeaving;
-    private long heldUntilNanos = Long.MIN_VALUE;
-    private long lastSignNanos;
+    private int consecutiveFaults;
+    private boolean statedLeaving;
+    private long backoffUntilNanos = Long.MIN_VALUE;
+    private long lastActivityNanos;
     private long pendingTokens;
-    private long heldTokens;
+    private long reservedTokens;
 
     ServerState(PoolServer server, long nowNanos) {
         this.server = server;
-        this.lastSignNanos = nowNanos;
+        this.lastActivityNanos = nowNanos;
         this.faultNanos = nowNanos;
     }
 
@@ -45,152 +45,158 @@
     }
 
     void update(PoolServer newer) {
-        toldLeaving &= newer.draining() || !server.draining();
+        statedLeaving &= newer.draining() || !server.draining();
         server = newer;
     }
 
-    /** The server told a host that it leaves; its entry may say so later, or take it back. */
-    void leave() {
-        toldLeaving = true;
+    /**
+     * Marks the server as leaving, as it stated in an answer. Its catalog entry may confirm or
+     * revoke that later.
+     */
+    void markLeaving() {
+        statedLeaving = true;
     }
 
-    /** Returns whether it takes no new requests for good. */
+    /** Returns whether the server is draining and accepts no new requests. */
     boolean isLeaving() {
-        return toldLeaving || server.draining();
+        return statedLeaving || server.draining();
     }
 
     int running() {
         return runs.size();
     }
 
-    Map<RunKey, Running> runs() {
+    Map<RunKey, ActiveRun> runs() {
         return runs;
     }
 
-    /** Returns the tokens of prompts that are not read yet. */
+    /** Returns the number of prompt tokens whose prefill is not finished. */
     long pendingTokens() {
         return pendingTokens;
     }
 
-    /** Returns the tokens that its runs need at most. */
-    long heldTokens() {
-        return heldTokens;
+    /** Returns the number of tokens that the runs occupy at most. */
+    long reservedTokens() {
+        return reservedTokens;
     }
 
-    double firstFactor() {
-        return firstFactor;
+    double firstEventFactor() {
+        return firstEventFactor;
     }
 
-    double eventFactor() {
-        return eventFactor;
+    double eventGapFactor() {
+        return eventGapFactor;
     }
 
-    void start(RunKey key, Running run) {
+    void start(RunKey key, ActiveRun run) {
         if (runs.isEmpty()) {
-            lastSignNanos = run.sentNanos();
+            lastActivityNanos = run.sentNanos();
         }
         runs.put(key, run);
         pendingTokens += run.request().promptTokens();
-        heldTokens += run.tokens();
+        reservedTokens += run.tokens();
     }
 
-    /** A run's first event came. */
-    void first(RunKey key, long firstMillis, PoolSpeed pool, long nowNanos) {
-        Running run = runs.get(key);
-        lastSignNanos = nowNanos;
-        if (run == null || run.reading() == 0) {
+    /** Records the first event of a run. */
+    void recordFirstEvent(RunKey key, long firstMillis, PoolSpeed pool, long nowNanos) {
+        ActiveRun run = runs.get(key);
+        lastActivityNanos = nowNanos;
+        if (run == null || run.prefillTokens() == 0) {
             return;
         }
         pendingTokens -= run.request().promptTokens();
-        double expected = pool.firstMillis(run.reading());
-        firstFactor = mix(firstFactor, firstMillis / expected);
-        pool.learnFirst(run.reading(), firstMillis / firstFactor);
-        runs.put(key, run.begun());
+        double expectedMillis = pool.firstEventMillis(run.prefillTokens());
+        firstEventFactor = smooth(firstEventFactor, firstMillis / expectedMillis);
+        pool.recordFirstEvent(run.prefillTokens(), firstMillis / firstEventFactor);
+        runs.put(key, run.afterFirstEvent());
     }
 
-    /** A run ended; returns whether it was known. */
+    /** Removes a run that ended; returns whether it was recorded here. */
     boolean end(RunKey key, RunReport report, PoolSpeed pool, long nowNanos) {
-        Running run = runs.remove(key);
+        ActiveRun run = runs.remove(key);
         if (run == null) {
             return false;
         }
-        heldTokens -= run.tokens();
-        if (run.reading() > 0) {
+        reservedTokens -= run.tokens();
+        if (run.prefillTokens() > 0) {
             pendingTokens -= run.request().promptTokens();
         }
-        learn(run, report, pool, nowNanos);
+        recordOutcome(run, report, pool, nowNanos);
         return true;
     }
 
-    private void learn(Running run, RunReport report, PoolSpeed pool, long nowNanos) {
+    private void recordOutcome(ActiveRun run, RunReport report, PoolSpeed pool, long nowNanos) {
         switch (report.outcome()) {
             case ANSWERED -> {
-                lastSignNanos = nowNanos;
-                faultsInRow = 0;
-                heldUntilNanos = Long.MIN_VALUE;
-                fault(0, nowNanos);
-                learnSpeed(run, report, pool);
+                lastActivityNanos = nowNanos;
+                consecutiveFaults = 0;
+                backoffUntilNanos = Long.MIN_VALUE;
+                recordFault(0, nowNanos);
+                recordSpeed(run, report, pool);
             }
             case FAILED -> {
-                lastSignNanos = nowNanos;
-                fault(1, nowNanos);
+                lastActivityNanos = nowNanos;
+                recordFault(1, nowNanos);
             }
             case UNREACHABLE, BROKEN, TIMED_OUT -> {
-                fault(1, nowNanos);
-                holdOff(nowNanos);
+                recordFault(1, nowNanos);
+                backOff(nowNanos);
             }
-            case REJECTED -> holdUntil(nowNanos + REJECTED_HOLD_OFF_MILLIS * NANOS_PER_MILLI);
-            case MISDIRECTED -> holdUntil(nowNanos + MAX_HOLD_OFF_MILLIS * NANOS_PER_MILLI);
+            case REJECTED -> backOffUntil(nowNanos + REJECTED_BACKOFF_MILLIS * NANOS_PER_MILLI);
+            case MISDIRECTED -> backOffUntil(nowNanos + MAX_BACKOFF_MILLIS * NANOS_PER_MILLI);
             case CANCELLED -> {}
         }
     }
 
-    private void learnSpeed(Running run, RunReport report, PoolSpeed pool) {
+    private void recordSpeed(ActiveRun run, RunReport report, PoolSpeed pool) {
         if (report.events() > 1) {
-            double gap =
+            double gapMillis =
                     (double) (report.totalMillis() - report.firstMillis()) / (report.events() - 1);
-            eventFactor = mix(eventFactor, gap / pool.eventMillis());
-            pool.learnEvent(gap / eventFactor);
+            eventGapFactor = smooth(eventGapFactor, gapMillis / pool.eventGapMillis());
+            pool.recordEventGap(gapMillis / eventGapFactor);
         }
         if (run.request().promptTokens() == 0) {
-            firstFactor = mix(firstFactor, report.totalMillis() / pool.plainMillis());
-            pool.learnPlain(report.totalMillis() / firstFactor);
+            firstEventFactor = smooth(firstEventFactor, report.totalMillis() / pool.plainMillis());
+            pool.recordPlain(report.totalMillis() / firstEventFactor);
         }
     }
 
-    private static double mix(double old, double seen) {
-        double bounded = Math.clamp(seen, FASTEST, SLOWEST);
-        return old + NEW_PART * (bounded - old);
+    private static double smooth(double previous, double observed) {
+        double bounded = Math.clamp(observed, MIN_SLOWNESS, MAX_SLOWNESS);
+        return previous + SPEED_SMOOTHING * (bounded - previous);
     }
 
-    private void holdOff(long nowNanos) {
-        long millis = Math.min(MAX_HOLD_OFF_MILLIS, FIRST_HOLD_OFF_MILLIS << faultsInRow);
-        faultsInRow = Math.min(faultsInRow + 1, 4);
-        holdUntil(nowNanos + millis * NANOS_PER_MILLI);
+    private void backOff(long nowNanos) {
+        long millis = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << consecutiveFaults);
+        consecutiveFaults = Math.min(consecutiveFaults + 1, 4);
+        backOffUntil(nowNanos + millis * NANOS_PER_MILLI);
     }
 
-    private void holdUntil(long untilNanos) {
-        heldUntilNanos = Math.max(heldUntilNanos, untilNanos);
+    private void backOffUntil(long untilNanos) {
+        backoffUntilNanos = Math.max(backoffUntilNanos, untilNanos);
     }
 
-    private void fault(double seen, long nowNanos) {
+    private void recordFault(double observed, long nowNanos) {
         faultRate = faultRate(nowNanos);
         faultNanos = nowNanos;
-        faultRate += FAULT_PART * (seen - faultRate);
+        faultRate += FAULT_SMOOTHING * (observed - faultRate);
     }
 
-    /** Returns the part of its runs that it failed of late. */
+    /** Returns the smoothed fraction of recent runs that failed. */
     double faultRate(long nowNanos) {
         return faultRate * Math.pow(0.5, (nowNanos - faultNanos) / FAULT_HALF_LIFE_NANOS);
     }
 
-    boolean isHeldOff(long nowNanos) {
-        return nowNanos < heldUntilNanos;
+    boolean isBackingOff(long nowNanos) {
+        return nowNanos < backoffUntilNanos;
     }
 
-    /** Returns whether runs wait for their first event and nothing came from the server since. */
+    /**
+     * Returns whether a run has waited longer than {@code allowedMillis} for its first event, while
+     * the server sent nothing for as long.
+     */
     boolean isSilent(long allowedMillis, long nowNanos) {
-        if (nowNanos - lastSignNanos < allowedMillis * NANOS_PER_MILLI) {
+        if (nowNanos - lastActivityNanos < allowedMillis * NANOS_PER_MILLI) {
             return false;
         }
         return runs.values().stream()
--- a/src/main/java/org/orioleshed/dispatch/SpeedShift.java
+++ b/src/main/java/org/orioleshed/dispatch/SpeedShift.java
@@ -6,31 +6,34 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * How much slower new servers answer than old ones, as the difference of the mean logarithms of
- * slowness, and how sure that is. Servers of one pool differ in speed by themselves, so there are
- * two errors: one that more answers make smaller, and one that only more servers would.
+ * An estimate of how much slower servers of the new version answer than others, as the difference
+ * of the mean logarithms of slowness, with its standard errors. Servers of one pool differ in speed
+ * whatever their version, so there are two errors: one that shrinks with more answers, and one that
+ * shrinks only with more servers.
  *
- * @param mean the difference; 0 for none, 0.69 for twice as slow
- * @param samples the new servers' answers that it rests on
- * @param samplingError its standard error from answers that differ
- * @param serverError its standard error from servers that differ, as old ones do
- * @param cautiousServerError the same where few old servers are known
- * @param spreadRatio the variance of the answers of one new server against that of an old one
+ * @param mean the difference; 0 for equal speed, 0.69 for twice as slow
+ * @param samples the number of answers of new servers in the estimate
+ * @param samplingError the standard error due to the variance of answers
+ * @param serverError the standard error due to the variance of servers, as observed on old servers
+ * @param conservativeServerError the same with a prior, for few old servers
+ * @param varianceRatio the variance of the answers of a new server relative to that of an old one
  */
 record SpeedShift(
         double mean,
         int samples,
         double samplingError,
         double serverError,
-        double cautiousServerError,
-        double spreadRatio) {
-    /** Answers of one server that weigh half as much as very many. */
+        double conservativeServerError,
+        double varianceRatio) {
+    /**
+     * The number of answers at which a server has half the weight of one with very many answers.
+     */
     private static final double HALF_WEIGHT_ANSWERS = 2;
 
-    private static final double USUAL_VARIANCE = 0.25;
-    private static final double USUAL_VARIANCE_WEIGHT = 5;
-    private static final double USUAL_SERVER_VARIANCE = 0.12;
-    private static final double USUAL_SERVERS = 2;
+    private static final double PRIOR_ANSWER_VARIANCE = 0.25;
+    private static final double PRIOR_ANSWER_WEIGHT = 5;
+    private static final double PRIOR_SERVER_VARIANCE = 0.12;
+    private static final double PRIOR_SERVERS = 2;
 
     private record Sum(int samples, double logs) {
         private static final Sum NONE = new Sum(0, 0);
@@ -48,22 +51,22 @@
         }
     }
 
-    /** The servers of one version. */
+    /** The servers of the new version, or the others. */
     private static final class Group {
         private final Map<ServerId, Sum> servers = new HashMap<>();
         private int samples;
-        private int freedoms;
-        private double deviations;
+        private int degreesOfFreedom;
+        private double squaredDeviations;
 
-        void add(RolloutEvidence.Key key, RolloutEvidence.Tally tally, double usual) {
-            double logs = tally.logSum() - tally.samples() * usual;
+        void add(RolloutEvidence.Key key, RolloutEvidence.Tally tally, double baseline) {
+            double logs = tally.logSum() - tally.samples() * baseline;
             servers.merge(
                     key.server(),
                     Sum.NONE.plus(tally.samples(), logs),
                     (a, b) -> a.plus(b.samples(), b.logs()));
             samples += tally.samples();
-            freedoms += tally.samples() - 1;
-            deviations += tally.logDeviations();
+            degreesOfFreedom += tally.samples() - 1;
+            squaredDeviations += tally.squaredDeviations();
         }
 
         double weights() {
@@ -75,86 +78,98 @@
             return sum / weights();
         }
 
-        /** Returns the variance of the mean when each server's own varies by so much. */
-        double meanVariance(double ofServer) {
+        /** Returns the variance of the mean for a given variance of servers. */
+        double meanVariance(double serverVariance) {
             double sum = 0;
             for (Sum server : servers.values()) {
-                sum += server.weight() * server.weight() * ofServer;
+                sum += server.weight() * server.weight() * serverVariance;
             }
             return sum / (weights() * weights());
         }
 
-        double samplingVariance(double ofAnswer) {
+        double samplingVariance(double answerVariance) {
             double sum = 0;
             for (Sum server : servers.values()) {
-                sum += server.weight() * server.weight() * ofAnswer / server.samples();
+                sum += server.weight() * server.weight() * answerVariance / server.samples();
             }
             return sum / (weights() * weights());
         }
 
         double answerVariance() {
-            return (deviations + USUAL_VARIANCE_WEIGHT * USUAL_VARIANCE)
-                    / (freedoms + USUAL_VARIANCE_WEIGHT);
+            return (squaredDeviations + PRIOR_ANSWER_WEIGHT * PRIOR_ANSWER_VARIANCE)
+                    / (degreesOfFreedom + PRIOR_ANSWER_WEIGHT);
         }
 
-        /** Returns the sum of squares of servers' means about theirs, less what answers add. */
-        double serverDeviations() {
+        /**
+         * Returns the squared deviations of the servers' means from the group's mean, without the
+         * part due to the variance of answers.
+         */
+        double serverSquaredDeviations() {
             double mean = mean();
             double sum = 0;
             for (Sum server : servers.values()) {
-                double own = server.mean() - mean;
-                sum += own * own - answerVariance() / server.samples();
+                double deviation = server.mean() - mean;
+                sum += deviation * deviation - answerVariance() / server.samples();
             }
             return Math.max(0, sum);
         }
     }
 
-    /** Compares; the mean is 0 and the errors are infinite where there is nothing to compare. */
+    /**
+     * Compares the two groups; without anything to compare, the mean is 0 and the errors are
+     * infinite.
+     */
     static SpeedShift of(RolloutEvidence evidence) {
-        Map<RouteId, Sum> usual = new HashMap<>();
+        Map<RouteId, Sum> baseline = new HashMap<>();
         evidence.tallies()
                 .forEach(
                         (key, tally) -> {
                             if (!key.isNew() && tally.samples() > 0) {
-                                usual.merge(
+                                baseline.merge(
                                         key.route(),
                                         Sum.NONE.plus(tally.samples(), tally.logSum()),
                                         (a, b) -> a.plus(b.samples(), b.logs()));
                             }
                         });
-        Group older = new Group();
-        Group newer = new Group();
+        Group oldServers = new Group();
+        Group newServers = new Group();
         evidence.tallies()
                 .forEach(
                         (key, tally) -> {
-                            if (tally.samples() > 0 && usual.containsKey(key.route())) {
-                                Group group = key.isNew() ? newer : older;
-                                group.add(key, tally, usual.get(key.route()).mean());
+                            if (tally.samples() > 0 && baseline.containsKey(key.route())) {
+                                Group group = key.isNew() ? newServers : oldServers;
+                                group.add(key, tally, baseline.get(key.route()).mean());
                             }
                         });
-        return newer.samples == 0 ? nothing() : compare(older, newer);
+        return newServers.samples == 0 ? noComparison() : compare(oldServers, newServers);
     }
 
-    private static SpeedShift nothing() {
+    private static SpeedShift noComparison() {
         double unknown = Double.POSITIVE_INFINITY;
         return new SpeedShift(0, 0, unknown, unknown, unknown, 1);
     }
 
-    private static SpeedShift compare(Group older, Group newer) {
-        double sampling =
-                newer.samplingVariance(newer.answerVariance())
-                        + older.samplingVariance(older.answerVariance());
-        double deviations = older.serverDeviations();
-        int freedoms = older.servers.size() - 1;
-        double cautious =
-                (deviations + USUAL_SERVERS * USUAL_SERVER_VARIANCE) / (freedoms + USUAL_SERVERS);
-        double seen = freedoms == 0 ? cautious : deviations / freedoms;
+    private static SpeedShift compare(Group oldServers, Group newServers) {
+        double samplingVariance =
+                newServers.samplingVariance(newServers.answerVariance())
+                        + oldServers.samplingVariance(oldServers.answerVariance());
+        double squaredDeviations = oldServers.serverSquaredDeviations();
+        int degreesOfFreedom = oldServers.servers.size() - 1;
+        double conservativeVariance =
+                (squaredDeviations + PRIOR_SERVERS * PRIOR_SERVER_VARIANCE)
+                        / (degreesOfFreedom + PRIOR_SERVERS);
+        double serverVariance =
+                degreesOfFreedom == 0 ? conservativeVariance : squaredDeviations / degreesOfFreedom;
         return new SpeedShift(
-                newer.mean() - older.mean(),
-                newer.samples,
-                Math.sqrt(sampling),
-                Math.sqrt(newer.meanVariance(seen) + older.meanVariance(seen)),
-                Math.sqrt(newer.meanVariance(cautious) + older.meanVariance(cautious)),
-                newer.answerVariance() / older.answerVariance());
+                newServers.mean() - oldServers.mean(),
+                newServers.samples,
+                Math.sqrt(samplingVariance),
+                Math.sqrt(
+                        newServers.meanVariance(serverVariance)
+                                + oldServers.meanVariance(serverVariance)),
+                Math.sqrt(
+                        newServers.meanVariance(conservativeVariance)
+                                + oldServers.meanVariance(conservativeVariance)),
+                newServers.answerVariance() / oldServers.answerVariance());
     }
 }
--- a/src/main/java/org/orioleshed/dispatch/StatedLimit.java
+++ b/src/main/java/org/orioleshed/dispatch/StatedLimit.java
@@ -1,23 +1,24 @@
 package org.orioleshed.dispatch;
 
-/** What an answer of a server says of how many requests it takes from all hosts together. */
+/** The rate limit that an answer of a server states for the requests of all hosts together. */
 public sealed interface StatedLimit {
-    /** An answer that names no limit. */
+    /** An answer without a limit. */
     StatedLimit NONE = new None();
 
-    /** No answer, or one whose words on it can't be read. */
+    /** No answer, or one whose limit can't be parsed. */
     StatedLimit UNKNOWN = new Unknown();
 
     /**
-     * It takes this many.
+     * A stated rate.
      *
-     * @param perSecond requests a second; finite and not negative
+     * @param perSecond the rate in requests per second; finite and not negative
      */
     record Rate(double perSecond) implements StatedLimit {
         /** Checks the rate. */
         public Rate {
             if (!Double.isFinite(perSecond) || perSecond < 0) {
-                throw new IllegalArgumentException("a rate must be finite and not negative");
+                throw new IllegalArgumentException(
+                        "a stated rate must be finite and not negative, found " + perSecond);
             }
         }
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /** It names no limit. */
+    /** No limit is stated. */
     record None() implements StatedLimit {
         @Override
         public String toString() {
@@ -35,7 +36,7 @@
         }
     }
 
-    /** Nothing is known of it. */
+    /** The limit is unknown. */
     record Unknown() implements StatedLimit {
         @Override
         public String toString() {
--- a/src/main/java/org/orioleshed/dispatch/TokenBucket.java
+++ b/src/main/java/org/orioleshed/dispatch/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.orioleshed.dispatch;
 
-/** Units that a workspace may use: they come at a rate, up to a burst. */
+/** A token bucket: units accrue at a rate, up to a burst. */
 final class TokenBucket {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -12,10 +12,10 @@
     /**
      * Makes a bucket.
      *
-     * @param perSecond units a second; positive
-     * @param burst the most units it holds
-     * @param units the units it holds at first
-     * @param nowNanos the present time
+     * @param perSecond the units added each second; positive
+     * @param burst the maximum units that it holds
+     * @param units the units that it holds initially
+     * @param nowNanos the current time on the monotonic clock
      */
     TokenBucket(double perSecond, double burst, double units, long nowNanos) {
         this.perSecond = perSecond;
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Takes a new rate and burst. What the bucket holds grows or shrinks with the burst: where two
-     * parts of a quota come together, so does what is left of them.
+     * Sets the rate and burst, and scales the held units with the burst: when two shares of a quota
+     * are joined, so is what is left of them. A debt is not scaled.
      */
-    void limit(double newPerSecond, double newBurst, long nowNanos) {
+    void setLimit(double newPerSecond, double newBurst, long nowNanos) {
         fill(nowNanos);
         if (units > 0) {
             units *= newBurst / burst;
@@ -38,59 +38,59 @@
     }
 
     /**
-     * Takes units, or none. What exceeds the burst by itself is let through when the bucket is
-     * full, and is owed.
+     * Takes the units if the bucket holds them. A request larger than the burst passes when the
+     * bucket is full and leaves a debt.
      *
-     * @param kept the part of the burst that must be left, from 0 to 1
+     * @param reservedFraction the fraction of the burst that must be left, from 0 to 1
      */
-    boolean take(long wanted, double kept, long nowNanos) {
+    boolean tryTake(long wanted, double reservedFraction, long nowNanos) {
         fill(nowNanos);
-        if (units < Math.min(wanted + kept * burst, burst)) {
+        if (units < Math.min(wanted + reservedFraction * burst, burst)) {
             return false;
         }
         units -= wanted;
         return true;
     }
 
-    /** Returns whether the bucket holds so many units. */
+    /** Returns whether the bucket holds {@code wanted} units. */
     boolean holds(long wanted, long nowNanos) {
         fill(nowNanos);
         return units >= wanted;
     }
 
-    /** Takes units whether or not they are there; what is missing is owed. */
+    /** Takes units even if the bucket holds fewer, which leaves a debt. */
     void charge(long used, long nowNanos) {
         fill(nowNanos);
         units -= used;
     }
 
     /**
-     * Empties the bucket and returns which part of its burst it held: at most 1, and negative for a
-     * debt, which stays.
+     * Empties the bucket and returns the fraction of its burst that it held: at most 1, and
+     * negative for a debt, which remains.
      */
     double empty(long nowNanos) {
         fill(nowNanos);
-        double part = units / burst;
+        double fraction = units / burst;
         units = Math.min(0, units);
-        return part;
+        return fraction;
     }
 
-    /** Adds a part of the burst; a negative one is taken away. */
-    void addPart(double part) {
-        units = Math.min(burst, units + part * burst);
+    /** Adds a fraction of the burst, which may be negative. */
+    void addFraction(double fraction) {
+        units = Math.min(burst, units + fraction * burst);
     }
 
-    /** Gives back units that were not used. */
-    void giveBack(long unused) {
+    /** Puts back unused units. */
+    void refund(long unused) {
         units = Math.min(burst, units + unused);
     }
 
     /**
-     * Returns the time until {@code wanted} units can be taken and {@code kept} of the burst is
-     * left, in milliseconds.
+     * Returns the time until {@code wanted} units can be taken with {@code reservedFraction} of the
+     * burst left, in milliseconds.
      */
-    long millisUntil(long wanted, double kept) {
-        double missing = Math.min(wanted + kept * burst, burst) - units;
+    long millisUntil(long wanted, double reservedFraction) {
+        double missing = Math.min(wanted + reservedFraction * burst, burst) - units;
         return missing <= 0 ? 0 : (long) Math.ceil(missing / perSecond * 1_000);
     }
 
--- a/src/main/java/org/orioleshed/dispatch/VersionRollout.java
+++ b/src/main/java/org/orioleshed/dispatch/VersionRollout.java
@@ -11,91 +11,97 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * Decides how many of a pool's requests a new version gets, and when its rollout is completed or
- * taken back. The new version earns its share by answers that are shown to be no worse than those
- * of the old one over the same time, then gets more by steps, each of which must hold; without that
- * by the deadline, the rollout is taken back.
+ * Decides which requests of a pool go to a new version, and when its rollout is completed or rolled
+ * back. The new version gets a small share until its answers are shown to be no worse than those of
+ * the old version over the same time. Its share then rises in steps, each of which is checked. If
+ * that isn't finished by the deadline, the rollout is rolled back.
  */
 final class VersionRollout {
-    /** A part of what a bad version may cost is kept for a second primary beyond a cut. */
-    private static final double SAFETY = 0.75;
+    /**
+     * The fraction of the allowed exposure that is used; the rest is kept for a second primary
+     * across a network partition.
+     */
+    private static final double EXPOSURE_FRACTION = 0.75;
 
-    /** The new version shows itself for this part of the time before it gets more. */
-    private static final double PROVING_PART = 0.6;
+    /** The fraction of the duration for which evidence is collected before the first step. */
+    private static final double PROVING_FRACTION = 0.6;
 
-    /** New servers may be slow for this part of the time, until they are warm. */
-    private static final double COLD_PART = 0.2;
+    /** The fraction of the duration in which new servers may be slow until they are warm. */
+    private static final double WARMUP_FRACTION = 0.2;
 
-    /** Meanwhile the new version gets this part of what it may get. */
-    private static final double COLD_SHARE = 0.5;
+    /** The fraction of the allowed exposure that is used during warmup. */
+    private static final double WARMUP_EXPOSURE_FRACTION = 0.5;
 
-    /** The parts of all requests that it gets once it is proved, one after the other. */
-    private static final double[] STEPS = {0.25, 0.5, 1};
+    /** The successive traffic shares of the new version after it is proved. */
+    private static final double[] STEP_SHARES = {0.25, 0.5, 1};
 
-    /** A step that shows nothing bad lasts no longer than this part of the time. */
-    private static final double STEP_PART = 0.06;
+    /** The longest duration of a step without adverse evidence, as a fraction of the duration. */
+    private static final double MAX_STEP_FRACTION = 0.06;
 
-    /** A step ends sooner with this many answers. */
+    /** The number of answers that ends a step earlier. */
     private static final int STEP_ANSWERS = 25;
 
-    /** What came lately is judged by itself, too: a version may turn bad after a while. */
-    private static final double LATELY_PART = 0.2;
+    /**
+     * The window of recent evidence as a fraction of the duration. It is judged separately too,
+     * since a version may turn bad after a while.
+     */
+    private static final double RECENT_FRACTION = 0.2;
 
-    /** The outcome is decided this long before the deadline, since it has to be written. */
-    private static final long WRITE_MILLIS = 1_000;
+    /** The outcome is decided this long before the deadline, to leave time to record it. */
+    private static final long RECORD_MARGIN_MILLIS = 1_000;
 
-    /** What came since is judged at this interval. */
-    private static final long JUDGE_NANOS = 100_000_000;
+    /** The interval at which the evidence is judged. */
+    private static final long JUDGE_PERIOD_NANOS = 100_000_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final RolloutOrder order;
     private final RolloutPolicy policy;
-    private final long seenNanos;
-    private final RolloutEvidence seen = new RolloutEvidence();
+    private final long observedNanos;
+    private final RolloutEvidence observed = new RolloutEvidence();
     private final Map<HostId, RolloutEvidence> reported = new HashMap<>();
-    private final Sends sends = new Sends();
-    private Sends ofStep = new Sends();
-    private RolloutEvidence waiting = new RolloutEvidence();
-    private RolloutEvidence before = new RolloutEvidence();
-    private long latelyNanos;
+    private final SendCounts sends = new SendCounts();
+    private SendCounts stepSends = new SendCounts();
+    private RolloutEvidence pending = new RolloutEvidence();
+    private RolloutEvidence recentBaseline = new RolloutEvidence();
+    private long recentStartNanos;
     private long judgedNanos = Long.MIN_VALUE / 2;
     private RolloutOutcome outcome = RolloutOutcome.RUNNING;
     private boolean settled;
     private boolean warm;
     private int step = -1;
-    private long stepNanos;
-    private RolloutEvidence stepStart = new RolloutEvidence();
-    private int stepStartAnswers;
+    private long stepStartNanos;
+    private RolloutEvidence stepBaseline = new RolloutEvidence();
+    private int stepBaselineAnswers;
 
-    /** How many requests went to servers of which version. */
-    private static final class Sends {
-        private int ofNew;
+    /** Counts the requests sent to the new version and to all. */
+    private static final class SendCounts {
+        private int toNew;
         private int all;
 
         void add(boolean isNew) {
-            ofNew += isNew ? 1 : 0;
+            toNew += isNew ? 1 : 0;
             all++;
         }
     }
 
     /**
-     * Begins a rollout.
+     * Creates a rollout.
      *
-     * @param seenNanos when the order was seen, on the monotonic clock
+     * @param observedNanos when the order was observed, on the monotonic clock
      */
-    VersionRollout(RolloutOrder order, RolloutPolicy policy, long seenNanos) {
+    VersionRollout(RolloutOrder order, RolloutPolicy policy, long observedNanos) {
         this.order = order;
         this.policy = policy;
-        this.seenNanos = seenNanos;
-        this.latelyNanos = seenNanos;
+        this.observedNanos = observedNanos;
+        this.recentStartNanos = observedNanos;
     }
 
     RolloutOrder order() {
         return order;
     }
 
-    /** Returns which step of its share the new version has reached; -1 until it is proved. */
+    /** Returns the traffic step that the new version has reached; -1 until it is proved. */
     int step() {
         return step;
     }
@@ -104,7 +110,7 @@
         return outcome;
     }
 
-    /** Takes an outcome that is recorded already. */
+    /** Adopts an outcome that is recorded already. */
     void settle(RolloutOutcome recorded) {
         if (recorded != RolloutOutcome.RUNNING) {
             outcome = recorded;
@@ -126,89 +132,95 @@
         return switch (outcome) {
             case COMPLETED -> true;
             case TAKEN_BACK -> false;
-            case RUNNING -> step < 0 ? mayProve() : isDueInStep();
+            case RUNNING -> step < 0 ? isExposureAllowed() : isDueInStep();
         };
     }
 
-    /** Returns whether a request may go to the other version where its own has no place. */
-    boolean mayUseOther(boolean wantsNew) {
-        return wantsNew && outcome == RolloutOutcome.RUNNING && step < STEPS.length - 1;
+    /**
+     * Returns whether a request may go to the other version if the preferred one has no free slot.
+     */
+    boolean mayUseOther(boolean preferNew) {
+        return preferNew && outcome == RolloutOutcome.RUNNING && step < STEP_SHARES.length - 1;
     }
 
-    private boolean mayProve() {
-        int ofNew = sends.ofNew;
+    private boolean isExposureAllowed() {
+        int toNew = sends.toNew;
         int total = sends.all;
         for (RolloutEvidence earlier : reported.values()) {
-            ofNew += earlier.sent(true);
+            toNew += earlier.sent(true);
             total += earlier.sent(true) + earlier.sent(false);
         }
-        double part = warm ? SAFETY : SAFETY * COLD_SHARE;
-        return ofNew + 1 <= part * (policy.share() * (total + 1) + policy.slack());
+        double exposure = warm ? EXPOSURE_FRACTION : EXPOSURE_FRACTION * WARMUP_EXPOSURE_FRACTION;
+        return toNew + 1 <= exposure * (policy.share() * (total + 1) + policy.slack());
     }
 
     private boolean isDueInStep() {
-        return ofStep.ofNew + 1 <= STEPS[step] * (ofStep.all + 1);
+        return stepSends.toNew + 1 <= STEP_SHARES[step] * (stepSends.all + 1);
     }
 
     private RolloutEvidence.Key key(PoolServer server, RouteId route) {
         return new RolloutEvidence.Key(server.id(), route, isTarget(server.version()));
     }
 
-    void sent(PoolServer server, RouteId route) {
+    void recordSent(PoolServer server, RouteId route) {
         RolloutEvidence.Key key = key(server, route);
-        seen.sent(key);
+        observed.recordSent(key);
         sends.add(key.isNew());
-        ofStep.add(key.isNew());
+        stepSends.add(key.isNew());
     }
 
     /**
-     * Notes how long an answer took. Those of cold servers say nothing of their version, and to
-     * compare like with like nor do those of old ones at that time.
+     * Records how long an answer took. Ignored during warmup: times of cold servers say nothing
+     * about their version, and times of old servers are skipped for the same period to keep the
+     * comparison fair.
      *
-     * @param slowness its time against what is usual in the pool; positive
+     * @param slowness its time relative to the expected time in the pool; positive
      */
-    void took(PoolServer server, RouteId route, double slowness) {
+    void recordSlowness(PoolServer server, RouteId route, double slowness) {
         if (warm) {
-            seen.took(key(server, route), slowness);
+            observed.recordSlowness(key(server, route), slowness);
         }
     }
 
-    /** Notes how a run ended. */
-    void ended(PoolServer server, RouteId route, RunReport.Outcome how) {
-        if (how != RunReport.Outcome.CANCELLED && how != RunReport.Outcome.REJECTED) {
-            seen.answered(key(server, route), how.isFault());
+    /** Records how a run ended. */
+    void recordEnd(PoolServer server, RouteId route, RunReport.Outcome runOutcome) {
+        if (runOutcome != RunReport.Outcome.CANCELLED && runOutcome != RunReport.Outcome.REJECTED) {
+            observed.recordEnd(key(server, route), runOutcome.isFault());
         }
     }
 
-    /** Forgets who waits; {@link #waits} tells anew. */
-    void nobodyWaits() {
-        waiting = new RolloutEvidence();
+    /** Clears the runs recorded by {@link #recordPending}. */
+    void clearPending() {
+        pending = new RolloutEvidence();
     }
 
     /**
-     * A request waits for its answer longer than usual. Without such ones the slow answers would be
-     * missing for as long as they are slow.
+     * Records a run that already took longer than expected without an answer. Without these, slow
+     * answers would be missing from the evidence until they end.
      *
-     * @param slowness its time so far against what is usual in the pool; positive
+     * @param slowness its time so far relative to the expected time in the pool; positive
      */
-    void waits(PoolServer server, RouteId route, double slowness) {
+    void recordPending(PoolServer server, RouteId route, double slowness) {
         if (warm) {
-            waiting.took(key(server, route), slowness);
+            pending.recordSlowness(key(server, route), slowness);
         }
     }
 
-    /** Returns what this scheduler saw itself, for the next primary. */
-    List<RolloutTally> toTell() {
-        return seen.toTell();
+    /** Returns the evidence that this scheduler observed itself, for the next primary. */
+    List<RolloutTally> tallies() {
+        return observed.toTallies();
     }
 
-    /** Takes what a host saw before this primary began; what it tells again takes its place. */
-    void applyReport(HostId host, List<RolloutTally> told) {
-        reported.put(host, RolloutEvidence.of(told));
+    /**
+     * Records evidence that a host observed before this primary started; a repeated report of a
+     * host replaces its earlier one.
+     */
+    void applyReport(HostId host, List<RolloutTally> tallies) {
+        reported.put(host, RolloutEvidence.of(tallies));
     }
 
     private RolloutEvidence all() {
-        RolloutEvidence all = seen;
+        RolloutEvidence all = observed;
         for (RolloutEvidence earlier : reported.values()) {
             all = all.plus(earlier);
         }
@@ -216,93 +228,98 @@
     }
 
     /**
-     * Decides.
+     * Judges the evidence and updates the step and the outcome.
      *
-     * @param oldRuns the runs at servers of the old version
-     * @param newServers whether any server of the new version takes calls
+     * @param oldRuns the number of runs on servers of the old version
+     * @param hasNewServers whether any server of the new version accepts requests
      */
-    void decide(long nowNanos, int oldRuns, boolean newServers) {
-        if (outcome != RolloutOutcome.RUNNING || nowNanos - judgedNanos < JUDGE_NANOS) {
+    void decide(long nowNanos, int oldRuns, boolean hasNewServers) {
+        if (outcome != RolloutOutcome.RUNNING || nowNanos - judgedNanos < JUDGE_PERIOD_NANOS) {
             return;
         }
         judgedNanos = nowNanos;
-        warm |= elapsedMillis(nowNanos) >= COLD_PART * order.durationMillis();
-        if (isWorse(nowNanos) || isUnsoundStep(nowNanos)) {
+        warm |= elapsedMillis(nowNanos) >= WARMUP_FRACTION * order.durationMillis();
+        if (isWorse(nowNanos) || isStepFailing(nowNanos)) {
             outcome = RolloutOutcome.TAKEN_BACK;
             return;
         }
-        advance(nowNanos, newServers);
-        boolean all = step == STEPS.length - 1;
-        boolean over = elapsedMillis(nowNanos) >= order.durationMillis() - WRITE_MILLIS;
-        if (all && (oldRuns == 0 || over)) {
+        advance(nowNanos, hasNewServers);
+        boolean fullTraffic = step == STEP_SHARES.length - 1;
+        boolean timeOver = elapsedMillis(nowNanos) >= order.durationMillis() - RECORD_MARGIN_MILLIS;
+        if (fullTraffic && (oldRuns == 0 || timeOver)) {
             outcome = RolloutOutcome.COMPLETED;
-        } else if (over) {
+        } else if (timeOver) {
             outcome = RolloutOutcome.TAKEN_BACK;
         }
     }
 
     private long elapsedMillis(long nowNanos) {
-        return (nowNanos - seenNanos) / NANOS_PER_MILLI;
+        return (nowNanos - observedNanos) / NANOS_PER_MILLI;
     }
 
     private boolean isWorse(long nowNanos) {
-        RolloutEvidence all = all().plus(waiting);
-        boolean worse = VersionJudge.isWorse(all) || VersionJudge.isWorse(lately());
-        if (nowNanos - latelyNanos > LATELY_PART * order.durationMillis() * NANOS_PER_MILLI) {
-            latelyNanos = nowNanos;
-            before = seen.copy();
+        RolloutEvidence all = all().plus(pending);
+        boolean worse = VersionJudge.isWorse(all) || VersionJudge.isWorse(recent());
+        if (nowNanos - recentStartNanos
+                > RECENT_FRACTION * order.durationMillis() * NANOS_PER_MILLI) {
+            recentStartNanos = nowNanos;
+            recentBaseline = observed.copy();
         }
         return worse;
     }
 
-    private RolloutEvidence lately() {
-        return seen.since(before).plus(waiting);
+    private RolloutEvidence recent() {
+        return observed.since(recentBaseline).plus(pending);
     }
 
-    private void advance(long nowNanos, boolean newServers) {
+    private void advance(long nowNanos, boolean hasNewServers) {
         if (step < 0) {
-            boolean shown = elapsedMillis(nowNanos) >= PROVING_PART * order.durationMillis();
-            if (shown && newServers && mayDecide() && isProved()) {
-                enter(0, nowNanos);
+            boolean collected =
+                    elapsedMillis(nowNanos) >= PROVING_FRACTION * order.durationMillis();
+            if (collected && hasNewServers && mayJudge() && isProved()) {
+                enterStep(0, nowNanos);
             }
             return;
         }
-        if (step < STEPS.length - 1 && isStepOver(nowNanos)) {
-            enter(step + 1, nowNanos);
+        if (step < STEP_SHARES.length - 1 && isStepOver(nowNanos)) {
+            enterStep(step + 1, nowNanos);
         }
     }
 
-    /** A host that may use nothing of the new version sees too little of it to judge. */
-    private boolean mayDecide() {
+    /** A host that may send nothing to the new version has too little evidence to judge it. */
+    private boolean mayJudge() {
         return policy.share() > 0 || policy.slack() > 0;
     }
 
     private boolean isProved() {
-        return VersionJudge.isNoWorse(all().plus(waiting));
+        return VersionJudge.isNoWorse(all().plus(pending));
     }
 
-    /** What came since a step began must speak for itself before the next one. */
-    private boolean isUnsoundStep(long nowNanos) {
+    /**
+     * Returns whether the evidence of the current step, once it is over, speaks against the new
+     * version.
+     */
+    private boolean isStepFailing(long nowNanos) {
         return step >= 0
                 && isStepOver(nowNanos)
-                && !VersionJudge.isSoundLately(seen.since(stepStart).plus(waiting));
+                && !VersionJudge.isSoundInSubset(observed.since(stepBaseline).plus(pending));
     }
 
     private boolean isStepOver(long nowNanos) {
-        long millis = (nowNanos - stepNanos) / NANOS_PER_MILLI;
-        return millis >= STEP_PART * order.durationMillis()
-                || seen.answers(true) - stepStartAnswers >= STEP_ANSWERS;
+        long millis = (nowNanos - stepStartNanos) / NANOS_PER_MILLI;
+        return millis >= MAX_STEP_FRACTION * order.durationMillis()
+                || observed.answers(true) - stepBaselineAnswers >= STEP_ANSWERS;
     }
 
-    private void enter(int next, long nowNanos) {
+    private void enterStep(int next, long nowNanos) {
         step = next;
-        stepNanos = nowNanos;
-        stepStart = seen.copy();
-        stepStartAnswers = seen.answers(true);
-        ofStep = new Sends();
+        stepStartNanos = nowNanos;
+        stepBaseline = observed.copy();
+        stepBaselineAnswers = observed.answers(true);
+        stepSends = new SendCounts();
     }
 
-    /** Returns the evidence, for the log. */
+    /** Formats the evidence for the log. */
     String evidence() {
         RolloutEvidence all = all();
         SpeedShift shift = SpeedShift.of(all);
--- a/src/main/java/org/orioleshed/dispatch/package-info.java
+++ b/src/main/java/org/orioleshed/dispatch/package-info.java
@@ -1,2 +1,5 @@
-/** The decisions of a pool's primary: who runs next, where, and who is turned away. */
+/**
+ * The decisions of a pool's primary: which request runs next, on which server, and which requests
+ * are refused.
+ */
 package org.orioleshed.dispatch;
--- a/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
+++ b/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
@@ -25,23 +25,23 @@
 import org.orioleshed.model.WorkspaceId;
 import org.orioleshed.peer.BadMessageException;
 
-/** Properties of {@link DispatchCodec}. */
+/** Encoded messages decode to equal messages, and malformed bytes are rejected. */
 class DispatchCodecProperties {
     private final DispatchCodec codec = new DispatchCodec();
 
     @Property(tries = 200, seed = "1")
-    void placementRequestsArriveAsSent(
+    void placementRequestsRoundTrip(
             @ForAll long number,
             @ForAll @IntRange(max = 1_000) int rank,
             @ForAll @IntRange(min = -50_000, max = 50_000) int target,
             @ForAll @IntRange(max = 100_000) int tokens,
-            @ForAll boolean paid)
+            @ForAll boolean hasWorkspace)
             throws BadMessageException {
         PlacementRequest request =
                 new PlacementRequest(
                         new ServiceId("s"),
                         new RouteId("r"),
-                        paid ? Optional.of(new WorkspaceId("w")) : Optional.empty(),
+                        hasWorkspace ? Optional.of(new WorkspaceId("w")) : Optional.empty(),
                         new FailureDomain("d"),
                         rank,
                         target,
@@ -50,16 +50,16 @@
                         tokens / 2,
                         tokens,
                         number,
-                        paid ? Set.of(new ServerId("x"), new ServerId("y")) : Set.of());
-        assertSame(
+                        hasWorkspace ? Set.of(new ServerId("x"), new ServerId("y")) : Set.of());
+        assertRoundTrip(
                 new DispatchEvent.PlacementRequested(new RunKey(new HostId("h"), number), request));
     }
 
     @Property(tries = 50, seed = "2")
-    void endsArriveAsSent(@ForAll RunReport.Outcome outcome, @ForAll @IntRange int events)
+    void endsRoundTrip(@ForAll RunReport.Outcome outcome, @ForAll @IntRange int events)
             throws BadMessageException {
         RunReport report = new RunReport(outcome, events, 12, 345);
-        assertSame(new DispatchEvent.Ended(new RunKey(new HostId("h"), 7), report));
+        assertRoundTrip(new DispatchEvent.Ended(new RunKey(new HostId("h"), 7), report));
     }
 
     @Provide
@@ -70,29 +70,29 @@
     }
 
     @Property(tries = 100, seed = "6")
-    void limitsArriveAsStated(@ForAll("limits") StatedLimit limit) throws BadMessageException {
+    void statedLimitsRoundTrip(@ForAll("limits") StatedLimit limit) throws BadMessageException {
         RunKey run = new RunKey(new HostId("h"), 7);
-        assertSame(new DispatchEvent.First(run, 20, limit));
-        assertSame(
+        assertRoundTrip(new DispatchEvent.First(run, 20, limit));
+        assertRoundTrip(
                 new DispatchEvent.Ended(
                         run, new RunReport(RunReport.Outcome.FAILED, 0, 12, 345, limit)));
     }
 
     @Property(tries = 50, seed = "7")
-    void limitsArriveAsReported(
+    void reportedLimitsRoundTrip(
             @ForAll @LongRange long startMillis, @ForAll @DoubleRange(max = 1e9) double perSecond)
             throws BadMessageException {
-        assertSame(
+        assertRoundTrip(
                 new DispatchEvent.ServerLimited(
                         new ServerId("i-1"), startMillis, new StatedLimit.Rate(perSecond)));
     }
 
     @Property(tries = 50, seed = "8")
-    void whatHostsReportArrivesAsSent(
+    void reportsRoundTrip(
             @ForAll long content, @ForAll @IntRange(max = 100) int count, @ForAll boolean isNew)
             throws BadMessageException {
         HostId host = new HostId("h");
-        assertSame(new DispatchEvent.CrashesReported(host, Map.of(content, count)));
+        assertRoundTrip(new DispatchEvent.CrashesReported(host, Map.of(content, count)));
         RolloutTally tally =
                 new RolloutTally(
                         new ServerId("i-1"),
@@ -105,36 +105,35 @@
                         -1.5 * count,
                         3.5 * count);
         RolloutOrder order = new RolloutOrder(new ServiceId("s"), new VersionId("v2"), 12_000, 77);
-        assertSame(new DispatchEvent.RolloutReported(host, order, List.of(tally)));
+        assertRoundTrip(new DispatchEvent.RolloutReported(host, order, List.of(tally)));
     }
 
     @Example
-    void thatAPrimaryStartedArrivesAsSent() throws BadMessageException {
+    void primaryStartedRoundTrips() throws BadMessageException {
         DispatchMessage started = new DispatchMessage.PrimaryStarted();
         assertEquals(codec.decode(codec.encode(started)), started);
     }
 
     @Property(tries = 50, seed = "5")
-    void noticesOfLeavingServersArriveAsSent(@ForAll @LongRange long startMillis)
-            throws BadMessageException {
-        assertSame(new DispatchEvent.ServerLeaving(new ServerId("i-1"), startMillis));
+    void leavingNoticesRoundTrip(@ForAll @LongRange long startMillis) throws BadMessageException {
+        assertRoundTrip(new DispatchEvent.ServerLeaving(new ServerId("i-1"), startMillis));
     }
 
     @Property(tries = 50, seed = "4")
-    void quotasArriveAsHandedOver(@ForAll @DoubleRange(min = -20, max = 1) double part)
+    void handedOverQuotasRoundTrip(@ForAll @DoubleRange(min = -20, max = 1) double part)
             throws BadMessageException {
-        assertSame(
+        assertRoundTrip(
                 new DispatchEvent.QuotasHanded(
                         Map.of(new WorkspaceId("v"), part, new WorkspaceId("w"), 1.0)));
     }
 
-    private void assertSame(DispatchEvent event) throws BadMessageException {
+    private void assertRoundTrip(DispatchEvent event) throws BadMessageException {
         DispatchMessage message = new DispatchMessage.ToPrimary(event);
         assertEquals(codec.decode(codec.encode(message)), message);
     }
 
     @Property(tries = 300, seed = "3")
-    void bytesThatAreNoMessageAreToldAsSuch(@ForAll byte[] bytes) {
+    void rejectsMalformedBytesWithAMessage(@ForAll byte[] bytes) {
         try {
             codec.decode(bytes);
         } catch (BadMessageException e) {
