--- a/src/main/java/org/orioleshed/claim/AbandonedClaims.java
+++ b/src/main/java/org/orioleshed/claim/AbandonedClaims.java
@@ -7,9 +7,12 @@
 import org.orioleshed.model.RequestKey;
 import org.orioleshed.model.RunId;
 
-/** Claims given up while a write of them was under way or its answer lost; they may still land. */
+/**
+ * Claims abandoned while a write of them was pending or its answer lost; the write may still be
+ * applied.
+ */
 final class AbandonedClaims {
-    static final int MAX_WATCHED = 10_000;
+    static final int MAX_TRACKED = 10_000;
 
     private final Map<RunId, RequestKey> keyByRun = new LinkedHashMap<>();
 
@@ -17,21 +20,21 @@
         return keyByRun.isEmpty();
     }
 
-    /** Watches for a claim to land; the oldest is watched no more when there are too many. */
+    /** Tracks an abandoned claim; drops the oldest one if there are too many. */
     void add(RequestKey key, RunId run) {
         keyByRun.put(run, key);
-        if (keyByRun.size() > MAX_WATCHED) {
+        if (keyByRun.size() > MAX_TRACKED) {
             keyByRun.remove(keyByRun.keySet().iterator().next());
         }
     }
 
-    /** Returns the claims that {@code head} shows to have landed, and watches them no more. */
-    List<ClaimRecord> takeLanded(ClaimHead head) {
-        List<ClaimRecord> landed = new ArrayList<>();
+    /** Removes and returns the claims that are present in {@code head}. */
+    List<ClaimRecord> removeApplied(ClaimHead head) {
+        List<ClaimRecord> applied = new ArrayList<>();
         for (Map.Entry<RunId, RequestKey> entry : keyByRun.entrySet()) {
-            head.find(entry.getValue(), entry.getKey()).ifPresent(landed::add);
+            head.find(entry.getValue(), entry.getKey()).ifPresent(applied::add);
         }
-        landed.forEach(record -> keyByRun.remove(record.run()));
-        return landed;
+        applied.forEach(record -> keyByRun.remove(record.run()));
+        return applied;
     }
 }
--- a/src/main/java/org/orioleshed/claim/Bucket.java
+++ b/src/main/java/org/orioleshed/claim/Bucket.java
@@ -11,25 +11,25 @@
 import org.orioleshed.request.Claims;
 
 /**
- * The claims of one bucket of keys. New ones are written in groups into the bucket's head, a single
- * key of the store, by compare-and-swap: so of two hosts that claim one key, one sees the other. A
- * full head is moved to a page first; pages are only ever added to, until they are older than the
- * retention.
+ * The claims of one bucket of keys. New claims are written in batches to the bucket's head, a
+ * single key of the store, by compare-and-swap, so that of two hosts that claim the same key one
+ * sees the other's claim. The claims of a full head are moved to a page first. Pages are only
+ * appended to, until they exceed the retention time.
  *
- * <p>One call on the store is under way at a time. A write whose answer is lost is settled by
- * reading the head back: a claim is there under its own run, or it is written again.
+ * <p>At most one store call is pending at a time. After a write whose answer was lost, the head is
+ * read back: a claim is present under its own run, or it is written again.
  */
 final class Bucket {
     private final ClaimLimits limits;
     private final StoreCalls store;
     private final BucketCalls calls;
     private final BucketQueue queue;
-    private final KnownHead known = new KnownHead();
+    private final CachedHead cachedHead = new CachedHead();
     private final PageRotation pageRotation;
     private boolean pumping;
 
-    /** All that registered up to here may rely on the head as it is known. */
-    private long fresh = -1;
+    /** The head was read after all claims and lookups up to this number were registered. */
+    private long freshThrough = -1;
 
     Bucket(String prefix, ClaimLimits limits, StoreCalls store) {
         this.limits = limits;
@@ -40,7 +40,7 @@
                 new PageRotation(
                         limits,
                         calls,
-                        known,
+                        cachedHead,
                         (nowNanos, empty) -> writeHead(nowNanos, empty, List.of()));
     }
 
@@ -49,9 +49,9 @@
             RequestKey key,
             RunId run,
             Optional<RunId> replaces,
-            boolean own,
+            boolean local,
             PendingClaim.Settled settled) {
-        queue.addClaim(nowNanos, key, run, replaces, own, settled);
+        queue.addClaim(nowNanos, key, run, replaces, local, settled);
         pump(nowNanos);
     }
 
@@ -60,12 +60,12 @@
         pump(nowNanos);
     }
 
-    void record(long nowNanos, RequestKey key, RunId run, Outcome outcome, Runnable written) {
-        queue.addOutcome(nowNanos, key, run, outcome, written);
+    void record(long nowNanos, RequestKey key, RunId run, Outcome outcome, Runnable onWritten) {
+        queue.addOutcome(nowNanos, key, run, outcome, onWritten);
         pump(nowNanos);
     }
 
-    /** Gives up on a claim; should it land all the same, its key is freed again. */
+    /** Abandons a claim; if its write is applied later, its key is released again. */
     void abandon(RequestKey key, RunId run) {
         queue.abandon(key, run);
     }
@@ -75,10 +75,10 @@
     }
 
     boolean isIdle() {
-        return queue.isIdle(calls.isBusy() || !known.isKnown());
+        return queue.isIdle(calls.isBusy() || !cachedHead.isLoaded());
     }
 
-    /** Reads the head for the first time, or to see whether the store is back. */
+    /** Reads the head to check whether the store is available. */
     void probe(long nowNanos) {
         if (!calls.isBusy()) {
             readHead(nowNanos);
@@ -90,7 +90,7 @@
         pump(nowNanos);
     }
 
-    /** Does the next thing that is due, unless a call on the store is under way. */
+    /** Performs the next step that is due, unless a store call is pending. */
     private void pump(long nowNanos) {
         if (pumping || !calls.mayStart(nowNanos) || !queue.isDue(nowNanos, mayRead())) {
             return;
@@ -101,15 +101,15 @@
     }
 
     private boolean mayRead() {
-        return !known.isKnown() && !store.isUnavailable();
+        return !cachedHead.isLoaded() && !store.isUnavailable();
     }
 
     private void step(long nowNanos) {
-        if (!known.isKnown() || queue.needsHeadAfter(fresh, known.head())) {
+        if (!cachedHead.isLoaded() || queue.needsHeadAfter(freshThrough, cachedHead.head())) {
             readHead(nowNanos);
             return;
         }
-        Optional<PageRef> missing = known.missingPage();
+        Optional<PageRef> missing = cachedHead.missingPage();
         if (missing.isPresent()) {
             readPage(nowNanos, missing.get(), page -> {});
             return;
@@ -121,12 +121,12 @@
     }
 
     private void readHead(long nowNanos) {
-        long upTo = queue.lastRegistered();
+        long readThrough = queue.lastRegistered();
         calls.readHead(
                 nowNanos,
                 (now, answer) -> {
                     if (answer instanceof StoreAnswer.Value value && adopt(now, value)) {
-                        fresh = upTo;
+                        freshThrough = readThrough;
                         calls.succeeded();
                     } else {
                         calls.failed(now);
@@ -134,17 +134,17 @@
                 });
     }
 
-    /** Returns whether the head that was read is the one known from now on. */
+    /** Returns whether the head that was read is now the cached one. */
     private boolean adopt(long nowNanos, StoreAnswer.Value value) {
-        KnownHead.Adoption adoption = known.adopt(nowNanos, value);
-        if (adoption == KnownHead.Adoption.CHANGED) {
-            queue.forgetPages();
-            queue.settleLanded(nowNanos, known.head());
+        CachedHead.Adoption adoption = cachedHead.adopt(nowNanos, value);
+        if (adoption == CachedHead.Adoption.CHANGED) {
+            queue.resetClearedPages();
+            queue.settleApplied(nowNanos, cachedHead.head());
         }
-        return adoption != KnownHead.Adoption.REFUSED;
+        return adoption != CachedHead.Adoption.REFUSED;
     }
 
-    /** Takes a page that was read. */
+    /** Receives a page that was read. */
     private interface PageReader {
         void read(ClaimPage page);
     }
@@ -154,24 +154,24 @@
                 nowNanos,
                 ref.slot(),
                 (now, answer) -> {
-                    Optional<ClaimPage> page = ClaimPage.in(answer).filter(ref::isMetBy);
+                    Optional<ClaimPage> page = ClaimPage.in(answer).filter(ref::matches);
                     if (page.isPresent()) {
                         calls.succeeded();
-                        known.learn(page.get());
+                        cachedHead.addPage(page.get());
                         reader.read(page.get());
                         return;
                     }
                     if (answer instanceof StoreAnswer.Value) {
-                        known.forget();
+                        cachedHead.invalidate();
                     }
                     calls.failed(now);
                 });
     }
 
-    /** Settles look-ups until a page has to be read for one. */
+    /** Settles lookups until one requires a page to be read. */
     private void settleLookUps(long nowNanos) {
         for (PendingClaim lookUp : queue.lookUps()) {
-            switch (known.stateFor(lookUp)) {
+            switch (cachedHead.stateFor(lookUp)) {
                 case KeyState.Free free -> queue.settle(nowNanos, lookUp, new Claims.Result.Free());
                 case KeyState.Taken taken -> queue.settle(nowNanos, lookUp, taken.result());
                 case KeyState.InPage in -> {
@@ -182,7 +182,9 @@
         }
     }
 
-    /** Settles a claim by the page that may hold its key, or clears that page for it. */
+    /**
+     * Settles a claim by the page that may contain its key, or marks the page as cleared for it.
+     */
     private void settleByPage(long nowNanos, PendingClaim claim, ClaimPage page) {
         Optional<ClaimRecord> present = page.find(claim.key);
         if (present.isEmpty()) {
@@ -190,7 +192,7 @@
             return;
         }
         if (claim.mayReplace(present.get())) {
-            claim.cleared.addAll(known.generationsUpTo(page.generation()));
+            claim.cleared.addAll(cachedHead.generationsUpTo(page.generation()));
             return;
         }
         Claims.Result result =
@@ -198,13 +200,16 @@
         queue.settle(nowNanos, claim, result);
     }
 
-    /** Writes what is due, or moves the head's claims to a page when nothing fits in. */
+    /** Writes what is due, or moves the head's claims to a page if nothing fits. */
     private void write(long nowNanos) {
-        ClaimHead current = known.head().at(known.clockMillis(nowNanos), limits.retentionMillis());
+        ClaimHead current =
+                cachedHead
+                        .head()
+                        .advancedTo(cachedHead.clockMillis(nowNanos), limits.retentionMillis());
         HeadWrite next = new HeadWrite(current, limits.headBytes());
         for (PendingClaim claim : queue.claims()) {
-            switch (known.stateFor(claim)) {
-                case KeyState.Free free -> next.claim(claim);
+            switch (cachedHead.stateFor(claim)) {
+                case KeyState.Free free -> next.addClaim(claim);
                 case KeyState.Taken taken -> queue.settle(nowNanos, claim, taken.result());
                 case KeyState.InPage in -> {
                     readPage(nowNanos, in.page(), page -> settleByPage(nowNanos, claim, page));
@@ -212,27 +217,27 @@
                 }
             }
         }
-        queue.outcomes().forEach(next::end);
+        queue.outcomes().forEach(next::addOutcome);
         if (next.isDue(nowNanos)) {
-            writeHead(nowNanos, next.head(), next.ends());
+            writeHead(nowNanos, next.head(), next.outcomes());
         } else if (next.isFull()) {
             pageRotation.start(nowNanos);
         }
     }
 
-    private void writeHead(long nowNanos, ClaimHead next, List<PendingOutcome> ends) {
+    private void writeHead(long nowNanos, ClaimHead next, List<PendingOutcome> outcomes) {
         calls.swapHead(
                 nowNanos,
-                known.revision(),
+                cachedHead.revision(),
                 next,
                 (now, answer) -> {
                     if (answer instanceof StoreAnswer.Swapped swapped) {
                         calls.succeeded();
-                        known.set(nowNanos, next, swapped.revision());
+                        cachedHead.set(nowNanos, next, swapped.revision());
                         long spacing = TimeUnit.MILLISECONDS.toNanos(limits.spacingMillis());
                         calls.pauseUntil(nowNanos + spacing);
-                        queue.written(ends);
-                        queue.settleLanded(now, next);
+                        queue.onWritten(outcomes);
+                        queue.settleApplied(now, next);
                     } else {
                         writeFailed(now, answer);
                     }
@@ -240,7 +245,7 @@
     }
 
     private void writeFailed(long nowNanos, StoreAnswer answer) {
-        known.forget();
+        cachedHead.invalidate();
         if (!(answer instanceof StoreAnswer.Conflict conflict)) {
             calls.failed(nowNanos);
             return;
--- a/src/main/java/org/orioleshed/claim/BucketCalls.java
+++ b/src/main/java/org/orioleshed/claim/BucketCalls.java
@@ -3,39 +3,39 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
 
-/** The calls of one bucket on the store: one at a time, with a pause after each that failed. */
+/** The store calls of one bucket: one at a time, with exponential backoff after failures. */
 final class BucketCalls {
     private static final long FIRST_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    private static final int MAX_RETRY_BITS = 5;
+    private static final int MAX_RETRY_DOUBLINGS = 5;
 
     private final String headKey;
     private final StoreCalls store;
-    private final LongConsumer afterwards;
+    private final LongConsumer onFinished;
     private boolean busy;
-    private long nextTryNanos;
+    private long nextAttemptNanos;
     private int failures;
 
     /**
-     * Makes calls for a bucket that has made none.
+     * Creates an instance without a pending call.
      *
-     * @param headKey the store's key of the head; those of the pages lie below it
-     * @param store takes the calls
-     * @param afterwards is told the time after each answer was handled
+     * @param headKey the store key of the head, which prefixes the keys of the pages
+     * @param store performs the calls
+     * @param onFinished receives the time after each answer was handled
      */
-    BucketCalls(String headKey, StoreCalls store, LongConsumer afterwards) {
+    BucketCalls(String headKey, StoreCalls store, LongConsumer onFinished) {
         this.headKey = headKey;
         this.store = store;
-        this.afterwards = afterwards;
+        this.onFinished = onFinished;
     }
 
-    /** Returns whether a call is under way. */
+    /** Returns whether a call is pending. */
     boolean isBusy() {
         return busy;
     }
 
-    /** Returns whether no call is under way and none has to be waited for. */
+    /** Returns whether no call is pending and the pause after the last one is over. */
     boolean mayStart(long nowNanos) {
-        return !busy && nowNanos >= nextTryNanos;
+        return !busy && nowNanos >= nextAttemptNanos;
     }
 
     void readHead(long nowNanos, StoreCalls.Handler handler) {
@@ -59,26 +59,27 @@
         store.swap(nowNanos, pageKey(slot), revision, ClaimCodec.encode(next), finishing(handler));
     }
 
-    /** Notes that the store answered, so that the next failure pauses shortly again. */
+    /** Resets the backoff after the store answered. */
     void succeeded() {
         failures = 0;
     }
 
-    /** Pauses, for longer after each failure in a row. */
+    /** Backs off; the pause doubles with each consecutive failure, up to a limit. */
     void failed(long nowNanos) {
-        nextTryNanos = nowNanos + (FIRST_RETRY_NANOS << Math.min(failures, MAX_RETRY_BITS));
+        nextAttemptNanos =
+                nowNanos + (FIRST_RETRY_NANOS << Math.min(failures, MAX_RETRY_DOUBLINGS));
         failures++;
     }
 
     void pauseUntil(long untilNanos) {
-        nextTryNanos = untilNanos;
+        nextAttemptNanos = untilNanos;
     }
 
     private StoreCalls.Handler finishing(StoreCalls.Handler handler) {
         return (nowNanos, answer) -> {
             busy = false;
             handler.answered(nowNanos, answer);
-            afterwards.accept(nowNanos);
+            onFinished.accept(nowNanos);
         };
     }
 
--- a/src/main/java/org/orioleshed/claim/BucketQueue.java
+++ b/src/main/java/org/orioleshed/claim/BucketQueue.java
@@ -13,9 +13,9 @@
 import org.orioleshed.request.Claims;
 
 /**
- * What waits in one bucket: claims and outcomes to be written, and look-ups to be answered. Claims
- * and look-ups are numbered as they come, so that a head read later than a number is known to show
- * what other runs had done by then.
+ * The pending operations of one bucket: claims and outcomes to be written, and lookups to be
+ * answered. Claims and lookups are numbered in order of arrival, so that a head read after a number
+ * was assigned shows what other runs had written by then.
  */
 final class BucketQueue {
     private final ClaimLimits limits;
@@ -23,7 +23,7 @@
     private final List<PendingClaim> lookUps = new ArrayList<>();
     private final Map<RunId, PendingOutcome> outcomes = new LinkedHashMap<>();
     private final AbandonedClaims abandoned = new AbandonedClaims();
-    private long registered;
+    private long lastRegistered;
 
     BucketQueue(ClaimLimits limits) {
         this.limits = limits;
@@ -34,9 +34,9 @@
             RequestKey key,
             RunId run,
             Optional<RunId> replaces,
-            boolean own,
+            boolean local,
             PendingClaim.Settled settled) {
-        claims.put(run, pending(nowNanos, key, Optional.of(run), replaces, own, settled));
+        claims.put(run, pending(nowNanos, key, Optional.of(run), replaces, local, settled));
     }
 
     void addLookUp(long nowNanos, RequestKey key, PendingClaim.Settled settled) {
@@ -48,25 +48,28 @@
             RequestKey key,
             Optional<RunId> run,
             Optional<RunId> replaces,
-            boolean own,
+            boolean local,
             PendingClaim.Settled settled) {
-        long until = nowNanos + TimeUnit.MILLISECONDS.toNanos(limits.waitMillis());
-        return new PendingClaim(key, run, replaces, own, until, ++registered, settled);
+        long deadlineNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(limits.waitMillis());
+        return new PendingClaim(
+                key, run, replaces, local, deadlineNanos, ++lastRegistered, settled);
     }
 
-    /** Takes the outcome of a run; one "not run" is claimed no more. */
-    void addOutcome(long nowNanos, RequestKey key, RunId run, Outcome outcome, Runnable written) {
+    /**
+     * Adds the outcome of a run; a pending claim of the run is removed if the outcome is "not run".
+     */
+    void addOutcome(long nowNanos, RequestKey key, RunId run, Outcome outcome, Runnable onWritten) {
         if (outcome instanceof Outcome.NotRun) {
             claims.remove(run);
-            if (outcomes.size() >= AbandonedClaims.MAX_WATCHED) {
+            if (outcomes.size() >= AbandonedClaims.MAX_TRACKED) {
                 return;
             }
         }
-        long due = nowNanos + TimeUnit.MILLISECONDS.toNanos(limits.recordDelayMillis());
-        outcomes.put(run, new PendingOutcome(key, run, outcome, due, written));
+        long dueNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(limits.recordDelayMillis());
+        outcomes.put(run, new PendingOutcome(key, run, outcome, dueNanos, onWritten));
     }
 
-    /** Gives up on a claim; should it land all the same, its key is freed again. */
+    /** Abandons a claim; if its write is applied later, its key is released again. */
     void abandon(RequestKey key, RunId run) {
         claims.remove(run);
         abandoned.add(key, run);
@@ -77,18 +80,19 @@
     }
 
     /**
-     * Returns whether nothing waits to be written.
+     * Returns whether nothing is waiting to be written.
      *
-     * @param mayLand whether a write was not heard of, so that a claim given up may stand unseen
+     * @param mayBeApplied whether the answer to a write is missing, so that an abandoned claim may
+     *     have been stored
      */
-    boolean isIdle(boolean mayLand) {
-        return claims.isEmpty() && outcomes.isEmpty() && (abandoned.isEmpty() || !mayLand);
+    boolean isIdle(boolean mayBeApplied) {
+        return claims.isEmpty() && outcomes.isEmpty() && (abandoned.isEmpty() || !mayBeApplied);
     }
 
     /**
-     * Returns whether there is something to do now.
+     * Returns whether an operation is due.
      *
-     * @param mayRead whether the head is not known and the store is there to be asked
+     * @param mayRead whether the head is not loaded and the store is available
      */
     boolean isDue(long nowNanos, boolean mayRead) {
         return !claims.isEmpty()
@@ -97,19 +101,28 @@
                 || outcomes.values().stream().anyMatch(outcome -> outcome.isDue(nowNanos));
     }
 
-    /** Returns the number of the latest claim or look-up. */
+    /** Returns the number of the latest claim or lookup. */
     long lastRegistered() {
-        return registered;
+        return lastRegistered;
     }
 
-    /** Returns whether a question later than {@code fresh} waits that needs the head read anew. */
-    boolean needsHeadAfter(long fresh, ClaimHead head) {
-        return lookUps.stream().anyMatch(lookUp -> lookUp.registered > fresh)
+    /**
+     * Returns whether a claim or lookup registered after {@code freshThrough} requires the head to
+     * be read again.
+     */
+    boolean needsHeadAfter(long freshThrough, ClaimHead head) {
+        return lookUps.stream().anyMatch(lookUp -> lookUp.registered > freshThrough)
                 || claims.values().stream()
-                        .anyMatch(claim -> claim.registered > fresh && isContested(claim, head));
+                        .anyMatch(
+                                claim ->
+                                        claim.registered > freshThrough
+                                                && isContested(claim, head));
     }
 
-    /** Returns whether a run without an outcome has the key, which may have changed meanwhile. */
+    /**
+     * Returns whether another run without an outcome holds the key in the head, which may be out of
+     * date.
+     */
     private static boolean isContested(PendingClaim claim, ClaimHead head) {
         ClaimRecord present = head.records().get(claim.key);
         return present != null && present.outcome().isEmpty() && !claim.isOf(present);
@@ -127,70 +140,79 @@
         return List.copyOf(outcomes.values());
     }
 
-    /** Tells whoever asked that the store is away, for all that waited too long. */
+    /**
+     * Settles claims and lookups as unavailable: those that timed out, or all if the store is
+     * unavailable.
+     */
     void expire(long nowNanos, boolean storeUnavailable) {
         expire(nowNanos, storeUnavailable, claims.values().iterator());
         expire(nowNanos, storeUnavailable, lookUps.iterator());
     }
 
     private void expire(long nowNanos, boolean storeUnavailable, Iterator<PendingClaim> all) {
-        List<PendingClaim> late = new ArrayList<>();
+        List<PendingClaim> expired = new ArrayList<>();
         while (all.hasNext()) {
             PendingClaim claim = all.next();
-            if (nowNanos >= claim.untilNanos || storeUnavailable) {
+            if (nowNanos >= claim.deadlineNanos || storeUnavailable) {
                 all.remove();
-                late.add(claim);
+                expired.add(claim);
             }
         }
-        for (PendingClaim claim : late) {
-            if (claim.own) {
+        for (PendingClaim claim : expired) {
+            if (claim.local) {
                 claim.run.ifPresent(run -> abandon(claim.key, run));
             }
             claim.settled.settled(nowNanos, new Claims.Result.Unavailable());
         }
     }
 
-    /** Settles a claim or look-up. */
+    /** Settles a claim or lookup. */
     void settle(long nowNanos, PendingClaim claim, Claims.Result result) {
         lookUps.remove(claim);
         claim.run.ifPresent(claims::remove);
         claim.settled.settled(nowNanos, result);
     }
 
-    /** Settles outcomes that were written, but not those replaced meanwhile. */
-    void written(List<PendingOutcome> ends) {
-        ends.forEach(end -> outcomes.remove(end.run(), end));
-        ends.forEach(end -> end.written().run());
+    /**
+     * Removes outcomes that were written, except those replaced meanwhile, and notifies their
+     * owners.
+     */
+    void onWritten(List<PendingOutcome> written) {
+        written.forEach(outcome -> outcomes.remove(outcome.run(), outcome));
+        written.forEach(outcome -> outcome.onWritten().run());
     }
 
-    /** Forgets which pages were found to hold nothing of interest, since the pages are others. */
-    void forgetPages() {
+    /** Resets the cleared pages of all claims and lookups, as the head and its pages changed. */
+    void resetClearedPages() {
         claims.values().forEach(claim -> claim.cleared.clear());
         lookUps.forEach(lookUp -> lookUp.cleared.clear());
     }
 
-    /** Settles what {@code head} shows to be written, as after a write whose answer was lost. */
-    void settleLanded(long nowNanos, ClaimHead head) {
+    /**
+     * Settles the claims and outcomes that are present in {@code head}, for instance after a write
+     * whose answer was lost.
+     */
+    void settleApplied(long nowNanos, ClaimHead head) {
         for (PendingClaim claim : claims()) {
             if (head.find(claim.key, claim.run.orElseThrow()).isPresent()) {
                 settle(nowNanos, claim, new Claims.Result.Acquired());
             }
         }
-        for (ClaimRecord landed : abandoned.takeLanded(head)) {
-            free(nowNanos, landed);
+        for (ClaimRecord applied : abandoned.removeApplied(head)) {
+            release(nowNanos, applied);
         }
         for (PendingOutcome outcome : outcomes()) {
             if (head.find(outcome.key(), outcome.run()).flatMap(ClaimRecord::outcome).isPresent()) {
                 outcomes.remove(outcome.run());
-                outcome.written().run();
+                outcome.onWritten().run();
             }
         }
     }
 
-    private void free(long nowNanos, ClaimRecord landed) {
-        Outcome never = new Outcome.NotRun(Outcome.NotRunReason.STORE_AWAY, 0);
+    private void release(long nowNanos, ClaimRecord applied) {
+        Outcome notSent = new Outcome.NotRun(Outcome.NotRunReason.STORE_AWAY, 0);
         outcomes.putIfAbsent(
-                landed.run(),
-                new PendingOutcome(landed.key(), landed.run(), never, nowNanos, () -> {}));
+                applied.run(),
+                new PendingOutcome(applied.key(), applied.run(), notSent, nowNanos, () -> {}));
     }
 }
--- a/src/main/java/org/orioleshed/claim/KnownHead.java
+++ b/src/main/java/org/orioleshed/claim/CachedHead.java
@@ -8,25 +8,25 @@
 import org.orioleshed.host.HostEvent.StoreAnswer;
 import org.orioleshed.model.Payload;
 
-/** A bucket's head as it was last read or written, and which keys its pages may hold. */
-final class KnownHead {
+/** A bucket's head as last read or written, and an index of the keys in its pages. */
+final class CachedHead {
     private final PageIndex index = new PageIndex();
     private ClaimHead head;
     private long revision;
-    private long atNanos;
+    private long updatedNanos;
 
-    /** What came of taking over a head that was read. */
+    /** The result of adopting a head that was read. */
     enum Adoption {
-        /** It is unreadable, or older than the one known. */
+        /** The head is malformed, or older than the cached one. */
         REFUSED,
-        /** It is the one known. */
+        /** The head is the cached one. */
         SAME,
-        /** It is another one, known from now on. */
+        /** The head is newer and replaces the cached one. */
         CHANGED
     }
 
-    /** Returns whether the head is known; else it must be read before anything else is asked. */
-    boolean isKnown() {
+    /** Returns whether a head is cached; otherwise it has to be read first. */
+    boolean isLoaded() {
         return head != null;
     }
 
@@ -38,17 +38,17 @@
         return revision;
     }
 
-    /** Returns the bucket's clock, which the head carries, at a time of this host's clock. */
+    /** Returns the bucket's clock, which is stored in the head, at a time of this host's clock. */
     long clockMillis(long nowNanos) {
-        return head.clockMillis() + TimeUnit.NANOSECONDS.toMillis(nowNanos - atNanos);
+        return head.clockMillis() + TimeUnit.NANOSECONDS.toMillis(nowNanos - updatedNanos);
     }
 
-    /** Returns a page that the head names and that was not read yet as it names it. */
+    /** Returns a page referenced by the head that is not indexed at the referenced version. */
     Optional<PageRef> missingPage() {
         return index.missing(head.pages());
     }
 
-    void forget() {
+    void invalidate() {
         head = null;
     }
 
@@ -78,20 +78,20 @@
         }
     }
 
-    /** Takes over a head that was read or written. */
-    void set(long nowNanos, ClaimHead now, long nowRevision) {
-        head = now;
-        revision = nowRevision;
-        atNanos = nowNanos;
-        index.retain(now.pages());
+    /** Caches a head that was read or written. */
+    void set(long nowNanos, ClaimHead newHead, long newRevision) {
+        head = newHead;
+        revision = newRevision;
+        updatedNanos = nowNanos;
+        index.retain(newHead.pages());
     }
 
-    /** Takes over a page that was read or written. */
-    void learn(ClaimPage page) {
+    /** Indexes a page that was read or written. */
+    void addPage(ClaimPage page) {
         index.put(page);
     }
 
-    /** Returns what is known of the key of a claim or look-up. */
+    /** Returns the state of the key of a claim or lookup. */
     KeyState stateFor(PendingClaim claim) {
         ClaimRecord present = head.records().get(claim.key);
         if (present != null) {
--- a/src/main/java/org/orioleshed/claim/ClaimCodec.java
+++ b/src/main/java/org/orioleshed/claim/ClaimCodec.java
@@ -13,54 +13,54 @@
 import org.orioleshed.request.WireForms;
 import org.orioleshed.wire.ClaimWire;
 
-/** The protobuf form of heads and pages in the store. */
+/** Encodes and decodes heads and pages as protobuf. */
 final class ClaimCodec {
     private ClaimCodec() {}
 
-    /** The value of a key in the store is no head or page. */
+    /** Thrown if a stored value is not a valid head or page. */
     static final class BadPageException extends Exception {
         private static final long serialVersionUID = 1L;
 
         BadPageException(Exception cause) {
-            super("no page of claims: " + cause.getMessage(), cause);
+            super("malformed head or page of claims: " + cause.getMessage(), cause);
         }
     }
 
     static Payload encode(ClaimHead head) {
-        ClaimWire.Head.Builder form =
+        ClaimWire.Head.Builder proto =
                 ClaimWire.Head.newBuilder()
                         .setClockMillis(head.clockMillis())
                         .setNextGeneration(head.nextGeneration());
-        head.records().values().forEach(record -> form.addRecords(record(record)));
+        head.records().values().forEach(record -> proto.addRecords(record(record)));
         for (PageRef page : head.pages()) {
-            form.addPagesBuilder()
+            proto.addPagesBuilder()
                     .setSlot(page.slot())
                     .setGeneration(page.generation())
                     .setVersion(page.version())
                     .setNewestMillis(page.newestMillis());
         }
-        return Payload.of(form.build().toByteArray());
+        return Payload.of(proto.build().toByteArray());
     }
 
     static Payload encode(ClaimPage page) {
-        ClaimWire.Page.Builder form =
+        ClaimWire.Page.Builder proto =
                 ClaimWire.Page.newBuilder()
                         .setGeneration(page.generation())
                         .setVersion(page.version());
-        page.records().forEach(record -> form.addRecords(record(record)));
-        return Payload.of(form.build().toByteArray());
+        page.records().forEach(record -> proto.addRecords(record(record)));
+        return Payload.of(proto.build().toByteArray());
     }
 
     static ClaimHead head(Payload bytes) throws BadPageException {
         try {
-            ClaimWire.Head form = ClaimWire.Head.parseFrom(bytes.toBytes());
+            ClaimWire.Head proto = ClaimWire.Head.parseFrom(bytes.toBytes());
             Map<RequestKey, ClaimRecord> records = new LinkedHashMap<>();
-            for (ClaimWire.Record record : form.getRecordsList()) {
-                ClaimRecord read = record(record);
-                records.put(read.key(), read);
+            for (ClaimWire.Record record : proto.getRecordsList()) {
+                ClaimRecord decoded = record(record);
+                records.put(decoded.key(), decoded);
             }
             List<PageRef> pages = new ArrayList<>();
-            for (ClaimWire.PageRef page : form.getPagesList()) {
+            for (ClaimWire.PageRef page : proto.getPagesList()) {
                 pages.add(
                         new PageRef(
                                 page.getSlot(),
@@ -69,7 +69,7 @@
                                 page.getNewestMillis()));
             }
             return new ClaimHead(
-                    form.getClockMillis(), form.getNextGeneration(), records, List.copyOf(pages));
+                    proto.getClockMillis(), proto.getNextGeneration(), records, List.copyOf(pages));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
             throw new BadPageException(e);
         }
@@ -77,34 +77,34 @@
 
     static ClaimPage page(Payload bytes) throws BadPageException {
         try {
-            ClaimWire.Page form = ClaimWire.Page.parseFrom(bytes.toBytes());
+            ClaimWire.Page proto = ClaimWire.Page.parseFrom(bytes.toBytes());
             List<ClaimRecord> records = new ArrayList<>();
-            form.getRecordsList().forEach(record -> records.add(record(record)));
-            return new ClaimPage(form.getGeneration(), form.getVersion(), records);
+            proto.getRecordsList().forEach(record -> records.add(record(record)));
+            return new ClaimPage(proto.getGeneration(), proto.getVersion(), records);
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
             throw new BadPageException(e);
         }
     }
 
     private static ClaimWire.Record record(ClaimRecord record) {
-        ClaimWire.Record.Builder form =
+        ClaimWire.Record.Builder proto =
                 ClaimWire.Record.newBuilder()
                         .setKey(WireForms.of(record.key()))
                         .setRun(WireForms.of(record.run()))
                         .setAtMillis(record.atMillis());
-        record.outcome().ifPresent(outcome -> form.setOutcome(WireForms.of(outcome)));
-        return form.build();
+        record.outcome().ifPresent(outcome -> proto.setOutcome(WireForms.of(outcome)));
+        return proto.build();
     }
 
-    private static ClaimRecord record(ClaimWire.Record form) {
+    private static ClaimRecord record(ClaimWire.Record proto) {
         Optional<Outcome> outcome =
-                form.hasOutcome()
-                        ? Optional.of(WireForms.outcome(form.getOutcome()))
+                proto.hasOutcome()
+                        ? Optional.of(WireForms.outcome(proto.getOutcome()))
                         : Optional.empty();
         return new ClaimRecord(
-                WireForms.key(form.getKey()),
-                WireForms.run(form.getRun()),
-                form.getAtMillis(),
+                WireForms.key(proto.getKey()),
+                WireForms.run(proto.getRun()),
+                proto.getAtMillis(),
                 outcome);
     }
 }
--- a/src/main/java/org/orioleshed/claim/ClaimCore.java
+++ b/src/main/java/org/orioleshed/claim/ClaimCore.java
@@ -25,53 +25,55 @@
 import org.orioleshed.request.RequestMessage.OutcomeRequested;
 
 /**
- * The claims of this host. Keys are divided over buckets; each bucket has one writer at a time, the
- * host that wins rendezvous hashing, which groups the claims of all hosts into few writes. The
- * choice of the writer is for speed alone: a host whose writer does not answer writes by itself,
- * and the compare-and-swap keeps both safe. Whoever writes a claim, it names the host that asked,
- * and that host alone sends the call.
+ * The claims of this host. Keys are partitioned into buckets. Each bucket has one writer at a time,
+ * chosen by rendezvous hashing, which batches the claims of all hosts into few writes. The writer
+ * is only an optimization: a host whose writer does not answer writes the claim itself, and
+ * compare-and-swap keeps both writes safe. Regardless of which host writes a claim, it names the
+ * host that requested it, and only that host sends the call.
  */
 public final class ClaimCore implements Claims {
     private static final String PREFIX = "orioleshed/claims/";
 
-    /** How long a writer may take before the claim is written by its own host. */
-    private static final long WRITER_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+    /** How long to wait for the writer before the requesting host writes a claim itself. */
+    private static final long WRITER_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-    /** How often an outcome is sent to its writer before its own host writes it. */
-    private static final int OUTCOME_TRIES = 3;
+    /** How often an outcome is sent to the writer before this host writes it itself. */
+    private static final int MAX_OUTCOME_ATTEMPTS = 3;
 
-    private static final long OUTCOME_REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    private static final long OUTCOME_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-    private static final int MAX_GIVEN_UP = 10_000;
+    private static final int MAX_ABANDONED = 10_000;
 
-    /** The outcome of a claim that was given up. */
-    private static final Outcome NEVER = new Outcome.NotRun(Outcome.NotRunReason.STORE_AWAY, 0);
+    /** The outcome of an abandoned claim. */
+    private static final Outcome NEVER_SENT =
+            new Outcome.NotRun(Outcome.NotRunReason.STORE_AWAY, 0);
 
     private final HostId self;
     private final ClaimLimits limits;
     private final Consumer<HostAction> out;
     private final StoreCalls store;
     private final List<Bucket> buckets = new ArrayList<>();
-    private final Map<RunId, Asked> asked = new LinkedHashMap<>();
-    private final Map<RunId, RequestedOutcome> askedOutcomes = new LinkedHashMap<>();
-    private final Map<RunId, RequestKey> givenUp = new LinkedHashMap<>();
-    private final Deque<Runnable> settled = new ArrayDeque<>();
+    private final Map<RunId, RequestedClaim> requestedClaims = new LinkedHashMap<>();
+    private final Map<RunId, RequestedOutcome> requestedOutcomes = new LinkedHashMap<>();
+    private final Map<RunId, RequestKey> abandoned = new LinkedHashMap<>();
+    private final Deque<Runnable> notifications = new ArrayDeque<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private Claims.Listener listener;
 
-    /** A claim that the bucket's writer was asked for. */
-    private record Asked(
-            RequestKey key, Optional<RunId> replaces, HostId writer, long fallBackNanos) {}
+    /** A claim requested from the bucket's writer. */
+    private record RequestedClaim(
+            RequestKey key, Optional<RunId> replaces, HostId writer, long fallbackNanos) {}
 
-    /** An outcome that the bucket's writer was asked to record. */
-    private record RequestedOutcome(RequestKey key, Outcome outcome, int tries, long nextNanos) {}
+    /** An outcome sent to the bucket's writer to be recorded. */
+    private record RequestedOutcome(
+            RequestKey key, Outcome outcome, int attempts, long retryNanos) {}
 
     /**
-     * Makes the claims of a host that has asked the store nothing yet.
+     * Creates an instance without claims.
      *
      * @param self the host
-     * @param limits the bounds to keep to
-     * @param out takes the actions, in order
+     * @param limits the limits to enforce
+     * @param out receives the actions, in order
      */
     public ClaimCore(HostId self, ClaimLimits limits, Consumer<HostAction> out) {
         this.self = self;
@@ -83,23 +85,25 @@
         }
     }
 
-    /** Sets who hears what became of claims; must be called before the first claim. */
-    public void listener(Claims.Listener claimant) {
-        this.listener = claimant;
+    /** Sets the listener for the results of claims; must be called before the first claim. */
+    public void listener(Claims.Listener newListener) {
+        this.listener = newListener;
     }
 
     @Override
     public void claim(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces) {
         Optional<HostId> writer = otherWriter(key);
         if (writer.isEmpty()) {
-            claimHere(nowNanos, key, run, replaces);
+            claimLocally(nowNanos, key, run, replaces);
             return;
         }
-        asked.put(run, new Asked(key, replaces, writer.get(), nowNanos + WRITER_NANOS));
+        requestedClaims.put(
+                run,
+                new RequestedClaim(key, replaces, writer.get(), nowNanos + WRITER_TIMEOUT_NANOS));
         send(writer.get(), new ClaimRequested(key, run, replaces));
     }
 
-    private void claimHere(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces) {
+    private void claimLocally(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces) {
         bucket(key)
                 .claim(
                         nowNanos,
@@ -108,44 +112,47 @@
                         replaces,
                         true,
                         (now, result) ->
-                                settled.add(() -> listener.onClaimed(now, key, run, result)));
+                                notifications.add(() -> listener.onClaimed(now, key, run, result)));
     }
 
     @Override
     public void abandon(RequestKey key, RunId run) {
-        asked.remove(run);
+        requestedClaims.remove(run);
         bucket(key).abandon(key, run);
-        // The writer may have the claim yet, and this host may be gone when it lands.
-        otherWriter(key).ifPresent(writer -> send(writer, new OutcomeRequested(key, run, NEVER)));
-        givenUp.put(run, key);
-        if (givenUp.size() > MAX_GIVEN_UP) {
-            givenUp.remove(givenUp.keySet().iterator().next());
+        // The writer may still write the claim, possibly after this host has stopped.
+        otherWriter(key)
+                .ifPresent(writer -> send(writer, new OutcomeRequested(key, run, NEVER_SENT)));
+        abandoned.put(run, key);
+        if (abandoned.size() > MAX_ABANDONED) {
+            abandoned.remove(abandoned.keySet().iterator().next());
         }
     }
 
     @Override
     public void record(long nowNanos, RequestKey key, RunId run, Outcome outcome) {
-        Outcome kept = shortened(outcome);
+        Outcome stored = toStored(outcome);
         Optional<HostId> writer = otherWriter(key);
         if (writer.isEmpty()) {
-            bucket(key).record(nowNanos, key, run, kept, () -> {});
+            bucket(key).record(nowNanos, key, run, stored, () -> {});
             return;
         }
-        askOutcome(nowNanos, run, new RequestedOutcome(key, kept, 0, 0), writer.get());
+        requestOutcome(nowNanos, run, new RequestedOutcome(key, stored, 0, 0), writer.get());
     }
 
-    private void askOutcome(long nowNanos, RunId run, RequestedOutcome outcome, HostId writer) {
-        long next = nowNanos + OUTCOME_REPEAT_NANOS;
-        askedOutcomes.put(
-                run, new RequestedOutcome(outcome.key, outcome.outcome, outcome.tries + 1, next));
+    private void requestOutcome(long nowNanos, RunId run, RequestedOutcome outcome, HostId writer) {
+        long retryNanos = nowNanos + OUTCOME_RETRY_NANOS;
+        requestedOutcomes.put(
+                run,
+                new RequestedOutcome(
+                        outcome.key, outcome.outcome, outcome.attempts + 1, retryNanos));
         send(writer, new OutcomeRequested(outcome.key, run, outcome.outcome));
     }
 
-    /** Returns the outcome as far as the store keeps it. */
-    private Outcome shortened(Outcome outcome) {
+    /** Returns the outcome to store, without an answer that exceeds the size limit. */
+    private Outcome toStored(Outcome outcome) {
         if (outcome instanceof Outcome.Answered answered
                 && answered.body().size() > limits.bodyBytes()) {
-            return new Outcome.InDoubt("the call ran, but its answer was too long to keep");
+            return new Outcome.InDoubt("the call ran, but its answer was too long to be stored");
         }
         return outcome;
     }
@@ -157,16 +164,17 @@
                         nowNanos,
                         key,
                         (now, result) ->
-                                settled.add(() -> listener.onLookedUp(now, ticket, key, result)));
+                                notifications.add(
+                                        () -> listener.onLookedUp(now, ticket, key, result)));
     }
 
-    /** Takes an event that concerns claims; others are ignored. */
+    /** Handles an event that concerns claims; ignores all others. */
     public void on(long nowNanos, HostEvent event) {
         switch (event) {
             case HostEvent.StoreAnswered answered ->
                     store.onAnswer(nowNanos, answered.ticket(), answered.answer());
             case HostEvent.RequestReceived received ->
-                    received(nowNanos, received.from(), received.message());
+                    onReceived(nowNanos, received.from(), received.message());
             case HostEvent.FleetChanged changed -> fleet = changed.fleet();
             case HostEvent.Tick tick -> tick(nowNanos);
             default -> {}
@@ -174,24 +182,24 @@
         deliver();
     }
 
-    /** Tells the listener what was settled. */
+    /** Notifies the listener of the settled claims and lookups. */
     public void deliver() {
-        for (Runnable next = settled.poll(); next != null; next = settled.poll()) {
+        for (Runnable next = notifications.poll(); next != null; next = notifications.poll()) {
             next.run();
         }
     }
 
-    /** Returns whether nothing is left to claim or to record. */
+    /** Returns whether no claim or outcome is pending. */
     public boolean isIdle() {
-        return asked.isEmpty()
-                && askedOutcomes.isEmpty()
+        return requestedClaims.isEmpty()
+                && requestedOutcomes.isEmpty()
                 && buckets.stream().allMatch(Bucket::isIdle);
     }
 
-    private void received(long nowNanos, HostId from, RequestMessage message) {
+    private void onReceived(long nowNanos, HostId from, RequestMessage message) {
         switch (message) {
             case ClaimRequested claim -> onClaimRequested(nowNanos, from, claim);
-            case ClaimReported told -> onClaimReported(nowNanos, told);
+            case ClaimReported reported -> onClaimReported(nowNanos, reported);
             case OutcomeRequested outcome ->
                     bucket(outcome.key())
                             .record(
@@ -211,9 +219,9 @@
     }
 
     private void onClaimRequested(long nowNanos, HostId from, ClaimRequested claim) {
-        boolean ownRun = claim.run().request().host().equals(from);
+        boolean runOfSender = claim.run().request().host().equals(from);
         Bucket bucket = bucket(claim.key());
-        if (!ownRun || bucket.isClaiming(claim.run())) {
+        if (!runOfSender || bucket.isClaiming(claim.run())) {
             return;
         }
         bucket.claim(
@@ -223,12 +231,15 @@
                 claim.replaces(),
                 false,
                 (now, result) ->
-                        send(from, new ClaimReported(claim.key(), claim.run(), told(result))));
+                        send(
+                                from,
+                                new ClaimReported(
+                                        claim.key(), claim.run(), toClaimResult(result))));
     }
 
-    private static ClaimResult told(Claims.Result result) {
+    private static ClaimResult toClaimResult(Claims.Result result) {
         return switch (result) {
-            case Claims.Result.Acquired owned -> new ClaimResult.Acquired();
+            case Claims.Result.Acquired acquired -> new ClaimResult.Acquired();
             case Claims.Result.Taken taken ->
                     new ClaimResult.Taken(taken.holder(), taken.outcome());
             case Claims.Result.Free free -> new ClaimResult.Unavailable();
@@ -236,19 +247,19 @@
         };
     }
 
-    private void onClaimReported(long nowNanos, ClaimReported told) {
-        RunId run = told.run();
-        if (told.result() instanceof ClaimResult.Recorded) {
-            askedOutcomes.remove(run);
+    private void onClaimReported(long nowNanos, ClaimReported reported) {
+        RunId run = reported.run();
+        if (reported.result() instanceof ClaimResult.Recorded) {
+            requestedOutcomes.remove(run);
             return;
         }
-        Asked claim = asked.remove(run);
+        RequestedClaim claim = requestedClaims.remove(run);
         if (claim == null) {
-            freeGivenUp(nowNanos, told);
+            releaseAbandoned(nowNanos, reported);
             return;
         }
-        switch (told.result()) {
-            case ClaimResult.Acquired owned ->
+        switch (reported.result()) {
+            case ClaimResult.Acquired acquired ->
                     settle(nowNanos, claim, run, new Claims.Result.Acquired());
             case ClaimResult.Taken taken ->
                     settle(
@@ -257,56 +268,56 @@
                             run,
                             new Claims.Result.Taken(taken.holder(), taken.outcome()));
             case ClaimResult.Unavailable unavailable ->
-                    claimHere(nowNanos, claim.key, run, claim.replaces);
+                    claimLocally(nowNanos, claim.key, run, claim.replaces);
             case ClaimResult.Recorded recorded -> {}
         }
     }
 
-    private void settle(long nowNanos, Asked claim, RunId run, Claims.Result result) {
-        settled.add(() -> listener.onClaimed(nowNanos, claim.key, run, result));
+    private void settle(long nowNanos, RequestedClaim claim, RunId run, Claims.Result result) {
+        notifications.add(() -> listener.onClaimed(nowNanos, claim.key, run, result));
     }
 
-    /** Frees a key whose claim landed after its call was given up. */
-    private void freeGivenUp(long nowNanos, ClaimReported told) {
-        RequestKey key = givenUp.get(told.run());
-        if (key != null && told.result() instanceof ClaimResult.Acquired) {
-            givenUp.remove(told.run());
-            record(nowNanos, key, told.run(), NEVER);
+    /** Releases a key whose claim was applied after it was abandoned. */
+    private void releaseAbandoned(long nowNanos, ClaimReported reported) {
+        RequestKey key = abandoned.get(reported.run());
+        if (key != null && reported.result() instanceof ClaimResult.Acquired) {
+            abandoned.remove(reported.run());
+            record(nowNanos, key, reported.run(), NEVER_SENT);
         }
     }
 
     private void tick(long nowNanos) {
         store.tick(nowNanos);
-        fallBack(nowNanos);
-        repeatOutcomes(nowNanos);
+        fallBackToLocal(nowNanos);
+        retryOutcomes(nowNanos);
         buckets.forEach(bucket -> bucket.tick(nowNanos));
-        if (store.mayProbe(nowNanos)) {
+        if (store.shouldProbe(nowNanos)) {
             buckets.getFirst().probe(nowNanos);
         }
     }
 
-    private void fallBack(long nowNanos) {
-        for (Map.Entry<RunId, Asked> entry : List.copyOf(asked.entrySet())) {
-            Asked claim = entry.getValue();
-            if (nowNanos >= claim.fallBackNanos) {
-                asked.remove(entry.getKey());
-                claimHere(nowNanos, claim.key, entry.getKey(), claim.replaces);
+    private void fallBackToLocal(long nowNanos) {
+        for (Map.Entry<RunId, RequestedClaim> entry : List.copyOf(requestedClaims.entrySet())) {
+            RequestedClaim claim = entry.getValue();
+            if (nowNanos >= claim.fallbackNanos) {
+                requestedClaims.remove(entry.getKey());
+                claimLocally(nowNanos, claim.key, entry.getKey(), claim.replaces);
             }
         }
     }
 
-    private void repeatOutcomes(long nowNanos) {
-        for (Map.Entry<RunId, RequestedOutcome> entry : List.copyOf(askedOutcomes.entrySet())) {
+    private void retryOutcomes(long nowNanos) {
+        for (Map.Entry<RunId, RequestedOutcome> entry : List.copyOf(requestedOutcomes.entrySet())) {
             RequestedOutcome outcome = entry.getValue();
-            if (nowNanos < outcome.nextNanos) {
+            if (nowNanos < outcome.retryNanos) {
                 continue;
             }
             Optional<HostId> writer = otherWriter(outcome.key);
-            if (writer.isPresent() && outcome.tries < OUTCOME_TRIES) {
-                askOutcome(nowNanos, entry.getKey(), outcome, writer.get());
+            if (writer.isPresent() && outcome.attempts < MAX_OUTCOME_ATTEMPTS) {
+                requestOutcome(nowNanos, entry.getKey(), outcome, writer.get());
                 continue;
             }
-            askedOutcomes.remove(entry.getKey());
+            requestedOutcomes.remove(entry.getKey());
             bucket(outcome.key)
                     .record(nowNanos, outcome.key, entry.getKey(), outcome.outcome, () -> {});
         }
@@ -320,7 +331,7 @@
         return Math.floorMod(ClaimPage.hash(key), buckets.size());
     }
 
-    /** Returns the host that should write claims on {@code key}, unless it is this one. */
+    /** Returns the writer of the key's bucket; empty if it is this host. */
     private Optional<HostId> otherWriter(RequestKey key) {
         return Rendezvous.choose(fleet, PREFIX + bucketNumber(key))
                 .filter(writer -> !writer.equals(self));
--- a/src/main/java/org/orioleshed/claim/ClaimHead.java
+++ b/src/main/java/org/orioleshed/claim/ClaimHead.java
@@ -8,12 +8,13 @@
 import org.orioleshed.model.RunId;
 
 /**
- * The newest claims of one bucket, and where its older ones lie. Immutable.
+ * The newest claims of one bucket, and references to the pages with its older ones.
  *
- * @param clockMillis the bucket's own clock: hosts' clocks are not in step, so it runs on while
- *     somebody writes and stands still otherwise; claims are kept longer for it, never shorter
+ * @param clockMillis the bucket's logical clock, in milliseconds. The hosts' clocks are not
+ *     synchronized, so this clock advances while hosts write the head and stands still otherwise;
+ *     as a result claims are kept longer, never shorter
  * @param nextGeneration the generation of the next page
- * @param records the newest claims by key; one here overrides one in a page
+ * @param records the newest claims by key; they take precedence over those in pages
  * @param pages the pages of older claims, oldest first
  */
 record ClaimHead(
@@ -23,13 +24,15 @@
         List<PageRef> pages) {
     static final ClaimHead EMPTY = new ClaimHead(0, 1, Map.of(), List.of());
 
-    /** What the head takes besides its records, in bytes, for each page. */
+    /**
+     * The encoded size of a page reference; an upper bound, also used for the head's own fields.
+     */
     private static final int PAGE_BYTES = 40;
 
-    /** A page as the head names it: at least this version of it holds all that was moved there. */
+    /** A reference to a page. The page contains all moved claims from this version on. */
     record PageRef(int slot, long generation, int version, long newestMillis) {
-        /** Returns whether {@code page} is the one named here. */
-        boolean isMetBy(ClaimPage page) {
+        /** Returns whether {@code page} is the referenced page, at this version or a later one. */
+        boolean matches(ClaimPage page) {
             return page.generation() == generation && page.version() >= version;
         }
     }
@@ -43,8 +46,10 @@
         return bytes;
     }
 
-    /** Returns this head at a later time, without what is older than the retention. */
-    ClaimHead at(long nowMillis, long retentionMillis) {
+    /**
+     * Returns this head at a later time, without records and pages older than the retention time.
+     */
+    ClaimHead advancedTo(long nowMillis, long retentionMillis) {
         Map<RequestKey, ClaimRecord> kept = new LinkedHashMap<>(records);
         kept.values().removeIf(record -> record.atMillis() + retentionMillis < nowMillis);
         List<PageRef> keptPages =
@@ -54,7 +59,7 @@
         return new ClaimHead(nowMillis, nextGeneration, kept, keptPages);
     }
 
-    /** Returns the claim of {@code run}, if it has the key here. */
+    /** Returns the claim of {@code run} if it holds the key in this head. */
     Optional<ClaimRecord> find(RequestKey key, RunId run) {
         return Optional.ofNullable(records.get(key)).filter(record -> record.run().equals(run));
     }
--- a/src/main/java/org/orioleshed/claim/ClaimPage.java
+++ b/src/main/java/org/orioleshed/claim/ClaimPage.java
@@ -14,10 +14,10 @@
 import org.orioleshed.model.RequestKey;
 
 /**
- * Older claims of one bucket.
+ * A page of older claims of one bucket.
  *
- * @param generation tells the page from others that had its slot
- * @param version grows with each write of the page
+ * @param generation distinguishes the page from earlier ones in the same slot
+ * @param version increases with each write of the page
  * @param records the claims
  */
 record ClaimPage(long generation, int version, List<ClaimRecord> records) {
@@ -26,7 +26,7 @@
         records = List.copyOf(records);
     }
 
-    /** Returns the page that an answer of the store holds, if it is one. */
+    /** Returns the page in a store answer; empty if there is none or it is malformed. */
     static Optional<ClaimPage> in(StoreAnswer answer) {
         if (!(answer instanceof StoreAnswer.Value value) || value.value().isEmpty()) {
             return Optional.empty();
@@ -43,7 +43,7 @@
         return records.stream().mapToInt(ClaimRecord::bytes).sum();
     }
 
-    /** Returns the next version of this page, with further and newer records. */
+    /** Returns the next version of this page, with records added or replaced by key. */
     ClaimPage with(Collection<ClaimRecord> newer) {
         Map<RequestKey, ClaimRecord> merged = new LinkedHashMap<>();
         records.forEach(record -> merged.put(record.key(), record));
@@ -55,7 +55,7 @@
         return records.stream().filter(record -> record.key().equals(key)).findFirst();
     }
 
-    /** Returns the hashes of its keys, sorted. */
+    /** Returns the sorted hashes of the page's keys. */
     long[] index() {
         long[] hashes = new long[records.size()];
         for (int i = 0; i < hashes.length; i++) {
--- a/src/main/java/org/orioleshed/claim/ClaimRecord.java
+++ b/src/main/java/org/orioleshed/claim/ClaimRecord.java
@@ -7,15 +7,16 @@
 import org.orioleshed.request.Claims;
 
 /**
- * One claim.
+ * A claim on a key.
  *
- * @param key the key claimed
- * @param run the run that it is claimed for; names the host, its incarnation and the attempt
- * @param atMillis when it was claimed, on the bucket's clock
+ * @param key the claimed key
+ * @param run the run that the key is claimed for; contains the host, its incarnation and the
+ *     attempt
+ * @param atMillis the time of the claim on the bucket's clock, in milliseconds
  * @param outcome the run's outcome, once recorded
  */
 record ClaimRecord(RequestKey key, RunId run, long atMillis, Optional<Outcome> outcome) {
-    /** What a record takes besides its texts, in bytes; an upper bound. */
+    /** An upper bound of the encoded size of a record without its texts. */
     private static final int FIXED_BYTES = 64;
 
     /** Returns an upper bound of the record's encoded size. */
@@ -27,11 +28,11 @@
                 + outcome.map(ClaimRecord::bytes).orElse(0);
     }
 
-    ClaimRecord with(Outcome other) {
-        return new ClaimRecord(key, run, atMillis, Optional.of(other));
+    ClaimRecord with(Outcome newOutcome) {
+        return new ClaimRecord(key, run, atMillis, Optional.of(newOutcome));
     }
 
-    /** Returns the answer to another run that asks for the key. */
+    /** Returns the result for another run that claims the key. */
     Claims.Result taken() {
         return new Claims.Result.Taken(run, outcome);
     }
@@ -41,7 +42,7 @@
             case Outcome.Answered answered -> FIXED_BYTES + answered.body().size();
             case Outcome.Failed failed -> FIXED_BYTES + 3 * failed.detail().length();
             case Outcome.NotRun notRun -> FIXED_BYTES;
-            case Outcome.InDoubt doubt -> FIXED_BYTES + 3 * doubt.detail().length();
+            case Outcome.InDoubt inDoubt -> FIXED_BYTES + 3 * inDoubt.detail().length();
         };
     }
 }
--- a/src/main/java/org/orioleshed/claim/HeadWrite.java
+++ b/src/main/java/org/orioleshed/claim/HeadWrite.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 import org.orioleshed.model.Outcome;
 
-/** One write of a head under preparation: the claims and outcomes that go into it together. */
+/** Collects the claims and outcomes for one batched write of a head. */
 final class HeadWrite {
     private final ClaimHead next;
     private final int maxBytes;
-    private final List<PendingOutcome> ends = new ArrayList<>();
-    private int claims;
+    private final List<PendingOutcome> outcomes = new ArrayList<>();
+    private int claimCount;
     private int bytes;
     private boolean full;
 
     /**
-     * Prepares a write that changes nothing yet.
+     * Creates a write without changes.
      *
-     * @param next the head to be written, with a map of records that may be added to
-     * @param maxBytes how large the head may grow, in bytes
+     * @param next the head to be written, with a mutable map of records
+     * @param maxBytes the maximum size of the head, in bytes
      */
     HeadWrite(ClaimHead next, int maxBytes) {
         this.next = next;
@@ -27,9 +27,9 @@
     }
 
     /** Adds a claim, unless the head is full. */
-    void claim(PendingClaim claim) {
+    void addClaim(PendingClaim claim) {
         if (put(recordOf(claim))) {
-            claims++;
+            claimCount++;
         }
     }
 
@@ -38,22 +38,24 @@
                 claim.key, claim.run.orElseThrow(), next.clockMillis(), Optional.empty());
     }
 
-    /** Adds an outcome, unless the head is full; it has no effect once another run has the key. */
-    void end(PendingOutcome outcome) {
+    /** Adds an outcome, unless the head is full; ignores it if another run holds the key by now. */
+    void addOutcome(PendingOutcome outcome) {
         ClaimRecord present = next.records().get(outcome.key());
         if (isReplaced(present, outcome)) {
-            ends.add(outcome);
+            outcomes.add(outcome);
             return;
         }
         ClaimRecord base = present != null ? present : recordOf(outcome);
         if (put(base.with(outcome.outcome()))) {
-            ends.add(outcome);
+            outcomes.add(outcome);
         }
     }
 
     /**
-     * A claim "not run" may have been replaced by one that moved to a page since: a record anew
-     * would hide that one. The key's next claimant asks the host instead.
+     * Returns whether the claim of an outcome may have been replaced. If the head has no record of
+     * the key, a claim with outcome "not run" may have been replaced by one that has since moved to
+     * a page, which a new record in the head would hide. The next run that claims the key requests
+     * the status from the host instead.
      */
     private static boolean isReplaced(ClaimRecord present, PendingOutcome outcome) {
         return present == null
@@ -67,22 +69,22 @@
 
     private boolean put(ClaimRecord record) {
         ClaimRecord present = next.records().get(record.key());
-        int more = record.bytes() - (present == null ? 0 : present.bytes());
-        if (bytes + more > maxBytes) {
+        int addedBytes = record.bytes() - (present == null ? 0 : present.bytes());
+        if (bytes + addedBytes > maxBytes) {
             full = true;
             return false;
         }
-        bytes += more;
+        bytes += addedBytes;
         next.records().put(record.key(), record);
         return true;
     }
 
-    /** Returns whether the write need not wait for more to go with it. */
+    /** Returns whether the write is due without waiting for more operations to batch. */
     boolean isDue(long nowNanos) {
-        return claims > 0 || ends.stream().anyMatch(end -> end.isDue(nowNanos));
+        return claimCount > 0 || outcomes.stream().anyMatch(outcome -> outcome.isDue(nowNanos));
     }
 
-    /** Returns whether something did not fit. */
+    /** Returns whether a claim or outcome did not fit. */
     boolean isFull() {
         return full;
     }
@@ -91,8 +93,8 @@
         return next;
     }
 
-    /** Returns the outcomes that are settled once the head is written. */
-    List<PendingOutcome> ends() {
-        return ends;
+    /** Returns the outcomes that are settled when the head is written. */
+    List<PendingOutcome> outcomes() {
+        return outcomes;
     }
 }
--- a/src/main/java/org/orioleshed/claim/KeyState.java
+++ b/src/main/java/org/orioleshed/claim/KeyState.java
@@ -3,18 +3,18 @@
 import org.orioleshed.claim.ClaimHead.PageRef;
 import org.orioleshed.request.Claims;
 
-/** What is known of a key that is asked for. */
+/** The state of a key according to the cached head and pages. */
 sealed interface KeyState {
-    /** Nothing is in the way of a claim. */
+    /** The key can be claimed. */
     record Free() implements KeyState {}
 
-    /** Another run has the key. */
+    /** Another run holds the key. */
     record Taken(ClaimRecord present) implements KeyState {
         Claims.Result result() {
             return present.taken();
         }
     }
 
-    /** A page may hold the key and has to be read. */
+    /** A page may contain the key and has to be read. */
     record InPage(PageRef page) implements KeyState {}
 }
--- a/src/main/java/org/orioleshed/claim/PageIndex.java
+++ b/src/main/java/org/orioleshed/claim/PageIndex.java
@@ -9,29 +9,29 @@
 import java.util.Set;
 import org.orioleshed.claim.ClaimHead.PageRef;
 
-/** Hashes of the keys in a bucket's pages: eight bytes for each claim. */
+/** The hashes of the keys in a bucket's pages, which take eight bytes per claim. */
 final class PageIndex {
     private final Map<Long, Entry> byGeneration = new HashMap<>();
 
     void put(ClaimPage page) {
-        Entry known = byGeneration.get(page.generation());
-        if (known == null || known.version < page.version()) {
+        Entry entry = byGeneration.get(page.generation());
+        if (entry == null || entry.version < page.version()) {
             byGeneration.put(page.generation(), new Entry(page.version(), page.index()));
         }
     }
 
-    /** Returns a page of {@code pages} that is not known as the head names it. */
+    /** Returns the first of {@code pages} that is not indexed at the referenced version. */
     Optional<PageRef> missing(List<PageRef> pages) {
         return pages.stream()
                 .filter(
                         page -> {
-                            Entry known = byGeneration.get(page.generation());
-                            return known == null || known.version < page.version();
+                            Entry entry = byGeneration.get(page.generation());
+                            return entry == null || entry.version < page.version();
                         })
                 .findFirst();
     }
 
-    /** Forgets all pages but {@code pages}. */
+    /** Removes all pages except {@code pages}. */
     void retain(List<PageRef> pages) {
         Set<Long> kept = new HashSet<>();
         pages.forEach(page -> kept.add(page.generation()));
@@ -39,8 +39,8 @@
     }
 
     boolean mayHold(PageRef page, long hash) {
-        Entry known = byGeneration.get(page.generation());
-        return known == null || Arrays.binarySearch(known.hashes, hash) >= 0;
+        Entry entry = byGeneration.get(page.generation());
+        return entry == null || Arrays.binarySearch(entry.hashes, hash) >= 0;
     }
 
     private static final class Entry {
--- a/src/main/java/org/orioleshed/claim/PageRotation.java
+++ b/src/main/java/org/orioleshed/claim/PageRotation.java
@@ -8,24 +8,27 @@
 import org.orioleshed.host.HostEvent.StoreAnswer;
 
 /**
- * Moves the claims of a full head to the newest page, or to a new one: first the page is written,
- * then the head without them. A failure between the two leaves the claims in both, which is
- * harmless.
+ * Moves the claims of a full head to the newest page, or to a new one. The page is written first,
+ * then the head without the claims. A failure between the two writes leaves the claims in both,
+ * which is harmless.
  */
 final class PageRotation {
     private final ClaimLimits limits;
     private final BucketCalls calls;
-    private final KnownHead known;
+    private final CachedHead cachedHead;
     private final Emptied emptied;
 
-    /** Takes the head without the claims that a page holds now; it has to be written. */
+    /** Receives the head without the claims that were moved to a page, to be written. */
     interface Emptied {
         void write(long nowNanos, ClaimHead empty);
     }
 
-    /** The page that the claims of a head go to. */
+    /** A move of a head's claims to a page. */
     private record Rotation(ClaimHead head, PageRef target, boolean startsPage) {
-        /** Returns whether a page found in the target's slot is the target or makes room for it. */
+        /**
+         * Returns whether a page found in the target's slot is the target or may be overwritten by
+         * it.
+         */
         boolean accepts(long foundGeneration) {
             return startsPage
                     ? foundGeneration <= target.generation()
@@ -33,16 +36,16 @@
         }
     }
 
-    PageRotation(ClaimLimits limits, BucketCalls calls, KnownHead known, Emptied emptied) {
+    PageRotation(ClaimLimits limits, BucketCalls calls, CachedHead cachedHead, Emptied emptied) {
         this.limits = limits;
         this.calls = calls;
-        this.known = known;
+        this.cachedHead = cachedHead;
         this.emptied = emptied;
     }
 
-    /** Moves the claims of the head as it is known. */
+    /** Moves the claims of the cached head. */
     void start(long nowNanos) {
-        ClaimHead head = known.head();
+        ClaimHead head = cachedHead.head();
         if (head.pages().isEmpty()) {
             startPage(nowNanos, head);
             return;
@@ -94,7 +97,7 @@
                 (now, answer) -> {
                     if (answer instanceof StoreAnswer.Swapped) {
                         calls.succeeded();
-                        known.learn(next);
+                        cachedHead.addPage(next);
                         emptied.write(now, without(now, rotation, next));
                     } else {
                         startOver(now);
@@ -103,12 +106,12 @@
     }
 
     private void startOver(long nowNanos) {
-        known.forget();
+        cachedHead.invalidate();
         calls.failed(nowNanos);
     }
 
     private ClaimHead without(long nowNanos, Rotation rotation, ClaimPage page) {
-        long clockMillis = known.clockMillis(nowNanos);
+        long clockMillis = cachedHead.clockMillis(nowNanos);
         List<PageRef> pages = new ArrayList<>(rotation.head.pages());
         pages.removeIf(ref -> ref.generation() == page.generation());
         pages.add(
--- a/src/main/java/org/orioleshed/claim/PendingClaim.java
+++ b/src/main/java/org/orioleshed/claim/PendingClaim.java
@@ -7,28 +7,28 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.request.Claims;
 
-/** A claim, or a look-up, that is not settled yet. */
+/** A claim or lookup that is not settled yet. */
 final class PendingClaim {
     final RequestKey key;
 
-    /** The run to claim for; empty when the key is only looked up. */
+    /** The run to claim the key for; empty for a lookup. */
     final Optional<RunId> run;
 
     final Optional<RunId> replaces;
 
-    /** Whether the run is this host's, so that nobody else sends it. */
-    final boolean own;
+    /** Whether the run belongs to this host, so that no other host sends it. */
+    final boolean local;
 
-    final long untilNanos;
+    final long deadlineNanos;
     final Settled settled;
 
-    /** The head must be read after this number to tell what another run did. */
+    /** The sequence number of the claim or lookup; see {@link BucketQueue}. */
     final long registered;
 
-    /** Generations of pages that hold nothing in the way of the claim. */
+    /** The generations of the pages that were found not to prevent the claim. */
     final Set<Long> cleared = new HashSet<>();
 
-    /** Hears the result, once. */
+    /** Receives the result, once. */
     interface Settled {
         void settled(long nowNanos, Claims.Result result);
     }
@@ -37,25 +37,25 @@
             RequestKey key,
             Optional<RunId> run,
             Optional<RunId> replaces,
-            boolean own,
-            long untilNanos,
+            boolean local,
+            long deadlineNanos,
             long registered,
             Settled settled) {
         this.key = key;
         this.run = run;
         this.replaces = replaces;
-        this.own = own;
-        this.untilNanos = untilNanos;
+        this.local = local;
+        this.deadlineNanos = deadlineNanos;
         this.registered = registered;
         this.settled = settled;
     }
 
-    /** Returns whether {@code present} is of this claim's own run. */
+    /** Returns whether {@code present} is the record of this claim's run. */
     boolean isOf(ClaimRecord present) {
         return run.filter(present.run()::equals).isPresent();
     }
 
-    /** Returns whether {@code present} is of the run that this claim may replace. */
+    /** Returns whether {@code present} is the record of the run that this claim may replace. */
     boolean mayReplace(ClaimRecord present) {
         return replaces.filter(present.run()::equals).isPresent();
     }
--- a/src/main/java/org/orioleshed/claim/PendingOutcome.java
+++ b/src/main/java/org/orioleshed/claim/PendingOutcome.java
@@ -5,15 +5,16 @@
 import org.orioleshed.model.RunId;
 
 /**
- * An outcome to be written for a claimed run.
+ * The outcome of a claimed run, to be written.
  *
- * @param key the key that was claimed
- * @param run the run that it was claimed for
- * @param outcome what became of the run
- * @param dueNanos when it is written even if no claim is written along with it
- * @param written is run once the outcome stands in the store
+ * @param key the claimed key
+ * @param run the run that the key was claimed for
+ * @param outcome the outcome of the run
+ * @param dueNanos when the outcome is written even without a claim to batch it with
+ * @param onWritten called when the outcome is stored
  */
-record PendingOutcome(RequestKey key, RunId run, Outcome outcome, long dueNanos, Runnable written) {
+record PendingOutcome(
+        RequestKey key, RunId run, Outcome outcome, long dueNanos, Runnable onWritten) {
     boolean isDue(long nowNanos) {
         return nowNanos >= dueNanos;
     }
--- a/src/main/java/org/orioleshed/claim/StoreCalls.java
+++ b/src/main/java/org/orioleshed/claim/StoreCalls.java
@@ -10,12 +10,12 @@
 import org.orioleshed.host.HostEvent.StoreAnswer;
 import org.orioleshed.model.Payload;
 
-/** Calls on the store that wait for their answers, and whether the store answers at all. */
+/** The pending store calls of a host; detects when the store is unavailable. */
 final class StoreCalls {
-    /** Calls in a row without an answer after which the store counts as away. */
-    private static final int AWAY_FAILURES = 3;
+    /** The number of consecutive failed calls after which the store is considered unavailable. */
+    private static final int UNAVAILABLE_FAILURES = 3;
 
-    private static final long PROBE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long PROBE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final long timeoutMillis;
     private final Consumer<HostAction> out;
@@ -29,7 +29,7 @@
         this.out = out;
     }
 
-    /** Hears the answer to one call. */
+    /** Receives the answer to a call. */
     interface Handler {
         void answered(long nowNanos, StoreAnswer answer);
     }
@@ -45,7 +45,7 @@
                 new HostAction.CompareAndSwap(ticket, key, expectedRevision, value, timeoutMillis));
     }
 
-    /** Hands an answer to its call; late and repeated answers are dropped. */
+    /** Passes an answer to its call's handler; drops late and repeated answers. */
     void onAnswer(long nowNanos, long ticket, StoreAnswer answer) {
         Call call = calls.remove(ticket);
         if (call == null) {
@@ -57,40 +57,40 @@
         call.handler.answered(nowNanos, answer);
     }
 
-    /** Gives up on calls whose answer never came. */
+    /** Fails the calls that have timed out. */
     void tick(long nowNanos) {
-        List<Long> late = new ArrayList<>();
+        List<Long> expired = new ArrayList<>();
         for (Map.Entry<Long, Call> entry : calls.entrySet()) {
-            if (nowNanos < entry.getValue().untilNanos) {
+            if (nowNanos < entry.getValue().deadlineNanos) {
                 break;
             }
-            late.add(entry.getKey());
+            expired.add(entry.getKey());
         }
-        for (long ticket : late) {
+        for (long ticket : expired) {
             onAnswer(nowNanos, ticket, new StoreAnswer.Unknown("no answer in time"));
         }
     }
 
-    /** Returns whether the store has stopped answering. */
+    /** Returns whether the store is considered unavailable. */
     boolean isUnavailable() {
-        return failures >= AWAY_FAILURES;
+        return failures >= UNAVAILABLE_FAILURES;
     }
 
-    /** Returns whether it is time to ask an absent store again. */
-    boolean mayProbe(long nowNanos) {
+    /** Returns whether an unavailable store should be probed now. */
+    boolean shouldProbe(long nowNanos) {
         if (!isUnavailable() || nowNanos < nextProbeNanos || !calls.isEmpty()) {
             return false;
         }
-        nextProbeNanos = nowNanos + PROBE_NANOS;
+        nextProbeNanos = nowNanos + PROBE_INTERVAL_NANOS;
         return true;
     }
 
     private long register(long nowNanos, Handler handler) {
-        long until = nowNanos + TimeUnit.MILLISECONDS.toNanos(2 * timeoutMillis);
+        long deadlineNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(2 * timeoutMillis);
         long ticket = nextTicket++;
-        calls.put(ticket, new Call(handler, until));
+        calls.put(ticket, new Call(handler, deadlineNanos));
         return ticket;
     }
 
-    private record Call(Handler handler, long untilNanos) {}
+    private record Call(Handler handler, long deadlineNanos) {}
 }
--- a/src/main/java/org/orioleshed/claim/package-info.java
+++ b/src/main/java/org/orioleshed/claim/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Claims on the keys of calls that may not be repeated, kept in the platform's store by
- * compare-and-swap.
- */
+/** Claims on the keys of non-repeatable calls, kept in the platform's store by compare-and-swap. */
 package org.orioleshed.claim;
--- a/src/main/java/org/orioleshed/request/AcceptedRequests.java
+++ b/src/main/java/org/orioleshed/request/AcceptedRequests.java
@@ -33,19 +33,21 @@
 import org.orioleshed.routing.RoutingMessage;
 
 /**
- * The accepting side of an entry host: every request that its callers sent, from the door to the
- * one final outcome. Owned by one thread.
+ * The requests that an entry host accepted, from arrival to their single final outcome. Not
+ * thread-safe: confined to one thread.
  */
 public final class AcceptedRequests implements Claims.Listener {
-    /** The share of the host's room that each tier below the first leaves to those above. */
-    private static final double RESERVE_PER_RANK = 0.15;
+    /**
+     * The share of {@code maxRequests} that each rank below the first leaves free for higher tiers.
+     */
+    private static final double RESERVED_SHARE_PER_RANK = 0.15;
 
     private final RequestLimits limits;
     private final Consumer<HostAction> out;
     private final PoisonWatch poison;
-    private final Results results;
+    private final OutcomeCache outcomes;
 
-    /** How many hosts keep each key's entry in the directory. */
+    /** The number of hosts that store each key's directory entry. */
     private static final int DIRECTORY_HOSTS = 2;
 
     private final ModelRequests models;
@@ -59,16 +61,16 @@
     private boolean draining;
 
     /**
-     * Makes the accepting side of a host that holds nothing yet.
+     * Creates an instance without requests.
      *
      * @param self the host
      * @param domain its failure domain
-     * @param incarnation the host's incarnation, which grows with each start
-     * @param limits the bounds to keep to
-     * @param random for draws of versions and jitter
-     * @param placement where model requests may be offered
-     * @param claims the claims of non-repeatable calls
-     * @param out takes the actions, in order
+     * @param incarnation the host's incarnation, which increases with each start
+     * @param limits the limits to enforce
+     * @param random the source for version selection and backoff jitter
+     * @param placement selects the servers that a model request is offered to
+     * @param claims the claims on the keys of non-repeatable calls
+     * @param out receives the actions, in order
      */
     public AcceptedRequests(
             HostId self,
@@ -87,37 +89,38 @@
         this.poison =
                 new PoisonWatch(
                         self, new Poison(limits.poisonMillis(), limits.poisonEntries()), out);
-        this.results = new Results(limits.resultMillis(), limits.resultBytes());
-        this.models = new ModelRequests(limits, random, placement, poison, out, this::modelClosed);
+        this.outcomes = new OutcomeCache(limits.resultMillis(), limits.resultBytes());
+        this.models =
+                new ModelRequests(limits, random, placement, poison, out, this::onModelClosed);
         this.services =
                 new ServiceRequests(
-                        self, domain, incarnation, limits, random, claims, out, this::callClosed);
+                        self, domain, incarnation, limits, random, claims, out, this::onCallClosed);
     }
 
-    /** Takes an event that concerns accepted requests; others are ignored. */
+    /** Handles an event that concerns accepted requests; ignores all others. */
     public void on(long nowNanos, HostEvent event) {
         switch (event) {
-            case HostEvent.RequestArrived arrived -> arrived(nowNanos, arrived.request());
+            case HostEvent.RequestArrived arrived -> onArrived(nowNanos, arrived.request());
             case HostEvent.CallerGone gone -> {
                 models.onCallerGone(nowNanos, gone.request());
                 services.onCallerGone(nowNanos, gone.request());
             }
-            case HostEvent.CallerConsumed took ->
-                    models.onCallerConsumed(took.request(), took.tokens());
-            case HostEvent.StatusRequested asked ->
-                    statusRequested(nowNanos, asked.ticket(), asked.key());
+            case HostEvent.CallerConsumed consumed ->
+                    models.onCallerConsumed(consumed.request(), consumed.tokens());
+            case HostEvent.StatusRequested requested ->
+                    onStatusRequested(nowNanos, requested.ticket(), requested.key());
             case HostEvent.RoutingReceived received ->
-                    routed(nowNanos, received.from(), received.message());
+                    onRouting(nowNanos, received.from(), received.message());
             case HostEvent.RequestReceived received ->
-                    received(nowNanos, received.from(), received.message());
+                    onReceived(nowNanos, received.from(), received.message());
             case HostEvent.RunEnded ended -> models.onEnded(nowNanos, ended.run(), ended.end());
             case HostEvent.CallEnded ended ->
                     services.onCallEnded(nowNanos, ended.run(), ended.server(), ended.end());
-            case HostEvent.FleetChanged changed -> fleetChanged(nowNanos, changed.fleet());
-            case HostEvent.DrainRequested asked -> drain(nowNanos);
-            case HostEvent.DrainTimedOut over -> {
-                models.giveUp(nowNanos);
-                services.giveUp(nowNanos);
+            case HostEvent.FleetChanged changed -> onFleetChanged(nowNanos, changed.fleet());
+            case HostEvent.DrainRequested requested -> drain(nowNanos);
+            case HostEvent.DrainTimedOut timedOut -> {
+                models.endAll(nowNanos);
+                services.endAll(nowNanos);
             }
             case HostEvent.Tick tick -> tick(nowNanos);
             case HostEvent.RunAccepted accepted -> {}
@@ -129,27 +132,29 @@
         }
     }
 
-    /** Returns whether nothing is left to finish. */
+    /** Returns whether no request is in progress and no run is being cancelled. */
     public boolean isIdle() {
         return models.isIdle() && services.isIdle();
     }
 
-    /** Returns the number of requests under way. */
+    /** Returns the number of requests in progress. */
     public int size() {
         return models.size() + services.size();
     }
 
-    /** Returns whether content must not be run. */
+    /** Returns whether content is quarantined and must not be run. */
     public boolean isQuarantined(long nowNanos, Fingerprint fingerprint) {
         return poison.isQuarantined(nowNanos, fingerprint);
     }
 
-    /** Returns the content that is held or under suspicion. */
+    /** Returns the content that is quarantined or suspect. */
     public List<QuarantinedContent> poison(long nowNanos) {
         return poison.list(nowNanos);
     }
 
-    /** Releases content on all hosts; returns whether it was held or under suspicion here. */
+    /**
+     * Releases content on all hosts; returns whether it was quarantined or suspect on this host.
+     */
     public boolean releasePoison(Fingerprint fingerprint) {
         return poison.release(fingerprint);
     }
@@ -164,7 +169,7 @@
         inquiries.onLookedUp(ticket, result);
     }
 
-    private void arrived(long nowNanos, Request request) {
+    private void onArrived(long nowNanos, Request request) {
         if (draining) {
             refuse(request, NotRunReason.DRAINING, 0);
             return;
@@ -178,7 +183,7 @@
             join(running, request);
             return;
         }
-        Optional<Results.Result> recent = results.get(nowNanos, request.key());
+        Optional<OutcomeCache.CachedOutcome> recent = outcomes.get(nowNanos, request.key());
         if (recent.isPresent() && isFinal(request, recent.get().outcome())) {
             replay(request, recent.get());
             return;
@@ -194,7 +199,10 @@
         start(nowNanos, request);
     }
 
-    /** Returns whether a resend gets the outcome as it is known here; the claims may know more. */
+    /**
+     * Returns whether a resend receives the cached outcome. A call in doubt is looked up in the
+     * claims instead, which may hold its outcome.
+     */
     private static boolean isFinal(Request request, Outcome outcome) {
         boolean doubtfulCall =
                 outcome instanceof Outcome.InDoubt && request.work() instanceof Work.Call;
@@ -204,24 +212,29 @@
     private void start(long nowNanos, Request request) {
         switch (request.work()) {
             case Work.Generate generate ->
-                    models.start(nowNanos, request, e -> opened(nowNanos, e));
+                    models.start(nowNanos, request, e -> onOpened(nowNanos, e));
             case Work.Call call ->
                     services.start(nowNanos, request, c -> byKey.put(request.key(), c));
         }
     }
 
-    /** Enters a key in the directory; another host that runs it already will be heard of. */
-    private void opened(long nowNanos, Execution execution) {
+    /**
+     * Registers a key in the directory, which replies with the request that already holds it, if
+     * any.
+     */
+    private void onOpened(long nowNanos, Execution execution) {
         RequestKey key = execution.request.key();
         byKey.put(key, execution);
-        execution.directories = directoriesOf(key);
-        for (HostId host : execution.directories) {
+        execution.directoryHosts = directoryHostsOf(key);
+        for (HostId host : execution.directoryHosts) {
             announce(nowNanos, execution, host);
         }
-        execution.directories.stream().filter(h -> !h.equals(self)).forEach(execution.asked::add);
+        execution.directoryHosts.stream()
+                .filter(h -> !h.equals(self))
+                .forEach(execution.pendingDirectoryHosts::add);
     }
 
-    /** Enters a key at one host of its directory. */
+    /** Registers a key at one of its directory hosts. */
     private void announce(long nowNanos, Execution execution, HostId host) {
         RequestKey key = execution.request.key();
         RequestId request = execution.request.id();
@@ -232,19 +245,19 @@
         directory
                 .open(nowNanos, key, request)
                 .filter(holder -> !holder.host().equals(self))
-                .ifPresent(holder -> models.foundHolder(nowNanos, execution, holder));
+                .ifPresent(holder -> models.onHolderFound(nowNanos, execution, holder));
     }
 
-    private List<HostId> directoriesOf(RequestKey key) {
+    private List<HostId> directoryHostsOf(RequestKey key) {
         return Rendezvous.choose(fleet, "keys/" + key, DIRECTORY_HOSTS);
     }
 
-    /** Enters keys anew whose part of the directory went to another host. */
-    private void rolloutKeys(long nowNanos) {
+    /** Registers keys at the directory hosts that became responsible for them. */
+    private void reannounceKeys(long nowNanos) {
         for (Execution execution : models.all()) {
-            List<HostId> before = execution.directories;
-            execution.directories = directoriesOf(execution.request.key());
-            for (HostId host : execution.directories) {
+            List<HostId> before = execution.directoryHosts;
+            execution.directoryHosts = directoryHostsOf(execution.request.key());
+            for (HostId host : execution.directoryHosts) {
                 if (!before.contains(host)) {
                     announce(nowNanos, execution, host);
                 }
@@ -252,22 +265,22 @@
         }
     }
 
-    private void leaveDirectory(long nowNanos, Execution execution, Outcome outcome) {
+    private void closeInDirectory(long nowNanos, Execution execution, Outcome outcome) {
         RequestKey key = execution.request.key();
         RequestId request = execution.request.id();
-        boolean again = RequestMessage.mayRunAgain(outcome);
-        for (HostId host : execution.directories) {
+        boolean mayRunAgain = RequestMessage.mayRunAgain(outcome);
+        for (HostId host : execution.directoryHosts) {
             if (host.equals(self)) {
-                directory.close(nowNanos, key, request, again);
+                directory.close(nowNanos, key, request, mayRunAgain);
             } else {
-                send(host, new RequestMessage.KeyClosed(key, request, again));
+                send(host, new RequestMessage.KeyClosed(key, request, mayRunAgain));
             }
         }
     }
 
     private void join(KeyedRequest running, Request request) {
         if (!running.request.fingerprint().equals(request.fingerprint())) {
-            out.accept(new HostAction.Answer(request.id(), otherContent()));
+            out.accept(new HostAction.Answer(request.id(), contentMismatch()));
             return;
         }
         switch (running) {
@@ -276,9 +289,9 @@
         }
     }
 
-    private void replay(Request request, Results.Result recent) {
+    private void replay(Request request, OutcomeCache.CachedOutcome recent) {
         if (!recent.fingerprint().equals(request.fingerprint())) {
-            out.accept(new HostAction.Answer(request.id(), otherContent()));
+            out.accept(new HostAction.Answer(request.id(), contentMismatch()));
             return;
         }
         for (Piece piece : recent.pieces()) {
@@ -289,63 +302,73 @@
         out.accept(new HostAction.Answer(request.id(), recent.outcome()));
     }
 
-    private static Outcome otherContent() {
+    private static Outcome contentMismatch() {
         return new Outcome.Failed(
-                FailReason.REFUSED, "the idempotency key belongs to other content");
+                FailReason.REFUSED, "the idempotency key was already used with different content");
     }
 
-    /** Returns whether there is room for a request, and makes room among lower tiers if not. */
+    /**
+     * Returns whether a request is admitted; evicts a waiting request of a lower tier when a limit
+     * is reached.
+     */
     private boolean admit(long nowNanos, Request request) {
         Workspace workspace = fleet.workspaces().get(request.workspace());
-        int held = perWorkspace.getOrDefault(request.workspace(), 0);
-        if (workspace != null && held >= workspace.maxWaiting()) {
-            boolean room = evict(nowNanos, request, Optional.of(request.workspace()));
-            if (!room && !outranksAll(request, workspace)) {
+        int active = perWorkspace.getOrDefault(request.workspace(), 0);
+        if (workspace != null && active >= workspace.maxWaiting()) {
+            boolean evicted = evict(nowNanos, request, Optional.of(request.workspace()));
+            if (!evicted && !isBelowWorkspaceLimit(request, workspace)) {
                 refuse(request, NotRunReason.WORKSPACE_LIMIT, limits.backoffMaxMillis());
                 return false;
             }
         }
         int rank = Math.min(4, request.tier().rank());
-        int room = (int) (limits.maxRequests() * (1 - RESERVE_PER_RANK * rank));
-        if (size() >= room && !evict(nowNanos, request, Optional.empty())) {
+        int capacity = (int) (limits.maxRequests() * (1 - RESERVED_SHARE_PER_RANK * rank));
+        if (size() >= capacity && !evict(nowNanos, request, Optional.empty())) {
             refuse(request, NotRunReason.OVERLOAD, limits.backoffMaxMillis());
             return false;
         }
         return true;
     }
 
-    /** Returns whether a full workspace holds less than its limit of this tier and those above. */
-    private boolean outranksAll(Request request, Workspace workspace) {
-        int same = 0;
+    /**
+     * Returns whether a full workspace has fewer requests of this tier and higher ones than its
+     * limit.
+     */
+    private boolean isBelowWorkspaceLimit(Request request, Workspace workspace) {
+        int count = 0;
         for (KeyedRequest other : byKey.values()) {
-            boolean counts =
+            boolean sameOrHigher =
                     other.request.workspace().equals(request.workspace())
                             && !request.tier().outranks(other.request.tier());
-            same += counts ? 1 : 0;
+            count += sameOrHigher ? 1 : 0;
         }
-        return same < workspace.maxWaiting();
+        return count < workspace.maxWaiting();
     }
 
-    /** Ends the waiting request of the lowest tier below that of {@code request}, the latest. */
+    /**
+     * Ends the latest waiting request of the lowest tier that {@code request} outranks; returns
+     * whether there was one.
+     */
     private boolean evict(long nowNanos, Request request, Optional<WorkspaceId> within) {
-        Optional<Execution> victim = Optional.empty();
+        Optional<Execution> candidate = Optional.empty();
         Comparator<Execution> order =
                 Comparator.<Execution, Tier>comparing(e -> e.request.tier())
                         .thenComparingLong(e -> e.request.arrivedNanos());
         for (Execution execution : models.all()) {
-            boolean fits =
+            boolean eligible =
                     request.tier().outranks(execution.request.tier())
                             && ModelRequests.isWaiting(execution)
                             && within.filter(w -> !w.equals(execution.request.workspace()))
                                     .isEmpty();
-            if (fits && (victim.isEmpty() || order.compare(execution, victim.get()) > 0)) {
-                victim = Optional.of(execution);
+            if (eligible
+                    && (candidate.isEmpty() || order.compare(execution, candidate.get()) > 0)) {
+                candidate = Optional.of(execution);
             }
         }
         NotRunReason reason =
                 within.isPresent() ? NotRunReason.WORKSPACE_LIMIT : NotRunReason.OVERLOAD;
-        victim.ifPresent(execution -> models.evict(nowNanos, execution, reason));
-        return victim.isPresent();
+        candidate.ifPresent(execution -> models.evict(nowNanos, execution, reason));
+        return candidate.isPresent();
     }
 
     private void refuse(Request request, NotRunReason reason, long retryAfterMillis) {
@@ -353,23 +376,26 @@
         out.accept(new HostAction.Answer(request.id(), outcome));
     }
 
-    private void statusRequested(long nowNanos, long ticket, RequestKey key) {
-        RequestStatus here = status(nowNanos, key);
-        if (!othersMayKnowMore(here)) {
-            out.accept(new HostAction.ReplyStatus(ticket, here));
+    private void onStatusRequested(long nowNanos, long ticket, RequestKey key) {
+        RequestStatus local = status(nowNanos, key);
+        if (!needsInquiry(local)) {
+            out.accept(new HostAction.ReplyStatus(ticket, local));
             return;
         }
-        List<HostId> hosts = directoriesOf(key);
+        List<HostId> hosts = directoryHostsOf(key);
         Optional<HostId> host =
                 hosts.contains(self) ? Optional.empty() : hosts.stream().findFirst();
         Optional<RequestId> holder =
                 host.isPresent() ? Optional.empty() : directory.holder(nowNanos, key);
-        inquiries.start(nowNanos, ticket, key, here, host, holder);
+        inquiries.start(nowNanos, ticket, key, local, host, holder);
     }
 
-    /** What this host didn't run, or doesn't know, another one may have run under the key. */
-    private static boolean othersMayKnowMore(RequestStatus here) {
-        return switch (here) {
+    /**
+     * Returns whether other hosts have to be queried: another host may have run a key that is
+     * unknown, not run or in doubt on this one.
+     */
+    private static boolean needsInquiry(RequestStatus local) {
+        return switch (local) {
             case RequestStatus.Unknown unknown -> true;
             case RequestStatus.Pending pending -> false;
             case RequestStatus.Final end ->
@@ -380,18 +406,18 @@
 
     private RequestStatus status(long nowNanos, RequestKey key) {
         KeyedRequest running = byKey.get(key);
-        boolean relays =
+        boolean relaying =
                 running instanceof Execution execution
                         && execution.state instanceof Execution.Relaying;
-        if (running != null && !relays) {
+        if (running != null && !relaying) {
             return new RequestStatus.Pending();
         }
-        return results.get(nowNanos, key)
+        return outcomes.get(nowNanos, key)
                 .<RequestStatus>map(result -> new RequestStatus.Final(result.outcome()))
                 .orElseGet(RequestStatus.Unknown::new);
     }
 
-    private void routed(long nowNanos, HostId from, RoutingMessage message) {
+    private void onRouting(long nowNanos, HostId from, RoutingMessage message) {
         switch (message) {
             case RoutingMessage.Granted granted -> models.onGranted(nowNanos, from, granted);
             case RoutingMessage.Refused refused -> models.onRefused(nowNanos, refused);
@@ -401,71 +427,81 @@
         }
     }
 
-    private void received(long nowNanos, HostId from, RequestMessage message) {
+    private void onReceived(long nowNanos, HostId from, RequestMessage message) {
         switch (message) {
             case RequestMessage.PoisonSeen seen -> poison.onSeen(nowNanos, seen);
             case RequestMessage.PoisonCleared cleared -> poison.onCleared(cleared);
-            case RequestMessage.StatusRequested asked -> reportStatus(nowNanos, from, asked);
-            case RequestMessage.StatusReported told -> statusReported(nowNanos, from, told);
+            case RequestMessage.StatusRequested requested ->
+                    reportStatus(nowNanos, from, requested);
+            case RequestMessage.StatusReported reported ->
+                    onStatusReported(nowNanos, from, reported);
             case RequestMessage.KeyOpened opened -> {
                 Optional<RequestId> holder =
                         directory.open(nowNanos, opened.key(), opened.request());
-                Optional<RequestId> asker = Optional.of(opened.request());
-                send(from, new RequestMessage.KeyHolder(opened.key(), asker, holder));
+                Optional<RequestId> requester = Optional.of(opened.request());
+                send(from, new RequestMessage.KeyHolder(opened.key(), requester, holder));
             }
-            case RequestMessage.KeyHolder holder -> holderTold(nowNanos, from, holder);
+            case RequestMessage.KeyHolder holder -> onHolderReported(nowNanos, from, holder);
             case RequestMessage.KeyClosed closed ->
                     directory.close(nowNanos, closed.key(), closed.request(), closed.mayRunAgain());
-            case RequestMessage.KeyRequested asked -> {
-                Optional<RequestId> holder = directory.holder(nowNanos, asked.key());
-                send(from, new RequestMessage.KeyHolder(asked.key(), Optional.empty(), holder));
+            case RequestMessage.KeyRequested requested -> {
+                Optional<RequestId> holder = directory.holder(nowNanos, requested.key());
+                send(from, new RequestMessage.KeyHolder(requested.key(), Optional.empty(), holder));
             }
-            case RequestMessage.ClaimRequested asked -> {}
-            case RequestMessage.ClaimReported told -> {}
-            case RequestMessage.OutcomeRequested asked -> {}
+            case RequestMessage.ClaimRequested requested -> {}
+            case RequestMessage.ClaimReported reported -> {}
+            case RequestMessage.OutcomeRequested requested -> {}
         }
     }
 
-    private void statusReported(long nowNanos, HostId from, RequestMessage.StatusReported told) {
-        inquiries.onStatus(told);
-        KeyedRequest running = byKey.get(told.key());
+    private void onStatusReported(
+            long nowNanos, HostId from, RequestMessage.StatusReported reported) {
+        inquiries.onStatus(reported);
+        KeyedRequest running = byKey.get(reported.key());
         if (running instanceof ServiceCall call) {
-            services.onStatus(nowNanos, call, from, told);
-        } else if (running instanceof Execution execution && told.claim().isEmpty()) {
-            models.onStatus(nowNanos, execution, from, told);
+            services.onStatus(nowNanos, call, from, reported);
+        } else if (running instanceof Execution execution && reported.claim().isEmpty()) {
+            models.onStatus(nowNanos, execution, from, reported);
         }
     }
 
-    private void holderTold(long nowNanos, HostId from, RequestMessage.KeyHolder told) {
-        if (told.asker().isEmpty()) {
-            inquiries.onHolder(told.key(), told.holder());
+    private void onHolderReported(long nowNanos, HostId from, RequestMessage.KeyHolder reported) {
+        if (reported.requester().isEmpty()) {
+            inquiries.onHolder(reported.key(), reported.holder());
             return;
         }
         boolean awaited =
-                byKey.get(told.key()) instanceof Execution execution
-                        && execution.request.id().equals(told.asker().get());
+                byKey.get(reported.key()) instanceof Execution execution
+                        && execution.request.id().equals(reported.requester().get());
         if (awaited) {
-            models.onHolder(nowNanos, (Execution) byKey.get(told.key()), from, told.holder());
+            models.onHolder(
+                    nowNanos, (Execution) byKey.get(reported.key()), from, reported.holder());
         }
     }
 
-    private void reportStatus(long nowNanos, HostId from, RequestMessage.StatusRequested asked) {
-        if (asked.claim().isPresent()) {
-            RequestStatus status = services.statusOf(asked.claim().get());
+    private void reportStatus(
+            long nowNanos, HostId from, RequestMessage.StatusRequested requested) {
+        if (requested.claim().isPresent()) {
+            RequestStatus status = services.statusOf(requested.claim().get());
             send(
                     from,
                     new RequestMessage.StatusReported(
-                            asked.key(), asked.claim(), status, List.of()));
+                            requested.key(), requested.claim(), status, List.of()));
             return;
         }
         List<Piece> pieces =
-                results.get(nowNanos, asked.key()).map(Results.Result::pieces).orElseGet(List::of);
-        RequestStatus status = status(nowNanos, asked.key());
-        send(from, new RequestMessage.StatusReported(asked.key(), asked.claim(), status, pieces));
-    }
-
-    private void fleetChanged(long nowNanos, FleetSnapshot changed) {
-        boolean hostsChanged = !takingWork(changed).equals(takingWork(fleet));
+                outcomes.get(nowNanos, requested.key())
+                        .map(OutcomeCache.CachedOutcome::pieces)
+                        .orElseGet(List::of);
+        RequestStatus status = status(nowNanos, requested.key());
+        send(
+                from,
+                new RequestMessage.StatusReported(
+                        requested.key(), requested.claim(), status, pieces));
+    }
+
+    private void onFleetChanged(long nowNanos, FleetSnapshot changed) {
+        boolean hostsChanged = !acceptingHosts(changed).equals(acceptingHosts(fleet));
         fleet = changed;
         poison.onFleet(nowNanos, changed);
         directory.onFleet(changed);
@@ -473,11 +509,11 @@
         models.onFleet(nowNanos, changed);
         services.onFleet(nowNanos, changed);
         if (hostsChanged) {
-            rolloutKeys(nowNanos);
+            reannounceKeys(nowNanos);
         }
     }
 
-    private static Set<HostId> takingWork(FleetSnapshot fleet) {
+    private static Set<HostId> acceptingHosts(FleetSnapshot fleet) {
         return fleet.hosts().values().stream()
                 .filter(EntryHost::takesWork)
                 .map(EntryHost::id)
@@ -495,30 +531,33 @@
         models.tick(nowNanos);
         services.tick(nowNanos);
         inquiries.tick(nowNanos);
-        results.trim(nowNanos);
+        outcomes.trim(nowNanos);
     }
 
-    private void modelClosed(long nowNanos, Execution execution, Outcome outcome) {
-        leaveDirectory(nowNanos, execution, outcome);
+    private void onModelClosed(long nowNanos, Execution execution, Outcome outcome) {
+        closeInDirectory(nowNanos, execution, outcome);
         List<Piece> pieces =
                 outcome instanceof Outcome.Answered
                         ? new ArrayList<>(execution.transcript.pieces())
                         : List.of();
-        closed(
+        onClosed(
                 nowNanos,
                 execution,
-                new Results.Result(execution.request.fingerprint(), outcome, pieces));
+                new OutcomeCache.CachedOutcome(execution.request.fingerprint(), outcome, pieces));
     }
 
-    private void callClosed(long nowNanos, ServiceCall call, Outcome outcome) {
-        closed(nowNanos, call, new Results.Result(call.request.fingerprint(), outcome, List.of()));
+    private void onCallClosed(long nowNanos, ServiceCall call, Outcome outcome) {
+        onClosed(
+                nowNanos,
+                call,
+                new OutcomeCache.CachedOutcome(call.request.fingerprint(), outcome, List.of()));
     }
 
-    private void closed(long nowNanos, KeyedRequest request, Results.Result result) {
+    private void onClosed(long nowNanos, KeyedRequest request, OutcomeCache.CachedOutcome result) {
         RequestKey key = request.request.key();
         byKey.remove(key, request);
         perWorkspace.computeIfPresent(key.workspace(), (w, n) -> n > 1 ? n - 1 : null);
-        results.put(nowNanos, key, result);
+        outcomes.put(nowNanos, key, result);
     }
 
     private void send(HostId to, RequestMessage message) {
--- a/src/main/java/org/orioleshed/request/Caller.java
+++ b/src/main/java/org/orioleshed/request/Caller.java
@@ -2,12 +2,11 @@
 
 import org.orioleshed.model.Request;
 
-/** One caller who waits for the answer of an execution. */
+/** A caller that waits for the outcome of a request. */
 final class Caller {
     final Request request;
 
-    /** Tokens that the caller's connection took. */
-    int taken;
+    int consumedTokens;
 
     Caller(Request request) {
         this.request = request;
--- a/src/main/java/org/orioleshed/request/CallerStreams.java
+++ b/src/main/java/org/orioleshed/request/CallerStreams.java
@@ -12,10 +12,13 @@
 import org.orioleshed.request.RequestMessage.Piece;
 import org.orioleshed.routing.RoutingMessage;
 
-/** What the callers of model requests get of the streams, and what they have taken. */
+/**
+ * Streams tokens to the callers of model requests and tracks how many each has consumed, for flow
+ * control.
+ */
 final class CallerStreams {
-    /** Owners hear of more credit in steps of this part of it. */
-    private static final int CREDIT_STEPS = 4;
+    /** Credit is sent to the owner in batches of at least {@code creditTokens} divided by this. */
+    private static final int CREDIT_BATCH_DIVISOR = 4;
 
     private final RequestLimits limits;
     private final Consumer<HostAction> out;
@@ -26,29 +29,29 @@
         this.out = out;
     }
 
-    boolean knows(RequestId caller) {
+    boolean contains(RequestId caller) {
         return byCaller.containsKey(caller);
     }
 
-    /** Adds a caller, who gets what is there already. */
+    /** Adds a caller and sends it the pieces received so far. */
     void add(Execution execution, Request request) {
         execution.callers.add(new Caller(request));
         byCaller.put(request.id(), execution);
         execution.transcript.pieces().forEach(piece -> write(request.id(), piece));
     }
 
-    /** Forgets a caller and returns its execution; null when it has none. */
+    /** Removes a caller and returns its execution, or null if the caller is unknown. */
     Execution remove(RequestId caller) {
         return byCaller.remove(caller);
     }
 
     /**
-     * Takes a piece of the stream, in any order, and passes on what follows without a gap.
+     * Adds a piece of the stream, in any order, and writes what is now contiguous to the callers.
      *
-     * @param ahead how many tokens beyond a gap are kept
+     * @param windowTokens how many tokens beyond a gap a piece may start and still be kept
      */
-    void add(Execution execution, Piece piece, int ahead) {
-        for (Piece fresh : execution.transcript.add(piece, ahead)) {
+    void add(Execution execution, Piece piece, int windowTokens) {
+        for (Piece fresh : execution.transcript.add(piece, windowTokens)) {
             execution.callers.forEach(caller -> write(caller.request.id(), fresh));
         }
     }
@@ -59,43 +62,44 @@
                         caller, piece.firstToken(), piece.count(), piece.text()));
     }
 
-    /** A caller's connection took tokens. */
-    void took(RequestId caller, int tokens) {
+    /** Records tokens consumed by a caller's connection. */
+    void onConsumed(RequestId caller, int tokens) {
         Execution execution = byCaller.get(caller);
         if (execution == null) {
             return;
         }
-        for (Caller one : execution.callers) {
-            if (one.request.id().equals(caller)) {
-                one.taken = Math.min(execution.transcript.tokens(), one.taken + tokens);
+        for (Caller consumer : execution.callers) {
+            if (consumer.request.id().equals(caller)) {
+                consumer.consumedTokens =
+                        Math.min(execution.transcript.tokens(), consumer.consumedTokens + tokens);
             }
         }
-        giveCredit(execution);
+        grantCredit(execution);
     }
 
-    /** Lets the owner send on, as far as the slowest caller has taken. */
-    void giveCredit(Execution execution) {
+    /** Grants the owner credit according to the slowest caller. */
+    void grantCredit(Execution execution) {
         if (!(execution.state instanceof Running running)) {
             return;
         }
-        int limit = execution.takenTokens() + limits.creditTokens();
-        int more = limit - execution.creditLimit;
-        if (more < Math.max(1, limits.creditTokens() / CREDIT_STEPS)) {
+        int limit = execution.consumedTokens() + limits.creditTokens();
+        int added = limit - execution.creditLimit;
+        if (added < Math.max(1, limits.creditTokens() / CREDIT_BATCH_DIVISOR)) {
             return;
         }
         execution.creditLimit = limit;
         out.accept(
                 new HostAction.SendRouting(
-                        running.owner, new RoutingMessage.Credit(running.run, more)));
+                        running.owner, new RoutingMessage.Credit(running.run, added)));
     }
 
-    /** Gives one caller the outcome and forgets it. */
+    /** Sends the outcome to one caller and removes it. */
     void answer(RequestId caller, Outcome outcome) {
         out.accept(new HostAction.Answer(caller, outcome));
         byCaller.remove(caller);
     }
 
-    /** Gives all callers of an execution the outcome and forgets them. */
+    /** Sends the outcome to all callers of an execution and removes them. */
     void answerAll(Execution execution, Outcome outcome) {
         for (Caller caller : List.copyOf(execution.callers)) {
             answer(caller.request.id(), outcome);
--- a/src/main/java/org/orioleshed/request/Claims.java
+++ b/src/main/java/org/orioleshed/request/Claims.java
@@ -9,33 +9,33 @@
 /** The claims on keys of non-repeatable calls, kept in the platform's store. */
 public interface Claims {
     /**
-     * Claims a key for a run; answered by {@link Listener#onClaimed}, at the latest when the store
-     * was waited for long enough.
+     * Claims a key for a run. {@link Listener#onClaimed} reports the result, at the latest when the
+     * wait for the store times out.
      *
-     * @param replaces the run of an earlier claim that is proved never to be sent; empty when the
-     *     key must be unclaimed
+     * @param replaces the run of an earlier claim that is proved never to be sent; empty if the key
+     *     must be unclaimed
      */
     void claim(long nowNanos, RequestKey key, RunId run, Optional<RunId> replaces);
 
-    /** Gives up on a claim under way; if it lands later, its run is never sent. */
+    /** Abandons a pending claim; if its write is applied later, its run is never sent. */
     void abandon(RequestKey key, RunId run);
 
-    /** Records the outcome of a claimed run in the next group of writes. */
+    /** Records the outcome of a claimed run with the next batched write. */
     void record(long nowNanos, RequestKey key, RunId run, Outcome outcome);
 
-    /** Looks a key up without claiming it; answered by {@link Listener#onLookedUp}. */
+    /** Looks up a key without claiming it. {@link Listener#onLookedUp} reports the result. */
     void lookUp(long nowNanos, long ticket, RequestKey key);
 
-    /** What became of a claim. */
+    /** The result of a claim or lookup. */
     sealed interface Result {
-        /** The claim stands in the store; the run may be sent. */
+        /** The claim is stored; the run may be sent. */
         record Acquired() implements Result {}
 
         /**
-         * Another run has the key.
+         * Another run holds the key.
          *
-         * @param holder the run that claimed the key; names the host and its incarnation
-         * @param outcome its outcome, when recorded
+         * @param holder the run that claimed the key; contains the host and its incarnation
+         * @param outcome its outcome, if recorded
          */
         record Taken(RunId holder, Optional<Outcome> outcome) implements Result {
             /** Returns the host that claimed the key. */
@@ -44,19 +44,19 @@
             }
         }
 
-        /** No claim stands for the key. */
+        /** The key is not claimed. */
         record Free() implements Result {}
 
-        /** The store did not answer in time, or refused. */
+        /** The store did not answer in time or rejected the operation. */
         record Unavailable() implements Result {}
     }
 
-    /** Hears what became of claims. */
+    /** Receives the results of claims and lookups. */
     interface Listener {
-        /** A claim under way was settled. Never called for an abandoned one. */
+        /** Called when a pending claim is settled; never called for an abandoned claim. */
         void onClaimed(long nowNanos, RequestKey key, RunId run, Result result);
 
-        /** A key was looked up. */
+        /** Called when a lookup is complete. */
         void onLookedUp(long nowNanos, long ticket, RequestKey key, Result result);
     }
 }
--- a/src/main/java/org/orioleshed/request/Execution.java
+++ b/src/main/java/org/orioleshed/request/Execution.java
@@ -16,23 +16,23 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** A model request on its accepting host, from the first caller's arrival to the outcome. */
+/** A model request on its accepting host, from the arrival of its first caller to the outcome. */
 final class Execution extends KeyedRequest {
     final Transcript transcript = new Transcript();
     State state;
     Optional<VersionId> version = Optional.empty();
 
-    /** The number of the latest attempt; zero before the first. */
+    /** The number of the latest attempt; 0 before the first. */
     int attempt;
 
-    /** The hosts of the key's directory that were asked and have not answered yet. */
-    final Set<HostId> asked = new HashSet<>();
+    /** The directory hosts of the key that have not replied yet. */
+    final Set<HostId> pendingDirectoryHosts = new HashSet<>();
 
-    /** Whether a dead host may have left a run of the key on an engine. */
+    /** Whether a run of the key started by a dead host may still be on an engine. */
     boolean awaitsOrphan;
 
-    /** The hosts that keep the key's entry in the directory. */
-    List<HostId> directories = List.of();
+    /** The hosts that store the key's directory entry. */
+    List<HostId> directoryHosts = List.of();
 
     /** Whether a run may have reached an engine. */
     boolean mayHaveRun;
@@ -40,10 +40,10 @@
     int failures;
     int preemptions;
 
-    /** When the host first found no server for the request; zero when it found one. */
+    /** When the host first found no server for the request; 0 if it has found one since. */
     long noServerSinceNanos;
 
-    /** The offset up to which the owner may send tokens. */
+    /** The token offset up to which the owner may send. */
     int creditLimit;
 
     Execution(Request request, State state) {
@@ -57,8 +57,8 @@
     }
 
     @Override
-    long stateWakeNanos() {
-        return state.wakeNanos();
+    long stateTimerNanos() {
+        return state.timerNanos();
     }
 
     @Override
@@ -66,30 +66,30 @@
         return !mayHaveRun;
     }
 
-    /** Returns how many tokens the slowest caller took. */
-    int takenTokens() {
-        int least = Integer.MAX_VALUE;
+    /** Returns the number of tokens consumed by the slowest caller. */
+    int consumedTokens() {
+        int min = Integer.MAX_VALUE;
         for (Caller caller : callers) {
-            least = Math.min(least, caller.taken);
+            min = Math.min(min, caller.consumedTokens);
         }
-        return least == Integer.MAX_VALUE ? 0 : least;
+        return min == Integer.MAX_VALUE ? 0 : min;
     }
 
-    /** Where a request is in its life. */
+    /** The state of a request. */
     sealed interface State {
-        /** Returns when the state has something to do by itself. */
-        long wakeNanos();
+        /** Returns when the state's next timer is due. */
+        long timerNanos();
     }
 
-    /** Waits before the next round of offers. */
+    /** Waiting until the next round of offers. */
     record Waiting(long untilNanos) implements State {
         @Override
-        public long wakeNanos() {
+        public long timerNanos() {
             return untilNanos;
         }
     }
 
-    /** Offered to owners, no grant yet. */
+    /** Offered to owners; none has granted a slot yet. */
     static final class Offering implements State {
         final RunId run;
         final Map<ServerId, Offered> offers = new LinkedHashMap<>();
@@ -97,7 +97,7 @@
         final List<Placement.Choice> untried;
         final Set<ServerId> tried = new HashSet<>();
 
-        /** Whether {@link #untried} holds all servers not tried yet. */
+        /** Whether all eligible servers have been added to {@link #untried}. */
         boolean complete;
 
         long repeatNanos;
@@ -110,13 +110,13 @@
         }
 
         @Override
-        public long wakeNanos() {
+        public long timerNanos() {
             return Math.min(
                     repeatNanos, untried.isEmpty() && complete ? Long.MAX_VALUE : widenNanos);
         }
     }
 
-    /** One offer and the owner that it went to. */
+    /** An offer and the owner that it was sent to. */
     record Offered(HostId owner) {}
 
     /** Placed on a server by its owner. */
@@ -129,19 +129,19 @@
         /** Whether an earlier run may have reached an engine. */
         final boolean ranBefore;
 
-        /** When to ask the owner whether it has the run, as it stays silent. */
+        /** When to probe a silent owner for whether it has the run. */
         long probeNanos = Long.MAX_VALUE;
 
         long probeDelayNanos;
 
-        /** Whether the body was sent twice, so that an engine may refuse the second. */
-        boolean placedAgain;
+        /** Whether the body was sent twice, in which case an engine may reject the second one. */
+        boolean bodyResent;
 
-        /** Whether a token of this run came. */
-        boolean heard;
+        /** Whether a token of this run was received. */
+        boolean tokensReceived;
 
-        long silentAtNanos;
-        long gapEndsNanos = Long.MAX_VALUE;
+        long silenceDeadlineNanos;
+        long gapDeadlineNanos = Long.MAX_VALUE;
         OptionalInt totalTokens = OptionalInt.empty();
 
         Running(
@@ -158,24 +158,24 @@
         }
 
         @Override
-        public long wakeNanos() {
-            return Math.min(probeNanos, Math.min(silentAtNanos, gapEndsNanos));
+        public long timerNanos() {
+            return Math.min(probeNanos, Math.min(silenceDeadlineNanos, gapDeadlineNanos));
         }
     }
 
-    /** Its run is being cancelled; the next attempt waits for the proof that it is over. */
-    record Ending(RunId run, ServerId server) implements State {
+    /** Cancelling a run; the next attempt waits for confirmation that the run has ended. */
+    record Cancelling(RunId run, ServerId server) implements State {
         @Override
-        public long wakeNanos() {
+        public long timerNanos() {
             return Long.MAX_VALUE;
         }
     }
 
-    /** The key runs on another host, whose outcome is taken over when it is known. */
-    record Relaying(RequestId holder, long askAgainNanos) implements State {
+    /** Waiting for the outcome of the same key on another host. */
+    record Relaying(RequestId holder, long pollNanos) implements State {
         @Override
-        public long wakeNanos() {
-            return askAgainNanos;
+        public long timerNanos() {
+            return pollNanos;
         }
     }
 }
--- a/src/main/java/org/orioleshed/request/KeyDirectory.java
+++ b/src/main/java/org/orioleshed/request/KeyDirectory.java
@@ -11,21 +11,20 @@
 import org.orioleshed.model.RequestKey;
 
 /**
- * The part of the directory of keys that this host keeps: which request runs, or ran last, under a
- * key. The keys are divided over the hosts by rendezvous hashing, each to two of them, so that the
- * death of one does not lose the entry. An entry stands while its request runs and for a stated
- * time after; it is dropped earlier when the directory is full, the oldest first, or when the host
- * of its request is gone.
+ * This host's part of the key directory, which maps a key to the request that runs, or ran last,
+ * under it. Rendezvous hashing assigns each key to two hosts, so that the death of one does not
+ * lose the entry. An entry is kept while its request runs and for a configured time afterwards. It
+ * is dropped earlier if the directory is full, oldest first, or if the host of its request is dead.
  */
 final class KeyDirectory {
     private static final int MAX_ENTRIES = 100_000;
 
-    private final long keptNanos;
+    private final long retentionNanos;
     private final LinkedHashMap<RequestKey, Entry> entries = new LinkedHashMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
-    KeyDirectory(long keptMillis) {
-        this.keptNanos = TimeUnit.MILLISECONDS.toNanos(keptMillis);
+    KeyDirectory(long retentionMillis) {
+        this.retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
     }
 
     private record Entry(RequestId holder, boolean open, long untilNanos) {}
@@ -35,22 +34,25 @@
     }
 
     /**
-     * Enters a request under its key unless another holds it; returns the holder then. A holder
-     * whose host is gone is returned once more, since its run may still be on an engine, and is
-     * replaced.
+     * Registers a request under its key unless another request holds it, in which case the holder
+     * is returned. A holder whose host is dead is replaced, but returned one last time, since its
+     * run may still be on an engine.
      */
     Optional<RequestId> open(long nowNanos, RequestKey key, RequestId request) {
         Entry entry = entries.get(key);
-        boolean held =
+        boolean heldByOther =
                 entry != null && nowNanos < entry.untilNanos && !entry.holder.equals(request);
-        if (held && lives(entry.holder)) {
+        if (heldByOther && isHostAlive(entry.holder)) {
             return Optional.of(entry.holder);
         }
         put(key, new Entry(request, true, Long.MAX_VALUE));
-        return held && entry.open ? Optional.of(entry.holder) : Optional.empty();
+        return heldByOther && entry.open ? Optional.of(entry.holder) : Optional.empty();
     }
 
-    /** Notes that a request ended: its host knows the outcome for a while. */
+    /**
+     * Records that a request ended; the entry is kept for the retention time, as its host has the
+     * outcome.
+     */
     void close(long nowNanos, RequestKey key, RequestId request, boolean mayRunAgain) {
         Entry entry = entries.get(key);
         if (entry == null || !entry.holder.equals(request)) {
@@ -60,13 +62,13 @@
             entries.remove(key);
             return;
         }
-        put(key, new Entry(request, false, nowNanos + keptNanos));
+        put(key, new Entry(request, false, nowNanos + retentionNanos));
     }
 
-    /** Returns the request that holds a key, as long as its host lives. */
+    /** Returns the request that holds a key, if its host is alive. */
     Optional<RequestId> holder(long nowNanos, RequestKey key) {
         Entry entry = entries.get(key);
-        if (entry == null || nowNanos >= entry.untilNanos || !lives(entry.holder)) {
+        if (entry == null || nowNanos >= entry.untilNanos || !isHostAlive(entry.holder)) {
             return Optional.empty();
         }
         return Optional.of(entry.holder);
@@ -76,7 +78,7 @@
         return entries.size();
     }
 
-    private boolean lives(RequestId holder) {
+    private boolean isHostAlive(RequestId holder) {
         EntryHost host = fleet.hosts().get(holder.host());
         return host != null
                 && host.state() != EntryHost.State.DEAD
--- a/src/main/java/org/orioleshed/request/KeyedRequest.java
+++ b/src/main/java/org/orioleshed/request/KeyedRequest.java
@@ -5,30 +5,37 @@
 import org.orioleshed.model.Request;
 import org.orioleshed.model.RequestId;
 
-/** A request under way on its accepting host, with all callers that sent its key. */
+/** A request in progress on its accepting host, with all callers that sent its key. */
 abstract sealed class KeyedRequest permits Execution, ServiceCall {
-    /** Why a caller whose deadline passed can't be told "not run" when others wait on. */
-    static final String SHARED_KEY = "the same key still waits for another caller";
+    /**
+     * The detail for a caller whose deadline passed while other callers of the key still wait; the
+     * request may still run, so "not run" would be wrong.
+     */
+    static final String SHARED_KEY =
+            "the request is still pending for another caller with the same key";
 
-    static final String HOST_STOPPED = "the host stopped before the run had ended";
+    static final String HOST_STOPPED = "the host stopped before the run ended";
 
     final Request request;
     final List<Caller> callers = new ArrayList<>();
 
-    /** Whether the request is over. */
+    /** Whether the request has its final outcome. */
     boolean closed;
 
-    /** When the timer queue wakes this request. */
-    long wakeNanos = Long.MAX_VALUE;
+    /** When the earliest queued timer of this request is due. */
+    long timerNanos = Long.MAX_VALUE;
 
     KeyedRequest(Request request) {
         this.request = request;
     }
 
-    /** Returns when the state has something to do by itself. */
-    abstract long stateWakeNanos();
+    /** Returns when the state's next timer is due. */
+    abstract long stateTimerNanos();
 
-    /** Returns whether no run was ever started, so that "not run" is true. */
+    /**
+     * Returns whether it is certain that no run was started, so that "not run" is a correct
+     * outcome.
+     */
     abstract boolean provedNotRun();
 
     /** Returns the latest deadline of its callers. */
@@ -53,7 +60,7 @@
     }
 
     /** Returns the callers whose deadline has passed. */
-    List<Caller> lateCallers(long nowNanos) {
+    List<Caller> expiredCallers(long nowNanos) {
         if (nowNanos < nextDeadlineNanos()) {
             return List.of();
         }
@@ -63,6 +70,6 @@
     }
 
     void removeCaller(RequestId caller) {
-        callers.removeIf(one -> one.request.id().equals(caller));
+        callers.removeIf(each -> each.request.id().equals(caller));
     }
 }
--- a/src/main/java/org/orioleshed/request/ModelRequests.java
+++ b/src/main/java/org/orioleshed/request/ModelRequests.java
@@ -25,7 +25,7 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 import org.orioleshed.model.Work;
-import org.orioleshed.request.Execution.Ending;
+import org.orioleshed.request.Execution.Cancelling;
 import org.orioleshed.request.Execution.Offering;
 import org.orioleshed.request.Execution.Relaying;
 import org.orioleshed.request.Execution.Running;
@@ -37,23 +37,25 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * The model requests that this host accepted: offers to owners, the stream to the callers, retries,
- * and the one outcome.
+ * The model requests that this host accepted: offers to owners, streams to the callers, retries,
+ * and the single final outcome.
  */
 final class ModelRequests {
-    /** The slowest prefill that counts as a sign of life, in tokens per second. */
-    private static final int SLOWEST_PREFILL = 500;
+    /** The prefill rate assumed when computing how long a new run may stay silent. */
+    private static final int MIN_PREFILL_TOKENS_PER_SECOND = 500;
 
-    /** How long a suspect waits while the same content runs. */
+    /**
+     * How long a request with suspect content waits while the same content is being offered or run.
+     */
     private static final long SUSPECT_WAIT_MILLIS = 200;
 
-    /** How long a stream may pause before its owner is asked whether it has the run. */
-    private static final long PROBE_MILLIS = 2_000;
+    /** How long a stream may pause before its owner is probed for whether it has the run. */
+    private static final long PROBE_INTERVAL_MILLIS = 2_000;
 
-    /** How often the host that runs a key is asked for its outcome. */
-    private static final long RELAY_MILLIS = 100;
+    /** The interval between status requests to the host that runs a key. */
+    private static final long RELAY_POLL_MILLIS = 100;
 
-    /** The bounds of the advice when to send again, in milliseconds. */
+    /** Bounds of the retry-after hint for shed requests. */
     private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
     private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
@@ -67,14 +69,14 @@
     private final RetryBudget retries;
     private final RunCanceller canceller;
     private final OfferRounds offers;
-    private final Wakes<Execution> wakes = new Wakes<>();
+    private final Timers<Execution> timers = new Timers<>();
     private final Consumer<HostAction> out;
     private final Closed onClosed;
     private final Map<RequestId, Execution> byRequest = new LinkedHashMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private boolean draining;
 
-    /** Hears of executions that are over. */
+    /** Receives executions that have ended. */
     interface Closed {
         void closed(long nowNanos, Execution execution, Outcome outcome);
     }
@@ -100,9 +102,9 @@
     }
 
     /**
-     * Starts a request whose key does not run on this host.
+     * Starts a request whose key is not in progress on this host.
      *
-     * @param onOpened enters the key; notes the hosts of the directory that are asked
+     * @param onOpened registers the key and records the directory hosts whose replies are pending
      */
     void start(long nowNanos, Request request, Consumer<Execution> onOpened) {
         Execution execution = new Execution(request, new Waiting(nowNanos));
@@ -111,43 +113,43 @@
         streams.add(execution, request);
         onOpened.accept(execution);
         if (execution.state instanceof Relaying || execution.awaitsOrphan) {
-            execution.asked.clear();
-        } else if (!execution.asked.isEmpty()) {
+            execution.pendingDirectoryHosts.clear();
+        } else if (!execution.pendingDirectoryHosts.isEmpty()) {
             waitUntil(execution, nowNanos + nanos(limits.directoryMillis()));
         } else {
             offer(nowNanos, execution);
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
-    /** Lets a resend of the key share a running execution. */
+    /** Attaches a resend of the key to the execution in progress. */
     void join(Execution execution, Request request) {
         streams.add(execution, request);
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
-    /** Hears from a host of the key's directory who else runs it. */
+    /** Handles a directory host's reply on which other request holds the key. */
     void onHolder(long nowNanos, Execution execution, HostId from, Optional<RequestId> holder) {
-        if (!execution.asked.remove(from)) {
+        if (!execution.pendingDirectoryHosts.remove(from)) {
             return;
         }
         if (holder.isPresent()) {
-            execution.asked.clear();
+            execution.pendingDirectoryHosts.clear();
             relay(nowNanos, execution, holder.get());
-        } else if (execution.asked.isEmpty()) {
+        } else if (execution.pendingDirectoryHosts.isEmpty()) {
             offer(nowNanos, execution);
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
-    /** Learns, before it offers, that another host holds the key; later it is too late. */
-    void foundHolder(long nowNanos, Execution execution, RequestId holder) {
+    /** Handles a key held by another host. Ignored once the request has been offered. */
+    void onHolderFound(long nowNanos, Execution execution, RequestId holder) {
         if (execution.attempt == 0 && execution.state instanceof Waiting) {
             relay(nowNanos, execution, holder);
         }
     }
 
-    /** Waits for the outcome of the same key on another host. */
+    /** Requests the outcome of the same key from another host. */
     private void relay(long nowNanos, Execution execution, RequestId holder) {
         EntryHost host = fleet.hosts().get(holder.host());
         execution.mayHaveRun = true;
@@ -155,35 +157,38 @@
             awaitOrphan(nowNanos, execution);
             return;
         }
-        execution.state = new Relaying(holder, nowNanos + nanos(RELAY_MILLIS));
+        execution.state = new Relaying(holder, nowNanos + nanos(RELAY_POLL_MILLIS));
         RequestKey key = execution.request.key();
         out.accept(
                 new HostAction.SendRequest(
                         holder.host(), new RequestMessage.StatusRequested(key, Optional.empty())));
     }
 
-    /** Gives the owners time to cancel the run that a dead host left on an engine. */
+    /** Waits to give the owners time to cancel the run that a dead host left on an engine. */
     private void awaitOrphan(long nowNanos, Execution execution) {
         execution.awaitsOrphan = true;
         waitUntil(execution, nowNanos + nanos(limits.orphanMillis()));
     }
 
-    /** Hears the request status of a key that runs on another host. */
+    /** Handles the reported status of a key held by another host. */
     void onStatus(
-            long nowNanos, Execution execution, HostId from, RequestMessage.StatusReported told) {
+            long nowNanos,
+            Execution execution,
+            HostId from,
+            RequestMessage.StatusReported reported) {
         if (!(execution.state instanceof Relaying relaying)
                 || !relaying.holder().host().equals(from)) {
             return;
         }
-        switch (told.status()) {
+        switch (reported.status()) {
             case RequestStatus.Pending pending -> {}
-            case RequestStatus.Unknown unknown -> runAfterAll(nowNanos, execution, true);
+            case RequestStatus.Unknown unknown -> runLocally(nowNanos, execution, true);
             case RequestStatus.Final end when end.outcome() instanceof Outcome.Answered answered ->
-                    relayAnswer(nowNanos, execution, answered, told.pieces());
+                    relayAnswer(nowNanos, execution, answered, reported.pieces());
             case RequestStatus.Final end ->
-                    runAfterAll(nowNanos, execution, !(end.outcome() instanceof Outcome.NotRun));
+                    runLocally(nowNanos, execution, !(end.outcome() instanceof Outcome.NotRun));
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
     private void relayAnswer(
@@ -195,32 +200,32 @@
             end(nowNanos, execution, answered);
             return;
         }
-        runAfterAll(nowNanos, execution, true);
+        runLocally(nowNanos, execution, true);
     }
 
-    /** Runs a key here, as it no longer runs elsewhere. */
-    private void runAfterAll(long nowNanos, Execution execution, boolean mayHaveRunThere) {
-        execution.mayHaveRun = mayHaveRunThere || execution.attempt > 0;
+    /** Runs a key on this host, as the other host has no usable outcome. */
+    private void runLocally(long nowNanos, Execution execution, boolean mayHaveRunElsewhere) {
+        execution.mayHaveRun = mayHaveRunElsewhere || execution.attempt > 0;
         waitUntil(execution, nowNanos);
     }
 
-    /** Returns the number of executions under way. */
+    /** Returns the number of executions in progress. */
     int size() {
         return byRequest.size();
     }
 
-    /** Returns whether nothing is left to finish or to cancel. */
+    /** Returns whether no execution is in progress and no run is being cancelled. */
     boolean isIdle() {
         return byRequest.isEmpty() && canceller.size() == 0;
     }
 
-    /** Returns the executions under way, oldest first. */
+    /** Returns the executions in progress, oldest first. */
     Iterable<Execution> all() {
         return byRequest.values();
     }
 
-    boolean knowsCaller(RequestId caller) {
-        return streams.knows(caller);
+    boolean hasCaller(RequestId caller) {
+        return streams.contains(caller);
     }
 
     void onFleet(long nowNanos, FleetSnapshot changed) {
@@ -233,14 +238,14 @@
                 case Running running -> checkOwner(nowNanos, execution, running);
                 case Relaying relaying -> relay(nowNanos, execution, relaying.holder());
                 case Waiting waiting -> {}
-                case Ending ending -> {}
+                case Cancelling cancelling -> {}
             }
-            wakes.schedule(execution);
+            timers.schedule(execution);
         }
         canceller.tick(nowNanos, fleet);
     }
 
-    /** Answers what waits; what runs goes on. */
+    /** Ends the requests that wait and were never run; running requests continue. */
     void drain(long nowNanos) {
         draining = true;
         for (Execution execution : List.copyOf(byRequest.values())) {
@@ -250,8 +255,8 @@
         }
     }
 
-    /** Answers all that is left and cancels its runs: this host won't be there to read on. */
-    void giveUp(long nowNanos) {
+    /** Ends all remaining requests and cancels their runs, as this host is about to stop. */
+    void endAll(long nowNanos) {
         for (Execution execution : List.copyOf(byRequest.values())) {
             log("give-up", execution, null, "drain-over");
             Outcome outcome =
@@ -263,15 +268,15 @@
         }
     }
 
-    /** Ends a request that was never run, for the sake of a more urgent one. */
+    /** Ends a request that was never run, to admit one of a higher tier. */
     void evict(long nowNanos, Execution execution, NotRunReason reason) {
         end(nowNanos, execution, notRun(reason, limits.backoffMaxMillis()));
     }
 
-    /** Returns whether a request waits and was never run. */
+    /** Returns whether a request is waiting and was never run. */
     static boolean isWaiting(Execution execution) {
-        boolean waits = execution.state instanceof Offering || execution.state instanceof Waiting;
-        return waits && execution.provedNotRun();
+        boolean waiting = execution.state instanceof Offering || execution.state instanceof Waiting;
+        return waiting && execution.provedNotRun();
     }
 
     void onCallerGone(long nowNanos, RequestId caller) {
@@ -282,12 +287,12 @@
         Outcome outcome =
                 execution.provedNotRun()
                         ? notRun(NotRunReason.CALLER_GONE, 0)
-                        : new Outcome.Failed(FailReason.CALLER_GONE, "the caller left");
-        dismiss(nowNanos, execution, caller, outcome);
+                        : new Outcome.Failed(FailReason.CALLER_GONE, "the caller disconnected");
+        detachCaller(nowNanos, execution, caller, outcome);
     }
 
     void onCallerConsumed(RequestId caller, int tokens) {
-        streams.took(caller, tokens);
+        streams.onConsumed(caller, tokens);
     }
 
     void onGranted(long nowNanos, HostId from, RoutingMessage.Granted granted) {
@@ -297,15 +302,15 @@
                 && offering.run.equals(granted.run())
                 && offering.offers.containsKey(granted.server())) {
             place(nowNanos, execution, offering, granted.server(), from);
-            wakes.schedule(execution);
+            timers.schedule(execution);
             return;
         }
         if (execution != null
                 && execution.state instanceof Running running
                 && running.run.equals(granted.run())
                 && running.server.equals(granted.server())) {
-            placeAgain(nowNanos, execution, running, granted);
-            wakes.schedule(execution);
+            onRepeatedGrant(nowNanos, execution, running, granted);
+            timers.schedule(execution);
             return;
         }
         withdraw(from, granted);
@@ -318,33 +323,33 @@
     }
 
     /**
-     * An owner that was asked grants a place once more, so it does not have the run: it never got
-     * the body, or forgot the run in a restart.
+     * Handles a second grant from a probed owner, which means that it does not have the run: the
+     * body was lost, or the owner lost the run in a restart.
      */
-    private void placeAgain(
+    private void onRepeatedGrant(
             long nowNanos, Execution execution, Running running, RoutingMessage.Granted granted) {
-        boolean asked = running.probeDelayNanos > nanos(limits.offerRepeatMillis());
-        if (!asked) {
+        boolean probed = running.probeDelayNanos > nanos(limits.offerRepeatMillis());
+        if (!probed) {
             return;
         }
-        if (!running.heard && !running.placedAgain) {
-            running.placedAgain = true;
+        if (!running.tokensReceived && !running.bodyResent) {
+            running.bodyResent = true;
             sendBody(execution, running);
             return;
         }
         withdraw(running.owner, granted);
-        cancelAtEngine(nowNanos, execution, running, "home-forgot");
+        cancelAtEngine(nowNanos, execution, running, "owner-lost-run");
     }
 
     private void cancelAtEngine(
             long nowNanos, Execution execution, Running running, String reason) {
         log("resume", execution, running.server, reason);
-        execution.state = new Ending(running.run, running.server);
-        canceller.atEngine(nowNanos, fleet, running.run, running.server, running.owner);
+        execution.state = new Cancelling(running.run, running.server);
+        canceller.cancelAtEngine(nowNanos, fleet, running.run, running.server, running.owner);
     }
 
     private void sendBody(Execution execution, Running running) {
-        int known = execution.transcript.tokens();
+        int receivedTokens = execution.transcript.tokens();
         out.accept(
                 new HostAction.SendRouting(
                         running.owner,
@@ -352,8 +357,8 @@
                                 running.run,
                                 running.server,
                                 execution.request.body(),
-                                known,
-                                execution.creditLimit - known)));
+                                receivedTokens,
+                                execution.creditLimit - receivedTokens)));
     }
 
     private void place(
@@ -364,9 +369,10 @@
             end(nowNanos, execution, poisoned(execution));
             return;
         }
-        int known = execution.transcript.tokens();
-        execution.transcript.dropAhead();
-        execution.creditLimit = Math.max(known, execution.takenTokens() + limits.creditTokens());
+        int receivedTokens = execution.transcript.tokens();
+        execution.transcript.dropOutOfOrder();
+        execution.creditLimit =
+                Math.max(receivedTokens, execution.consumedTokens() + limits.creditTokens());
         long incarnation =
                 Optional.ofNullable(fleet.hosts().get(owner))
                         .map(EntryHost::incarnation)
@@ -374,8 +380,9 @@
         Running running =
                 new Running(offering.run, server, owner, incarnation, execution.mayHaveRun);
         Work.Generate work = (Work.Generate) execution.request.work();
-        long prefillMillis = 1_000L * (work.promptTokens() + known) / SLOWEST_PREFILL;
-        running.silentAtNanos = nowNanos + nanos(2 * limits.silenceMillis() + prefillMillis);
+        long prefillMillis =
+                1_000L * (work.promptTokens() + receivedTokens) / MIN_PREFILL_TOKENS_PER_SECOND;
+        running.silenceDeadlineNanos = nowNanos + nanos(2 * limits.silenceMillis() + prefillMillis);
         execution.state = running;
         execution.mayHaveRun = true;
         placement.placed(execution.request, server);
@@ -392,18 +399,19 @@
                 || !offering.run.equals(refused.run())) {
             return;
         }
-        if (offers.refuse(nowNanos, execution, offering, refused)) {
+        if (offers.onRefused(nowNanos, execution, offering, refused)) {
             allRefused(nowNanos, execution, offering);
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
     private void allRefused(long nowNanos, Execution execution, Offering offering) {
-        if (OfferRounds.shed(offering.refusals) && execution.provedNotRun()) {
-            long wait = OfferRounds.shortestWaitMillis(offering.refusals);
-            long retryAfter = Math.clamp(wait, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
-            log("shed", execution, null, "every-home-refused");
-            end(nowNanos, execution, notRun(NotRunReason.OVERLOAD, retryAfter));
+        if (OfferRounds.isShed(offering.refusals) && execution.provedNotRun()) {
+            long waitMillis = OfferRounds.shortestWaitMillis(offering.refusals);
+            long retryAfterMillis =
+                    Math.clamp(waitMillis, MIN_RETRY_AFTER_MILLIS, MAX_RETRY_AFTER_MILLIS);
+            log("shed", execution, null, "every-owner-refused");
+            end(nowNanos, execution, notRun(NotRunReason.OVERLOAD, retryAfterMillis));
             return;
         }
         boolean noServer =
@@ -425,47 +433,49 @@
         Piece piece = new Piece(tokens.firstToken(), tokens.count(), tokens.text());
         streams.add(execution, piece, limits.creditTokens());
         if (execution.state instanceof Running running) {
-            running.silentAtNanos = nowNanos + nanos(limits.silenceMillis());
-            running.heard = true;
+            running.silenceDeadlineNanos = nowNanos + nanos(limits.silenceMillis());
+            running.tokensReceived = true;
             running.probeDelayNanos = nanos(limits.offerRepeatMillis());
-            running.probeNanos = nowNanos + nanos(PROBE_MILLIS);
+            running.probeNanos = nowNanos + nanos(PROBE_INTERVAL_MILLIS);
             if (!execution.transcript.hasGap() && running.totalTokens.isEmpty()) {
-                running.gapEndsNanos = Long.MAX_VALUE;
-            } else if (running.gapEndsNanos == Long.MAX_VALUE) {
-                running.gapEndsNanos = nowNanos + nanos(limits.gapMillis());
+                running.gapDeadlineNanos = Long.MAX_VALUE;
+            } else if (running.gapDeadlineNanos == Long.MAX_VALUE) {
+                running.gapDeadlineNanos = nowNanos + nanos(limits.gapMillis());
             }
-            finishIfWhole(nowNanos, execution, running);
+            finishIfComplete(nowNanos, execution, running);
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
     private static boolean isCurrentRun(Execution execution, RunId run) {
         return switch (execution.state) {
             case Running running -> running.run.equals(run);
-            case Ending ending -> ending.run().equals(run);
+            case Cancelling cancelling -> cancelling.run().equals(run);
             case Offering offering -> false;
             case Waiting waiting -> false;
             case Relaying relaying -> false;
         };
     }
 
-    private void finishIfWhole(long nowNanos, Execution execution, Running running) {
-        int known = execution.transcript.tokens();
-        if (running.totalTokens.isEmpty() || known < running.totalTokens.getAsInt()) {
+    private void finishIfComplete(long nowNanos, Execution execution, Running running) {
+        int receivedTokens = execution.transcript.tokens();
+        if (running.totalTokens.isEmpty() || receivedTokens < running.totalTokens.getAsInt()) {
             return;
         }
         retries.onSuccess();
         poison.succeeded(nowNanos, execution.request.fingerprint());
-        placement.answered(execution.request, known);
-        end(nowNanos, execution, new Outcome.Answered(known, Payload.EMPTY));
+        placement.answered(execution.request, receivedTokens);
+        end(nowNanos, execution, new Outcome.Answered(receivedTokens, Payload.EMPTY));
     }
 
-    /** Takes the end of a run from its owner, or from an engine that was asked directly. */
+    /**
+     * Handles the end of a run, reported by its owner or by an engine that was contacted directly.
+     */
     void onEnded(long nowNanos, RunId run, RunEnd end) {
         if (end instanceof RunEnd.Broken broken
                 && !broken.confirmedEnded()
                 && canceller.isPending(run)) {
-            noteCrash(nowNanos, run, broken);
+            recordCancelledRunCrash(nowNanos, run, broken);
             return;
         }
         canceller.onEnd(run);
@@ -476,14 +486,15 @@
         switch (execution.state) {
             case Running running when running.run.equals(run) ->
                     runEnded(nowNanos, execution, running, end);
-            case Ending ending when ending.run().equals(run) ->
-                    endingEnded(nowNanos, execution, ending, end);
+            case Cancelling cancelling when cancelling.run().equals(run) ->
+                    cancelledRunEnded(nowNanos, execution, cancelling, end);
             default -> {}
         }
-        wakes.schedule(execution);
+        timers.schedule(execution);
     }
 
-    private void endingEnded(long nowNanos, Execution execution, Ending ending, RunEnd end) {
+    private void cancelledRunEnded(
+            long nowNanos, Execution execution, Cancelling cancelling, RunEnd end) {
         if (end instanceof RunEnd.Finished finished
                 && execution.transcript.tokens() >= finished.totalTokens()) {
             retries.onSuccess();
@@ -491,7 +502,7 @@
             return;
         }
         if (end instanceof RunEnd.Broken broken) {
-            crash(nowNanos, execution, ending.server(), broken);
+            recordCrash(nowNanos, execution, cancelling.server(), broken);
         }
         backOff(nowNanos, execution, execution.failures);
     }
@@ -500,10 +511,10 @@
         switch (end) {
             case RunEnd.Finished finished -> {
                 running.totalTokens = OptionalInt.of(finished.totalTokens());
-                running.gapEndsNanos = nowNanos + nanos(limits.gapMillis());
-                running.silentAtNanos = Long.MAX_VALUE;
+                running.gapDeadlineNanos = nowNanos + nanos(limits.gapMillis());
+                running.silenceDeadlineNanos = Long.MAX_VALUE;
                 running.probeNanos = Long.MAX_VALUE;
-                finishIfWhole(nowNanos, execution, running);
+                finishIfComplete(nowNanos, execution, running);
             }
             case RunEnd.Preempted preempted -> {
                 execution.preemptions++;
@@ -511,44 +522,46 @@
                 waitUntil(execution, nowNanos);
                 offer(nowNanos, execution);
             }
-            case RunEnd.NeverStarted never -> {
-                // The first body may have been started by an earlier incarnation of the owner.
-                execution.mayHaveRun = running.ranBefore || running.placedAgain;
+            case RunEnd.NeverStarted neverStarted -> {
+                // An earlier incarnation of the owner may have started the run from the first body.
+                execution.mayHaveRun = running.ranBefore || running.bodyResent;
                 backOff(nowNanos, execution, 0);
             }
             case RunEnd.Cancelled cancelled -> backOff(nowNanos, execution, 0);
-            case RunEnd.EngineError error when running.placedAgain ->
+            case RunEnd.EngineError error when running.bodyResent ->
                     cancelAtEngine(nowNanos, execution, running, "refused-second-body");
             case RunEnd.EngineError error -> {
                 String detail = error.detail();
                 boolean retry =
-                        error.retryable() || servers.leavesNewVersion(execution, running.server);
+                        error.retryable() || servers.shouldRevertVersion(execution, running.server);
                 Outcome failure =
                         error.retryable()
                                 ? new Outcome.Failed(FailReason.BACKEND_ERROR, detail)
                                 : new Outcome.Failed(FailReason.REFUSED, detail);
-                failed(nowNanos, execution, running.server, retry, failure);
+                onRunFailed(nowNanos, execution, running.server, retry, failure);
             }
             case RunEnd.Broken broken -> {
-                crash(nowNanos, execution, running.server, broken);
+                recordCrash(nowNanos, execution, running.server, broken);
                 if (!broken.confirmedEnded()) {
-                    execution.state = new Ending(running.run, running.server);
-                    canceller.atEngine(nowNanos, fleet, running.run, running.server, running.owner);
+                    execution.state = new Cancelling(running.run, running.server);
+                    canceller.cancelAtEngine(
+                            nowNanos, fleet, running.run, running.server, running.owner);
                     return;
                 }
-                failed(nowNanos, execution, running.server, true, spent());
+                onRunFailed(nowNanos, execution, running.server, true, retriesSpent());
             }
         }
     }
 
-    private void noteCrash(long nowNanos, RunId run, RunEnd.Broken broken) {
+    private void recordCancelledRunCrash(long nowNanos, RunId run, RunEnd.Broken broken) {
         Execution execution = byRequest.get(run.request());
-        if (execution != null && execution.state instanceof Ending ending) {
-            crash(nowNanos, execution, ending.server(), broken);
+        if (execution != null && execution.state instanceof Cancelling cancelling) {
+            recordCrash(nowNanos, execution, cancelling.server(), broken);
         }
     }
 
-    private void crash(long nowNanos, Execution execution, ServerId server, RunEnd.Broken broken) {
+    private void recordCrash(
+            long nowNanos, Execution execution, ServerId server, RunEnd.Broken broken) {
         if (!broken.crashed()) {
             return;
         }
@@ -560,17 +573,21 @@
                 new Poison.Crash(server, execution.run(), version, nowNanos));
     }
 
-    /** Tries again after a run that failed and is over, if the budget and the caller allow. */
-    private void failed(
+    /**
+     * Retries after a run that failed and has ended, if the failure limit and the retry budget
+     * allow it.
+     */
+    private void onRunFailed(
             long nowNanos, Execution execution, ServerId server, boolean retry, Outcome failure) {
         execution.failures++;
-        boolean changes = servers.leaveNewVersion(execution, server);
-        boolean allowed = retry && execution.failures < limits.maxFailures() && retries.take();
+        boolean versionChanged = servers.revertVersion(execution, server);
+        boolean allowed =
+                retry && execution.failures < limits.maxFailures() && retries.tryAcquire();
         if (!allowed) {
             end(nowNanos, execution, failure);
             return;
         }
-        log("retry", execution, server, changes ? "old-version" : "run-failed");
+        log("retry", execution, server, versionChanged ? "old-version" : "run-failed");
         backOff(nowNanos, execution, execution.failures);
     }
 
@@ -580,57 +597,57 @@
                 owner != null
                         && owner.state() != EntryHost.State.DEAD
                         && owner.incarnation() == running.ownerIncarnation;
-        if (alive || finishedAwaitingPieces(running)) {
+        if (alive || awaitsMissingPieces(running)) {
             return;
         }
-        cancelAtEngine(nowNanos, execution, running, "home-lost");
+        cancelAtEngine(nowNanos, execution, running, "owner-lost");
     }
 
-    private static boolean finishedAwaitingPieces(Running running) {
+    private static boolean awaitsMissingPieces(Running running) {
         return running.totalTokens.isPresent();
     }
 
-    /** Does what time asks for. */
+    /** Handles the timers that are due. */
     void tick(long nowNanos) {
         canceller.tick(nowNanos, fleet);
-        for (Execution execution = wakes.poll(nowNanos);
+        for (Execution execution = timers.poll(nowNanos);
                 execution != null;
-                execution = wakes.poll(nowNanos)) {
-            wake(nowNanos, execution);
-            wakes.schedule(execution);
+                execution = timers.poll(nowNanos)) {
+            onTimer(nowNanos, execution);
+            timers.schedule(execution);
         }
     }
 
-    private void wake(long nowNanos, Execution execution) {
-        endLateCallers(nowNanos, execution);
+    private void onTimer(long nowNanos, Execution execution) {
+        endExpiredCallers(nowNanos, execution);
         if (execution.closed) {
             return;
         }
         switch (execution.state) {
             case Waiting waiting -> {
                 if (nowNanos >= waiting.untilNanos()) {
-                    execution.asked.clear();
+                    execution.pendingDirectoryHosts.clear();
                     offer(nowNanos, execution);
                 }
             }
-            case Offering offering -> offers.wake(nowNanos, execution, offering);
-            case Running running -> wakeRunning(nowNanos, execution, running);
+            case Offering offering -> offers.onTimer(nowNanos, execution, offering);
+            case Running running -> onRunningTimer(nowNanos, execution, running);
             case Relaying relaying -> {
-                if (nowNanos >= relaying.askAgainNanos()) {
+                if (nowNanos >= relaying.pollNanos()) {
                     relay(nowNanos, execution, relaying.holder());
                 }
             }
-            case Ending ending -> {}
+            case Cancelling cancelling -> {}
         }
     }
 
-    private void wakeRunning(long nowNanos, Execution execution, Running running) {
-        if (nowNanos < running.wakeNanos()) {
+    private void onRunningTimer(long nowNanos, Execution execution, Running running) {
+        if (nowNanos < running.timerNanos()) {
             return;
         }
-        boolean callerIsSlow = execution.transcript.tokens() >= execution.creditLimit;
-        if (nowNanos >= running.probeNanos && callerIsSlow) {
-            running.probeNanos = nowNanos + nanos(PROBE_MILLIS);
+        boolean creditExhausted = execution.transcript.tokens() >= execution.creditLimit;
+        if (nowNanos >= running.probeNanos && creditExhausted) {
+            running.probeNanos = nowNanos + nanos(PROBE_INTERVAL_MILLIS);
         }
         if (nowNanos >= running.probeNanos) {
             running.probeDelayNanos *= 2;
@@ -638,29 +655,29 @@
             offers.probe(nowNanos, execution, running);
             return;
         }
-        if (finishedAwaitingPieces(running)) {
+        if (awaitsMissingPieces(running)) {
             log("resume", execution, running.server, "pieces-lost");
             backOff(nowNanos, execution, 0);
             return;
         }
-        if (callerIsSlow && nowNanos < running.gapEndsNanos) {
-            running.silentAtNanos = nowNanos + nanos(limits.silenceMillis());
+        if (creditExhausted && nowNanos < running.gapDeadlineNanos) {
+            running.silenceDeadlineNanos = nowNanos + nanos(limits.silenceMillis());
             return;
         }
         log("resume", execution, running.server, "silent");
-        execution.state = new Ending(running.run, running.server);
-        canceller.viaOwner(nowNanos, fleet, running.run, running.server, running.owner);
+        execution.state = new Cancelling(running.run, running.server);
+        canceller.cancelViaOwner(nowNanos, fleet, running.run, running.server, running.owner);
     }
 
-    private void endLateCallers(long nowNanos, Execution execution) {
-        for (Caller caller : execution.lateCallers(nowNanos)) {
-            Outcome outcome = lateOutcome(execution);
+    private void endExpiredCallers(long nowNanos, Execution execution) {
+        for (Caller caller : execution.expiredCallers(nowNanos)) {
+            Outcome outcome = deadlineOutcome(execution);
             streams.answer(caller.request.id(), outcome);
-            dismiss(nowNanos, execution, caller.request.id(), outcome);
+            detachCaller(nowNanos, execution, caller.request.id(), outcome);
         }
     }
 
-    private static Outcome lateOutcome(Execution execution) {
+    private static Outcome deadlineOutcome(Execution execution) {
         if (!execution.provedNotRun()) {
             return new Outcome.Failed(FailReason.DEADLINE, "the deadline passed");
         }
@@ -670,14 +687,15 @@
         return notRun(NotRunReason.DEADLINE, 0);
     }
 
-    /** Forgets a caller who needs nothing more; the last one takes the execution along. */
-    private void dismiss(long nowNanos, Execution execution, RequestId caller, Outcome outcome) {
+    /** Removes a caller that has its outcome; the execution is closed with its last caller. */
+    private void detachCaller(
+            long nowNanos, Execution execution, RequestId caller, Outcome outcome) {
         execution.removeCaller(caller);
         if (execution.callers.isEmpty()) {
             close(nowNanos, execution, outcome);
             return;
         }
-        streams.giveCredit(execution);
+        streams.grantCredit(execution);
     }
 
     private void end(long nowNanos, Execution execution, Outcome outcome) {
@@ -689,13 +707,14 @@
         switch (execution.state) {
             case Offering offering -> offers.withdraw(offering, Optional.empty());
             case Running running -> {
-                if (!finishedAwaitingPieces(running) && !(outcome instanceof Outcome.Answered)) {
-                    canceller.viaOwner(nowNanos, fleet, running.run, running.server, running.owner);
+                if (!awaitsMissingPieces(running) && !(outcome instanceof Outcome.Answered)) {
+                    canceller.cancelViaOwner(
+                            nowNanos, fleet, running.run, running.server, running.owner);
                 }
             }
             case Waiting waiting -> {}
             case Relaying relaying -> {}
-            case Ending ending -> {}
+            case Cancelling cancelling -> {}
         }
         execution.closed = true;
         byRequest.remove(execution.request.id());
@@ -708,7 +727,7 @@
             end(nowNanos, execution, poisoned(execution));
             return;
         }
-        if (poison.isSuspect(nowNanos, request.fingerprint()) && sameContentRuns(execution)) {
+        if (poison.isSuspect(nowNanos, request.fingerprint()) && isSameContentActive(execution)) {
             waitUntil(execution, nowNanos + nanos(SUSPECT_WAIT_MILLIS));
             return;
         }
@@ -717,10 +736,10 @@
             waitForServer(nowNanos, execution);
             return;
         }
-        offers.begin(nowNanos, execution, choices);
+        offers.start(nowNanos, execution, choices);
     }
 
-    private boolean sameContentRuns(Execution execution) {
+    private boolean isSameContentActive(Execution execution) {
         for (Execution other : byRequest.values()) {
             if (other != execution
                     && other.request.fingerprint().equals(execution.request.fingerprint())
@@ -735,16 +754,20 @@
         if (execution.noServerSinceNanos == 0) {
             execution.noServerSinceNanos = Math.max(1, nowNanos);
         }
-        boolean waited = nowNanos - execution.noServerSinceNanos >= nanos(limits.noServerMillis());
-        if (waited && execution.provedNotRun()) {
-            long retryAfter = limits.noServerMillis();
-            end(nowNanos, execution, notRun(NotRunReason.NO_SERVER, retryAfter));
+        boolean timedOut =
+                nowNanos - execution.noServerSinceNanos >= nanos(limits.noServerMillis());
+        if (timedOut && execution.provedNotRun()) {
+            long retryAfterMillis = limits.noServerMillis();
+            end(nowNanos, execution, notRun(NotRunReason.NO_SERVER, retryAfterMillis));
             return;
         }
         backOff(nowNanos, execution, 2);
     }
 
-    /** Waits for an even share of an exponentially growing bound before the next offers. */
+    /**
+     * Backs off before the next offers for a random 50 to 100 percent of an exponentially growing
+     * bound.
+     */
     private void backOff(long nowNanos, Execution execution, int failures) {
         if (draining && execution.provedNotRun()) {
             end(nowNanos, execution, notRun(NotRunReason.DRAINING, 0));
@@ -779,8 +802,8 @@
         return new Outcome.NotRun(reason, retryAfterMillis);
     }
 
-    private static Outcome spent() {
-        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run broke off");
+    private static Outcome retriesSpent() {
+        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run was interrupted");
     }
 
     private static Outcome poisoned(Execution execution) {
--- a/src/main/java/org/orioleshed/request/OfferRounds.java
+++ b/src/main/java/org/orioleshed/request/OfferRounds.java
@@ -24,14 +24,14 @@
 
 /** Offers requests to owners: to a few at first, to more as time passes or owners refuse. */
 final class OfferRounds {
-    /** What a message between hosts may take, taken off the time remaining. */
-    private static final long HOP_MILLIS = 5;
+    /** Allowance for a message between hosts, subtracted from the remaining time. */
+    private static final long MESSAGE_DELAY_MILLIS = 5;
 
-    /** Repeats of an unanswered offer grow no further apart than this. */
+    /** The longest delay between repeats of an unanswered offer. */
     private static final long MAX_REPEAT_MILLIS = 8_000;
 
-    /** The factor by which the widening of a tier is slower than that of the tier above. */
-    private static final int WIDEN_FACTOR_BITS = 3;
+    /** The widening delay doubles this many times (a factor of 8) for each rank below the first. */
+    private static final int WIDEN_DOUBLINGS_PER_RANK = 3;
 
     private final RequestLimits limits;
     private final Placement placement;
@@ -43,8 +43,10 @@
         this.out = out;
     }
 
-    /** Starts the next attempt with offers to the best of {@code choices}, which is not empty. */
-    void begin(long nowNanos, Execution execution, List<Choice> choices) {
+    /**
+     * Starts the next attempt with offers to the first of {@code choices}, which must not be empty.
+     */
+    void start(long nowNanos, Execution execution, List<Choice> choices) {
         execution.attempt++;
         Offering offering = new Offering(execution.run(), choices);
         execution.state = offering;
@@ -57,8 +59,8 @@
         }
     }
 
-    /** Counts a refusal; returns whether every server has now refused. */
-    boolean refuse(long nowNanos, Execution execution, Offering offering, Refused refusal) {
+    /** Records a refusal; returns whether no offer is left. */
+    boolean onRefused(long nowNanos, Execution execution, Offering offering, Refused refusal) {
         if (offering.offers.remove(refusal.server()) == null) {
             return false;
         }
@@ -67,8 +69,8 @@
         return offering.offers.isEmpty();
     }
 
-    /** Repeats offers and widens the round, as far as due. */
-    void wake(long nowNanos, Execution execution, Offering offering) {
+    /** Repeats offers and offers to one more server, as far as due. */
+    void onTimer(long nowNanos, Execution execution, Offering offering) {
         if (nowNanos >= offering.widenNanos) {
             offering.widenNanos = nowNanos + widenDelay(execution);
             offerNext(nowNanos, execution, offering);
@@ -83,7 +85,7 @@
                 (server, offer) -> send(nowNanos, execution, offering, server, offer.owner()));
     }
 
-    /** Takes back the offers made to hosts that are gone, so that others can get them. */
+    /** Drops the offers sent to hosts that are dead and offers to another server instead. */
     void dropLostOwners(
             long nowNanos, FleetSnapshot fleet, Execution execution, Offering offering) {
         boolean lost = false;
@@ -111,14 +113,15 @@
     }
 
     /**
-     * Offers a placed run again: an owner that has it ignores that, one that lost it grants anew.
+     * Repeats the offer of a placed run: an owner that has the run ignores it, one that lost it
+     * grants a slot again.
      */
     void probe(long nowNanos, Execution execution, Execution.Running running) {
         out.accept(
                 new HostAction.SendRouting(
                         running.owner,
                         new RoutingMessage.Offered(
-                                running.run, running.server, describe(nowNanos, execution))));
+                                running.run, running.server, toOffer(nowNanos, execution))));
     }
 
     private void withdraw(Offering offering, ServerId server, HostId owner) {
@@ -154,18 +157,18 @@
                 new HostAction.SendRouting(
                         owner,
                         new RoutingMessage.Offered(
-                                offering.run, server, describe(nowNanos, execution))));
+                                offering.run, server, toOffer(nowNanos, execution))));
     }
 
-    private RoutingMessage.Offer describe(long nowNanos, Execution execution) {
+    private RoutingMessage.Offer toOffer(long nowNanos, Execution execution) {
         Request request = execution.request;
         Work.Generate work = (Work.Generate) request.work();
-        long remaining = millis(execution.deadlineNanos() - nowNanos) - HOP_MILLIS;
+        long remainingMillis = millis(execution.deadlineNanos() - nowNanos) - MESSAGE_DELAY_MILLIS;
         return new RoutingMessage.Offer(
                 request.workspace(),
                 request.route(),
                 request.tier(),
-                Math.max(0, remaining),
+                Math.max(0, remainingMillis),
                 Math.max(0, millis(nowNanos - request.arrivedNanos())),
                 work.promptTokens() + execution.transcript.tokens(),
                 Math.max(1, work.maxOutputTokens() - execution.transcript.tokens()),
@@ -188,19 +191,22 @@
     }
 
     private long widenDelay(Execution execution) {
-        int bits = Math.min(6, execution.request.tier().rank() * WIDEN_FACTOR_BITS);
-        return nanos(limits.widenMillis()) << bits;
+        int doublings = Math.min(6, execution.request.tier().rank() * WIDEN_DOUBLINGS_PER_RANK);
+        return nanos(limits.widenMillis()) << doublings;
     }
 
-    /** Returns the servers that refused for want of room, if none runs work of a lower tier. */
-    static boolean shed(List<Refused> refusals) {
+    /**
+     * Returns whether all refusals were for overload and no refusing server runs work of a lower
+     * tier.
+     */
+    static boolean isShed(List<Refused> refusals) {
         return !refusals.isEmpty()
                 && refusals.stream().noneMatch(Refused::lowerTierRuns)
                 && refusals.stream()
                         .allMatch(r -> r.reason() == RoutingMessage.RefusalReason.OVERLOAD);
     }
 
-    /** Returns the shortest wait that a refusing owner expects, in milliseconds. */
+    /** Returns the shortest wait expected by a refusing owner, in milliseconds. */
     static long shortestWaitMillis(List<Refused> refusals) {
         List<Long> waits = new ArrayList<>();
         refusals.forEach(r -> waits.add(r.expectedWaitMillis()));
--- a/src/main/java/org/orioleshed/request/Results.java
+++ b/src/main/java/org/orioleshed/request/OutcomeCache.java
@@ -10,49 +10,50 @@
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.RequestKey;
 
-/** Recent final outcomes by key, kept for a stated time and within a stated size. */
-final class Results {
-    /** What one entry takes besides its text, in bytes. */
+/** A cache of recent final outcomes by key, bounded in age and size. */
+final class OutcomeCache {
+    /** The estimated size of an entry without its text. */
     private static final int ENTRY_BYTES = 300;
 
     /**
-     * A final outcome.
+     * A cached final outcome.
      *
-     * @param fingerprint the content that it belongs to
+     * @param fingerprint the fingerprint of the request's content
      * @param outcome the outcome
-     * @param pieces a model's whole answer, in order; empty otherwise
+     * @param pieces a model's complete answer, in order; otherwise empty
      */
-    record Result(Fingerprint fingerprint, Outcome outcome, List<RequestMessage.Piece> pieces) {
+    record CachedOutcome(
+            Fingerprint fingerprint, Outcome outcome, List<RequestMessage.Piece> pieces) {
         /** Copies the list. */
-        Result {
+        CachedOutcome {
             pieces = List.copyOf(pieces);
         }
     }
 
-    private final long keptNanos;
+    private final long retentionNanos;
     private final long maxBytes;
     private final LinkedHashMap<RequestKey, Entry> entries = new LinkedHashMap<>();
     private long bytes;
 
-    Results(long keptMillis, long maxBytes) {
-        this.keptNanos = TimeUnit.MILLISECONDS.toNanos(keptMillis);
+    OutcomeCache(long retentionMillis, long maxBytes) {
+        this.retentionNanos = TimeUnit.MILLISECONDS.toNanos(retentionMillis);
         this.maxBytes = maxBytes;
     }
 
-    void put(long nowNanos, RequestKey key, Result result) {
+    void put(long nowNanos, RequestKey key, CachedOutcome cached) {
         remove(key);
-        Entry entry = new Entry(result, nowNanos + keptNanos, size(result));
+        Entry entry = new Entry(cached, nowNanos + retentionNanos, size(cached));
         entries.put(key, entry);
         bytes += entry.bytes;
         trim(nowNanos);
     }
 
-    Optional<Result> get(long nowNanos, RequestKey key) {
+    Optional<CachedOutcome> get(long nowNanos, RequestKey key) {
         Entry entry = entries.get(key);
         if (entry == null || nowNanos >= entry.untilNanos) {
             return Optional.empty();
         }
-        return Optional.of(entry.result);
+        return Optional.of(entry.cached);
     }
 
     void remove(RequestKey key) {
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Drops what is too old or too much, the oldest first. */
+    /** Removes entries that have expired or exceed the size limit, oldest first. */
     void trim(long nowNanos) {
         Iterator<Entry> oldest = entries.values().iterator();
         while (oldest.hasNext()) {
@@ -75,16 +76,16 @@
         }
     }
 
-    private static int size(Result result) {
+    private static int size(CachedOutcome cached) {
         int size = ENTRY_BYTES;
-        for (RequestMessage.Piece piece : new ArrayList<>(result.pieces())) {
+        for (RequestMessage.Piece piece : new ArrayList<>(cached.pieces())) {
             size += ENTRY_BYTES / 4 + piece.text().size();
         }
-        if (result.outcome() instanceof Outcome.Answered answered) {
+        if (cached.outcome() instanceof Outcome.Answered answered) {
             size += answered.body().size();
         }
         return size;
     }
 
-    private record Entry(Result result, long untilNanos, int bytes) {}
+    private record Entry(CachedOutcome cached, long untilNanos, int bytes) {}
 }
--- a/src/main/java/org/orioleshed/request/Placement.java
+++ b/src/main/java/org/orioleshed/request/Placement.java
@@ -8,16 +8,16 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** Knows where a model request may be offered. */
+/** Selects the servers that model requests are offered to. */
 public interface Placement {
     /**
-     * Returns servers that could run the request, the best first, leaving and unreachable ones left
-     * out.
+     * Returns servers that can run the request, best first, without those that are leaving or
+     * unreachable.
      *
-     * @param version the version wanted; empty when any will do
-     * @param resumeFromToken how much of the answer the caller has
-     * @param excluded servers that must not be returned
-     * @param count the most servers to return, positive
+     * @param version the required version; empty for any
+     * @param resumeFromToken the number of answer tokens already received
+     * @param excluded servers to leave out
+     * @param count the maximum number of servers to return; positive
      */
     List<Choice> choices(
             long nowNanos,
@@ -27,17 +27,17 @@
             Set<ServerId> excluded,
             int count);
 
-    /** Notes that a request was placed on a server. */
+    /** Records that a request was placed on a server. */
     void placed(Request request, ServerId server);
 
-    /** Notes the length of a whole answer, in tokens. */
+    /** Records the length of a complete answer, in tokens. */
     void answered(Request request, int tokens);
 
     /**
-     * A server and the host to offer to.
+     * A server and the host that receives the offer.
      *
      * @param server the server
-     * @param owner its owner
+     * @param owner the host that owns the server's queue
      * @param label the server and its score, for the log
      */
     record Choice(ServerId server, HostId owner, String label) {}
--- a/src/main/java/org/orioleshed/request/Poison.java
+++ b/src/main/java/org/orioleshed/request/Poison.java
@@ -16,41 +16,42 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * Content that was running when servers crashed. After two crashes the content is held: nothing of
- * it is run for a stated time, whatever key it comes under. One crash makes it a suspect, as does
- * sharing a server with the guilty; a later success clears it. While a move is under way, crashes
- * of its new version alone do not hold content, since the version may be to blame.
+ * Records content that was running when servers crashed. After two crashes the content is
+ * quarantined: it is not run for a configured time, under any key. After one crash it is suspect,
+ * which also happens to content that merely shared a server with the cause; a later success clears
+ * it. During a rollout, crashes of the new version alone do not quarantine content, since the
+ * version may be the cause.
  *
- * <p>Bounded: the entry that was touched longest ago is dropped first.
+ * <p>The number of entries is bounded; the least recently used entry is dropped first.
  */
 final class Poison {
-    /** The crashes that hold content. */
-    static final int CRASHES = 2;
+    /** The number of crashes after which content is quarantined. */
+    static final int QUARANTINE_CRASHES = 2;
 
-    /** Crashes of one server within this time count once. */
-    private static final long SAME_CRASH_NANOS = TimeUnit.SECONDS.toNanos(5);
+    /** Crashes of one server within this time are counted as one. */
+    private static final long SAME_CRASH_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private final long heldNanos;
+    private final long quarantineNanos;
     private final int maxEntries;
     private final LinkedHashMap<Fingerprint, Entry> entries = new LinkedHashMap<>(16, 0.75f, true);
 
-    Poison(long heldMillis, int maxEntries) {
-        this.heldNanos = TimeUnit.MILLISECONDS.toNanos(heldMillis);
+    Poison(long quarantineMillis, int maxEntries) {
+        this.quarantineNanos = TimeUnit.MILLISECONDS.toNanos(quarantineMillis);
         this.maxEntries = maxEntries;
     }
 
-    /** One crash of a server, with a run of the content on board. */
+    /** A crash of a server while a run of the content was on it. */
     record Crash(ServerId server, RunId run, Optional<VersionId> version, long atNanos) {
-        /** Returns whether both tell of one event. */
+        /** Returns whether both records describe the same crash. */
         boolean isSame(Crash other) {
-            boolean atOnce =
+            boolean sameServerAndTime =
                     server.equals(other.server)
-                            && Math.abs(atNanos - other.atNanos) < SAME_CRASH_NANOS;
-            return atOnce || run.equals(other.run);
+                            && Math.abs(atNanos - other.atNanos) < SAME_CRASH_WINDOW_NANOS;
+            return sameServerAndTime || run.equals(other.run);
         }
     }
 
-    /** Counts a crash; returns whether it was news. */
+    /** Records a crash; returns whether it was not recorded before. */
     boolean crashed(long nowNanos, Fingerprint fingerprint, Crash crash) {
         expire(nowNanos, fingerprint);
         Entry entry = entries.computeIfAbsent(fingerprint, f -> new Entry());
@@ -58,15 +59,15 @@
             return false;
         }
         entry.crashes.add(crash);
-        if (entry.crashes.size() > 2 * CRASHES) {
+        if (entry.crashes.size() > 2 * QUARANTINE_CRASHES) {
             entry.crashes.removeFirst();
         }
-        entry.untilNanos = nowNanos + heldNanos;
+        entry.untilNanos = nowNanos + quarantineNanos;
         trim();
         return true;
     }
 
-    /** Returns whether content must not be run. */
+    /** Returns whether content is quarantined and must not be run. */
     boolean isQuarantined(long nowNanos, FleetSnapshot fleet, Fingerprint fingerprint) {
         expire(nowNanos, fingerprint);
         Entry entry = entries.get(fingerprint);
@@ -74,24 +75,24 @@
     }
 
     private static boolean isQuarantined(FleetSnapshot fleet, Entry entry) {
-        if (entry.crashes.size() < CRASHES) {
+        if (entry.crashes.size() < QUARANTINE_CRASHES) {
             return false;
         }
-        Set<VersionId> moving = new HashSet<>();
+        Set<VersionId> newVersions = new HashSet<>();
         for (VersionSplit split : fleet.splits().values()) {
-            moving.add(split.to());
+            newVersions.add(split.to());
         }
         return entry.crashes.stream()
-                .anyMatch(crash -> crash.version.filter(moving::contains).isEmpty());
+                .anyMatch(crash -> crash.version.filter(newVersions::contains).isEmpty());
     }
 
-    /** Returns whether content was on a server when it crashed, not yet cleared. */
+    /** Returns whether content was on a server that crashed and has not been cleared since. */
     boolean isSuspect(long nowNanos, Fingerprint fingerprint) {
         expire(nowNanos, fingerprint);
         return entries.containsKey(fingerprint);
     }
 
-    /** Clears a suspect that ran well; returns whether there was one. */
+    /** Clears suspect content after a successful run; returns whether there was any. */
     boolean succeeded(FleetSnapshot fleet, Fingerprint fingerprint) {
         Entry entry = entries.get(fingerprint);
         if (entry == null || isQuarantined(fleet, entry)) {
@@ -101,12 +102,12 @@
         return true;
     }
 
-    /** Clears content at an operator's wish or a peer's word; returns whether there was any. */
+    /** Clears content at the request of an operator or a peer; returns whether there was any. */
     boolean clear(Fingerprint fingerprint) {
         return entries.remove(fingerprint) != null;
     }
 
-    /** Returns the crashes counted for the contents touched last, at most {@code count}. */
+    /** Returns the recorded crashes of the {@code count} most recently used contents. */
     Map<Fingerprint, List<Crash>> latest(int count) {
         Map<Fingerprint, List<Crash>> latest = new LinkedHashMap<>();
         entries.reversed().entrySet().stream()
@@ -115,18 +116,18 @@
         return latest;
     }
 
-    /** Returns all content under suspicion. */
+    /** Returns all suspect and quarantined content. */
     List<QuarantinedContent> list(long nowNanos, FleetSnapshot fleet) {
         List<QuarantinedContent> all = new ArrayList<>();
         for (Map.Entry<Fingerprint, Entry> entry : entries.entrySet()) {
-            long remaining = entry.getValue().untilNanos - nowNanos;
-            if (remaining > 0) {
+            long remainingNanos = entry.getValue().untilNanos - nowNanos;
+            if (remainingNanos > 0) {
                 all.add(
                         new QuarantinedContent(
                                 entry.getKey(),
                                 entry.getValue().crashes.size(),
                                 isQuarantined(fleet, entry.getValue()),
-                                TimeUnit.NANOSECONDS.toMillis(remaining)));
+                                TimeUnit.NANOSECONDS.toMillis(remainingNanos)));
             }
         }
         return all;
--- a/src/main/java/org/orioleshed/request/PoisonWatch.java
+++ b/src/main/java/org/orioleshed/request/PoisonWatch.java
@@ -9,10 +9,10 @@
 import org.orioleshed.model.Fingerprint;
 import org.orioleshed.model.HostId;
 
-/** The host's record of content that crashes servers, kept in step with its peers. */
+/** Tracks content that crashes servers and synchronizes the records with the peers. */
 final class PoisonWatch {
     private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final int MAX_REPEATED = 50;
+    private static final int MAX_REPEATED_CONTENTS = 50;
 
     private final HostId self;
     private final Poison poison;
@@ -26,19 +26,19 @@
         this.out = out;
     }
 
-    /** Learns of the fleet, and tells hosts that are new what they may have missed. */
+    /** Updates the fleet snapshot and sends the latest records to hosts that are new. */
     void onFleet(long nowNanos, FleetSnapshot changed) {
-        Set<HostId> known = fleet.hosts().keySet();
+        Set<HostId> previous = fleet.hosts().keySet();
         fleet = changed;
         for (HostId host : changed.hosts().keySet()) {
-            if (!known.contains(host) && !host.equals(self)) {
-                tellLatest(host);
+            if (!previous.contains(host) && !host.equals(self)) {
+                sendLatest(host);
             }
         }
         repeatNanos = Math.min(repeatNanos, nowNanos + REPEAT_NANOS);
     }
 
-    /** Repeats what is under suspicion, as messages may be lost. */
+    /** Sends the latest records to all peers again, as messages may be lost. */
     void tick(long nowNanos) {
         if (nowNanos < repeatNanos) {
             return;
@@ -46,23 +46,23 @@
         repeatNanos = nowNanos + REPEAT_NANOS;
         for (HostId host : fleet.hosts().keySet()) {
             if (!host.equals(self)) {
-                tellLatest(host);
+                sendLatest(host);
             }
         }
     }
 
-    private void tellLatest(HostId host) {
-        poison.latest(MAX_REPEATED)
+    private void sendLatest(HostId host) {
+        poison.latest(MAX_REPEATED_CONTENTS)
                 .forEach(
                         (content, crashes) ->
                                 crashes.forEach(
                                         crash ->
                                                 out.accept(
                                                         new HostAction.SendRequest(
-                                                                host, seen(content, crash)))));
+                                                                host, toMessage(content, crash)))));
     }
 
-    private static RequestMessage seen(Fingerprint content, Poison.Crash crash) {
+    private static RequestMessage toMessage(Fingerprint content, Poison.Crash crash) {
         return new RequestMessage.PoisonSeen(content, crash.server(), crash.run(), crash.version());
     }
 
@@ -74,23 +74,26 @@
         return poison.isSuspect(nowNanos, fingerprint);
     }
 
-    /** Counts a crash seen by this host and tells the others. */
+    /** Records a crash observed by this host and broadcasts it. */
     void crashed(long nowNanos, Fingerprint content, Poison.Crash crash) {
         if (poison.crashed(nowNanos, content, crash)) {
-            tellAll(seen(content, crash));
+            broadcast(toMessage(content, crash));
         }
     }
 
-    /** Clears a suspect that ran well here, and tells the others. */
+    /** Clears suspect content after a successful run on this host and broadcasts that. */
     void succeeded(long nowNanos, Fingerprint fingerprint) {
         if (poison.isSuspect(nowNanos, fingerprint) && poison.succeeded(fleet, fingerprint)) {
-            tellAll(new RequestMessage.PoisonCleared(fingerprint));
+            broadcast(new RequestMessage.PoisonCleared(fingerprint));
         }
     }
 
-    /** Releases content everywhere at an operator's wish; returns whether it was known here. */
+    /**
+     * Releases content on all hosts at the request of an operator; returns whether it was recorded
+     * on this host.
+     */
     boolean release(Fingerprint fingerprint) {
-        tellAll(new RequestMessage.PoisonCleared(fingerprint));
+        broadcast(new RequestMessage.PoisonCleared(fingerprint));
         return poison.clear(fingerprint);
     }
 
@@ -107,7 +110,7 @@
         return poison.list(nowNanos, fleet);
     }
 
-    private void tellAll(RequestMessage message) {
+    private void broadcast(RequestMessage message) {
         for (HostId host : fleet.hosts().keySet()) {
             if (!host.equals(self)) {
                 out.accept(new HostAction.SendRequest(host, message));
--- a/src/main/java/org/orioleshed/request/QuarantinedContent.java
+++ b/src/main/java/org/orioleshed/request/QuarantinedContent.java
@@ -3,12 +3,12 @@
 import org.orioleshed.model.Fingerprint;
 
 /**
- * Content that was running when servers crashed.
+ * Content that was running when servers crashed: quarantined or suspect.
  *
- * @param fingerprint the content
- * @param crashes the crashes counted
- * @param quarantined whether it must not be run; a suspect only, if not
- * @param remainingMillis how long the mark still stands, in milliseconds
+ * @param fingerprint the fingerprint of the content
+ * @param crashes the number of recorded crashes
+ * @param quarantined whether the content must not be run; if false, it is only suspect
+ * @param remainingMillis the time until the record expires, in milliseconds
  */
 public record QuarantinedContent(
         Fingerprint fingerprint, int crashes, boolean quarantined, long remainingMillis) {}
