--- a/src/main/java/org/orioleshed/request/RequestCodec.java
+++ b/src/main/java/org/orioleshed/request/RequestCodec.java
@@ -26,37 +26,37 @@
 import org.orioleshed.request.RequestMessage.StatusRequested;
 import org.orioleshed.wire.RequestWire;
 
-/** The protobuf form of {@link RequestMessage}. */
+/** Encodes and decodes {@link RequestMessage} as protobuf. */
 public final class RequestCodec implements MessageCodec<RequestMessage> {
     @Override
     public byte[] encode(RequestMessage message) {
-        RequestWire.RequestEnvelope.Builder form = RequestWire.RequestEnvelope.newBuilder();
+        RequestWire.RequestEnvelope.Builder proto = RequestWire.RequestEnvelope.newBuilder();
         switch (message) {
-            case PoisonSeen seen -> form.setPoisonSeen(poisonSeen(seen));
+            case PoisonSeen seen -> proto.setPoisonSeen(poisonSeen(seen));
             case PoisonCleared cleared ->
-                    form.setPoisonCleared(WireForms.of(cleared.fingerprint()));
+                    proto.setPoisonCleared(WireForms.of(cleared.fingerprint()));
             case KeyOpened opened ->
-                    form.getKeyOpenedBuilder()
+                    proto.getKeyOpenedBuilder()
                             .setKey(WireForms.of(opened.key()))
                             .setRequest(WireForms.of(opened.request()));
-            case KeyHolder holder -> form.setKeyHolder(keyHolder(holder));
+            case KeyHolder holder -> proto.setKeyHolder(keyHolder(holder));
             case KeyClosed closed ->
-                    form.getKeyClosedBuilder()
+                    proto.getKeyClosedBuilder()
                             .setKey(WireForms.of(closed.key()))
                             .setRequest(WireForms.of(closed.request()))
                             .setMayRunAgain(closed.mayRunAgain());
-            case KeyRequested asked -> form.setKeyAsked(WireForms.of(asked.key()));
-            case StatusRequested asked -> form.setFateAsked(statusRequested(asked));
-            case StatusReported told -> form.setFateTold(statusReported(told));
-            case ClaimRequested asked -> form.setClaimAsked(claimRequested(asked));
-            case ClaimReported told -> form.setClaimTold(claimReported(told));
-            case OutcomeRequested asked ->
-                    form.getOutcomeAskedBuilder()
-                            .setKey(WireForms.of(asked.key()))
-                            .setRun(WireForms.of(asked.run()))
-                            .setOutcome(WireForms.of(asked.outcome()));
+            case KeyRequested requested -> proto.setKeyAsked(WireForms.of(requested.key()));
+            case StatusRequested requested -> proto.setFateAsked(statusRequested(requested));
+            case StatusReported reported -> proto.setFateTold(statusReported(reported));
+            case ClaimRequested requested -> proto.setClaimAsked(claimRequested(requested));
+            case ClaimReported reported -> proto.setClaimTold(claimReported(reported));
+            case OutcomeRequested requested ->
+                    proto.getOutcomeAskedBuilder()
+                            .setKey(WireForms.of(requested.key()))
+                            .setRun(WireForms.of(requested.run()))
+                            .setOutcome(WireForms.of(requested.outcome()));
         }
-        return form.build().toByteArray();
+        return proto.build().toByteArray();
     }
 
     @Override
@@ -64,36 +64,37 @@
         try {
             return message(RequestWire.RequestEnvelope.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new BadMessageException("no request message: " + e.getMessage(), e);
+            throw new BadMessageException("malformed request message: " + e.getMessage(), e);
         }
     }
 
-    private static RequestMessage message(RequestWire.RequestEnvelope form) {
-        return switch (form.getMessageCase()) {
-            case POISON_SEEN -> poisonSeen(form.getPoisonSeen());
+    private static RequestMessage message(RequestWire.RequestEnvelope proto) {
+        return switch (proto.getMessageCase()) {
+            case POISON_SEEN -> poisonSeen(proto.getPoisonSeen());
             case POISON_CLEARED ->
-                    new PoisonCleared(WireForms.fingerprint(form.getPoisonCleared()));
+                    new PoisonCleared(WireForms.fingerprint(proto.getPoisonCleared()));
             case KEY_OPENED ->
                     new KeyOpened(
-                            WireForms.key(form.getKeyOpened().getKey()),
-                            WireForms.request(form.getKeyOpened().getRequest()));
-            case KEY_HOLDER -> keyHolder(form.getKeyHolder());
+                            WireForms.key(proto.getKeyOpened().getKey()),
+                            WireForms.request(proto.getKeyOpened().getRequest()));
+            case KEY_HOLDER -> keyHolder(proto.getKeyHolder());
             case KEY_CLOSED ->
                     new KeyClosed(
-                            WireForms.key(form.getKeyClosed().getKey()),
-                            WireForms.request(form.getKeyClosed().getRequest()),
-                            form.getKeyClosed().getMayRunAgain());
-            case KEY_ASKED -> new KeyRequested(WireForms.key(form.getKeyAsked()));
-            case FATE_ASKED -> statusRequested(form.getFateAsked());
-            case FATE_TOLD -> statusReported(form.getFateTold());
-            case CLAIM_ASKED -> claimRequested(form.getClaimAsked());
-            case CLAIM_TOLD -> claimReported(form.getClaimTold());
+                            WireForms.key(proto.getKeyClosed().getKey()),
+                            WireForms.request(proto.getKeyClosed().getRequest()),
+                            proto.getKeyClosed().getMayRunAgain());
+            case KEY_ASKED -> new KeyRequested(WireForms.key(proto.getKeyAsked()));
+            case FATE_ASKED -> statusRequested(proto.getFateAsked());
+            case FATE_TOLD -> statusReported(proto.getFateTold());
+            case CLAIM_ASKED -> claimRequested(proto.getClaimAsked());
+            case CLAIM_TOLD -> claimReported(proto.getClaimTold());
             case OUTCOME_ASKED ->
                     new OutcomeRequested(
-                            WireForms.key(form.getOutcomeAsked().getKey()),
-                            WireForms.run(form.getOutcomeAsked().getRun()),
-                            WireForms.outcome(form.getOutcomeAsked().getOutcome()));
-            case MESSAGE_NOT_SET -> throw new IllegalArgumentException("message must be given");
+                            WireForms.key(proto.getOutcomeAsked().getKey()),
+                            WireForms.run(proto.getOutcomeAsked().getRun()),
+                            WireForms.outcome(proto.getOutcomeAsked().getOutcome()));
+            case MESSAGE_NOT_SET ->
+                    throw new IllegalArgumentException("request envelope has no message");
         };
     }
 
@@ -106,71 +107,71 @@
                 .build();
     }
 
-    private static PoisonSeen poisonSeen(RequestWire.PoisonSeen form) {
+    private static PoisonSeen poisonSeen(RequestWire.PoisonSeen proto) {
         Optional<VersionId> version =
-                form.getVersion().isEmpty()
+                proto.getVersion().isEmpty()
                         ? Optional.empty()
-                        : Optional.of(new VersionId(form.getVersion()));
+                        : Optional.of(new VersionId(proto.getVersion()));
         return new PoisonSeen(
-                WireForms.fingerprint(form.getFingerprint()),
-                new ServerId(form.getServer()),
-                WireForms.run(form.getRun()),
+                WireForms.fingerprint(proto.getFingerprint()),
+                new ServerId(proto.getServer()),
+                WireForms.run(proto.getRun()),
                 version);
     }
 
     private static RequestWire.KeyHolder keyHolder(KeyHolder holder) {
-        RequestWire.KeyHolder.Builder form =
+        RequestWire.KeyHolder.Builder proto =
                 RequestWire.KeyHolder.newBuilder().setKey(WireForms.of(holder.key()));
-        holder.asker().ifPresent(asker -> form.setAsker(WireForms.of(asker)));
-        holder.holder().ifPresent(request -> form.setHolder(WireForms.of(request)));
-        return form.build();
+        holder.requester().ifPresent(requester -> proto.setAsker(WireForms.of(requester)));
+        holder.holder().ifPresent(request -> proto.setHolder(WireForms.of(request)));
+        return proto.build();
     }
 
-    private static KeyHolder keyHolder(RequestWire.KeyHolder form) {
-        Optional<RequestId> asker =
-                form.hasAsker()
-                        ? Optional.of(WireForms.request(form.getAsker()))
+    private static KeyHolder keyHolder(RequestWire.KeyHolder proto) {
+        Optional<RequestId> requester =
+                proto.hasAsker()
+                        ? Optional.of(WireForms.request(proto.getAsker()))
                         : Optional.empty();
         Optional<RequestId> holder =
-                form.hasHolder()
-                        ? Optional.of(WireForms.request(form.getHolder()))
+                proto.hasHolder()
+                        ? Optional.of(WireForms.request(proto.getHolder()))
                         : Optional.empty();
-        return new KeyHolder(WireForms.key(form.getKey()), asker, holder);
+        return new KeyHolder(WireForms.key(proto.getKey()), requester, holder);
     }
 
-    private static RequestWire.FateAsked statusRequested(StatusRequested asked) {
-        RequestWire.FateAsked.Builder form =
-                RequestWire.FateAsked.newBuilder().setKey(WireForms.of(asked.key()));
-        asked.claim().ifPresent(claim -> form.setClaim(WireForms.of(claim)));
-        return form.build();
+    private static RequestWire.FateAsked statusRequested(StatusRequested requested) {
+        RequestWire.FateAsked.Builder proto =
+                RequestWire.FateAsked.newBuilder().setKey(WireForms.of(requested.key()));
+        requested.claim().ifPresent(claim -> proto.setClaim(WireForms.of(claim)));
+        return proto.build();
     }
 
-    private static StatusRequested statusRequested(RequestWire.FateAsked form) {
+    private static StatusRequested statusRequested(RequestWire.FateAsked proto) {
         Optional<RunId> claim =
-                form.hasClaim() ? Optional.of(WireForms.run(form.getClaim())) : Optional.empty();
-        return new StatusRequested(WireForms.key(form.getKey()), claim);
+                proto.hasClaim() ? Optional.of(WireForms.run(proto.getClaim())) : Optional.empty();
+        return new StatusRequested(WireForms.key(proto.getKey()), claim);
     }
 
-    private static RequestWire.FateTold statusReported(StatusReported told) {
-        RequestWire.FateTold.Builder form =
+    private static RequestWire.FateTold statusReported(StatusReported reported) {
+        RequestWire.FateTold.Builder proto =
                 RequestWire.FateTold.newBuilder()
-                        .setKey(WireForms.of(told.key()))
-                        .setFate(status(told.status()));
-        told.claim().ifPresent(claim -> form.setClaim(WireForms.of(claim)));
-        for (Piece piece : told.pieces()) {
-            form.addPiecesBuilder()
+                        .setKey(WireForms.of(reported.key()))
+                        .setFate(status(reported.status()));
+        reported.claim().ifPresent(claim -> proto.setClaim(WireForms.of(claim)));
+        for (Piece piece : reported.pieces()) {
+            proto.addPiecesBuilder()
                     .setFirstToken(piece.firstToken())
                     .setCount(piece.count())
                     .setText(WireForms.bytes(piece.text()));
         }
-        return form.build();
+        return proto.build();
     }
 
-    private static StatusReported statusReported(RequestWire.FateTold form) {
+    private static StatusReported statusReported(RequestWire.FateTold proto) {
         Optional<RunId> claim =
-                form.hasClaim() ? Optional.of(WireForms.run(form.getClaim())) : Optional.empty();
+                proto.hasClaim() ? Optional.of(WireForms.run(proto.getClaim())) : Optional.empty();
         List<Piece> pieces = new ArrayList<>();
-        for (RequestWire.Piece piece : form.getPiecesList()) {
+        for (RequestWire.Piece piece : proto.getPiecesList()) {
             pieces.add(
                     new Piece(
                             piece.getFirstToken(),
@@ -178,86 +179,92 @@
                             WireForms.payload(piece.getText())));
         }
         return new StatusReported(
-                WireForms.key(form.getKey()), claim, status(form.getFate()), pieces);
+                WireForms.key(proto.getKey()), claim, status(proto.getFate()), pieces);
     }
 
     private static RequestWire.Fate status(RequestStatus status) {
-        RequestWire.Fate.Builder form = RequestWire.Fate.newBuilder();
+        RequestWire.Fate.Builder proto = RequestWire.Fate.newBuilder();
         switch (status) {
-            case RequestStatus.Unknown unknown -> form.setState(RequestWire.Fate.State.UNKNOWN);
-            case RequestStatus.Pending pending -> form.setState(RequestWire.Fate.State.PENDING);
+            case RequestStatus.Unknown unknown -> proto.setState(RequestWire.Fate.State.UNKNOWN);
+            case RequestStatus.Pending pending -> proto.setState(RequestWire.Fate.State.PENDING);
             case RequestStatus.Final end ->
-                    form.setState(RequestWire.Fate.State.FINAL)
+                    proto.setState(RequestWire.Fate.State.FINAL)
                             .setOutcome(WireForms.of(end.outcome()));
         }
-        return form.build();
+        return proto.build();
     }
 
-    private static RequestStatus status(RequestWire.Fate form) {
-        return switch (form.getState()) {
+    private static RequestStatus status(RequestWire.Fate proto) {
+        return switch (proto.getState()) {
             case UNKNOWN -> new RequestStatus.Unknown();
             case PENDING -> new RequestStatus.Pending();
-            case FINAL -> new RequestStatus.Final(WireForms.outcome(form.getOutcome()));
-            case UNSET, UNRECOGNIZED -> throw new IllegalArgumentException("no such fate");
+            case FINAL -> new RequestStatus.Final(WireForms.outcome(proto.getOutcome()));
+            case UNSET, UNRECOGNIZED ->
+                    throw new IllegalArgumentException(
+                            "status must be UNKNOWN, PENDING or FINAL, found " + proto.getState());
         };
     }
 
-    private static RequestWire.ClaimAsked claimRequested(ClaimRequested asked) {
-        RequestWire.ClaimAsked.Builder form =
+    private static RequestWire.ClaimAsked claimRequested(ClaimRequested requested) {
+        RequestWire.ClaimAsked.Builder proto =
                 RequestWire.ClaimAsked.newBuilder()
-                        .setKey(WireForms.of(asked.key()))
-                        .setRun(WireForms.of(asked.run()));
-        asked.replaces().ifPresent(replaces -> form.setReplaces(WireForms.of(replaces)));
-        return form.build();
+                        .setKey(WireForms.of(requested.key()))
+                        .setRun(WireForms.of(requested.run()));
+        requested.replaces().ifPresent(replaces -> proto.setReplaces(WireForms.of(replaces)));
+        return proto.build();
     }
 
-    private static ClaimRequested claimRequested(RequestWire.ClaimAsked form) {
+    private static ClaimRequested claimRequested(RequestWire.ClaimAsked proto) {
         Optional<RunId> replaces =
-                form.hasReplaces()
-                        ? Optional.of(WireForms.run(form.getReplaces()))
+                proto.hasReplaces()
+                        ? Optional.of(WireForms.run(proto.getReplaces()))
                         : Optional.empty();
         return new ClaimRequested(
-                WireForms.key(form.getKey()), WireForms.run(form.getRun()), replaces);
+                WireForms.key(proto.getKey()), WireForms.run(proto.getRun()), replaces);
     }
 
-    private static RequestWire.ClaimTold claimReported(ClaimReported told) {
-        RequestWire.ClaimTold.Builder form =
+    private static RequestWire.ClaimTold claimReported(ClaimReported reported) {
+        RequestWire.ClaimTold.Builder proto =
                 RequestWire.ClaimTold.newBuilder()
-                        .setKey(WireForms.of(told.key()))
-                        .setRun(WireForms.of(told.run()));
-        switch (told.result()) {
-            case ClaimResult.Acquired owned -> form.setResult(RequestWire.ClaimTold.Result.OWNED);
+                        .setKey(WireForms.of(reported.key()))
+                        .setRun(WireForms.of(reported.run()));
+        switch (reported.result()) {
+            case ClaimResult.Acquired acquired ->
+                    proto.setResult(RequestWire.ClaimTold.Result.OWNED);
             case ClaimResult.Unavailable unavailable ->
-                    form.setResult(RequestWire.ClaimTold.Result.AWAY);
+                    proto.setResult(RequestWire.ClaimTold.Result.AWAY);
             case ClaimResult.Recorded recorded ->
-                    form.setResult(RequestWire.ClaimTold.Result.RECORDED);
+                    proto.setResult(RequestWire.ClaimTold.Result.RECORDED);
             case ClaimResult.Taken taken -> {
-                form.setResult(RequestWire.ClaimTold.Result.TAKEN);
-                form.setOwner(WireForms.of(taken.holder()));
-                taken.outcome().ifPresent(outcome -> form.setOutcome(WireForms.of(outcome)));
+                proto.setResult(RequestWire.ClaimTold.Result.TAKEN);
+                proto.setOwner(WireForms.of(taken.holder()));
+                taken.outcome().ifPresent(outcome -> proto.setOutcome(WireForms.of(outcome)));
             }
         }
-        return form.build();
+        return proto.build();
     }
 
-    private static ClaimReported claimReported(RequestWire.ClaimTold form) {
+    private static ClaimReported claimReported(RequestWire.ClaimTold proto) {
         return new ClaimReported(
-                WireForms.key(form.getKey()), WireForms.run(form.getRun()), claimResult(form));
+                WireForms.key(proto.getKey()), WireForms.run(proto.getRun()), claimResult(proto));
     }
 
-    private static ClaimResult claimResult(RequestWire.ClaimTold form) {
-        return switch (form.getResult()) {
+    private static ClaimResult claimResult(RequestWire.ClaimTold proto) {
+        return switch (proto.getResult()) {
             case OWNED -> new ClaimResult.Acquired();
             case AWAY -> new ClaimResult.Unavailable();
             case RECORDED -> new ClaimResult.Recorded();
             case TAKEN -> {
                 Optional<Outcome> outcome =
-                        form.hasOutcome()
-                                ? Optional.of(WireForms.outcome(form.getOutcome()))
+                        proto.hasOutcome()
+                                ? Optional.of(WireForms.outcome(proto.getOutcome()))
                                 : Optional.empty();
-                yield new ClaimResult.Taken(WireForms.run(form.getOwner()), outcome);
+                yield new ClaimResult.Taken(WireForms.run(proto.getOwner()), outcome);
             }
-            case UNSET, UNRECOGNIZED -> throw new IllegalArgumentException("no such result");
+            case UNSET, UNRECOGNIZED ->
+                    throw new IllegalArgumentException(
+                            "claim result must be OWNED, AWAY, RECORDED or TAKEN, found "
+                                    + proto.getResult());
         };
     }
 }
--- a/src/main/java/org/orioleshed/request/RequestMessage.java
+++ b/src/main/java/org/orioleshed/request/RequestMessage.java
@@ -11,48 +11,52 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** What hosts say to each other about keys, request statuses and content that crashes servers. */
+/**
+ * The messages between hosts about keys, request statuses, claims and content that crashes servers.
+ */
 public sealed interface RequestMessage {
     /**
      * A server crashed while content ran on it.
      *
      * @param fingerprint the content
      * @param server the server
-     * @param run the run of the content on that server; one crash is told of several times
-     * @param version the version that the server ran, if known
+     * @param run the run of the content on that server; identifies the crash when it is reported
+     *     repeatedly
+     * @param version the version on the server, if known
      */
     record PoisonSeen(
             Fingerprint fingerprint, ServerId server, RunId run, Optional<VersionId> version)
             implements RequestMessage {}
 
     /**
-     * Content under suspicion ran well, or an operator released it.
+     * Suspect content ran successfully, or an operator released it.
      *
      * @param fingerprint the content
      */
     record PoisonCleared(Fingerprint fingerprint) implements RequestMessage {}
 
     /**
-     * Accepting host to the key's directory host: I have a request with this key. Answered by
+     * Sent by the accepting host to a directory host of the key to register a request. Answered by
      * {@link KeyHolder}.
      *
      * @param key the key
-     * @param request the request that would run
+     * @param request the request to be run
      */
     record KeyOpened(RequestKey key, RequestId request) implements RequestMessage {}
 
     /**
-     * Directory host to asker: who runs the key.
+     * The directory host's reply with the request that holds the key.
      *
      * @param key the key
-     * @param asker the request that asked, when it was {@link KeyOpened}
-     * @param holder the request that runs, or ran last; empty when none is known
+     * @param requester the request of the {@link KeyOpened} message; empty in reply to {@link
+     *     KeyRequested}
+     * @param holder the request that runs, or ran last; empty if none is recorded
      */
-    record KeyHolder(RequestKey key, Optional<RequestId> asker, Optional<RequestId> holder)
+    record KeyHolder(RequestKey key, Optional<RequestId> requester, Optional<RequestId> holder)
             implements RequestMessage {}
 
     /**
-     * Accepting host to directory host: the request ended.
+     * Sent by the accepting host to a directory host when the request ended.
      *
      * @param key the key
      * @param request the request that ended
@@ -62,28 +66,28 @@
             implements RequestMessage {}
 
     /**
-     * To the key's directory host: who runs the key? Answered by {@link KeyHolder}.
+     * Requests the holder of a key from its directory host. Answered by {@link KeyHolder}.
      *
      * @param key the key
      */
     record KeyRequested(RequestKey key) implements RequestMessage {}
 
     /**
-     * To the host that accepted a request with the key: what became of it? Answered by {@link
-     * StatusReported}.
+     * Requests the status of a key from the host that accepted a request with it. Answered by
+     * {@link StatusReported}.
      *
      * @param key the key
-     * @param claim the claimed run asked about; empty for the key's latest request
+     * @param claim the claimed run to report on; empty for the key's latest request
      */
     record StatusRequested(RequestKey key, Optional<RunId> claim) implements RequestMessage {}
 
     /**
-     * Accepting host to asker.
+     * The accepting host's reply to {@link StatusRequested}.
      *
      * @param key the key
-     * @param claim as asked
-     * @param status what is known of it
-     * @param pieces a model's whole answer, when {@code status} is an answer; empty otherwise
+     * @param claim the claimed run of the request message
+     * @param status the status of the key or claimed run
+     * @param pieces a model's complete answer, if {@code status} is an answer; otherwise empty
      */
     record StatusReported(
             RequestKey key, Optional<RunId> claim, RequestStatus status, List<Piece> pieces)
@@ -97,15 +101,15 @@
     /**
      * A part of a model's answer.
      *
-     * @param firstToken the offset of its first token in the whole answer
+     * @param firstToken the offset of its first token in the complete answer
      * @param count the number of tokens
-     * @param text the part
+     * @param text the text of the piece
      */
     record Piece(int firstToken, int count, Payload text) {}
 
     /**
-     * To the host that writes the key's page of claims: claim it for a run of the asker. Answered
-     * by {@link ClaimReported}; may be repeated.
+     * Requests the writer of the key's bucket to claim the key for a run of the sender. Answered by
+     * {@link ClaimReported}; may be repeated.
      *
      * @param key the key
      * @param run the run to claim it for
@@ -115,16 +119,16 @@
             implements RequestMessage {}
 
     /**
-     * Writer to asker: what became of {@link ClaimRequested} or {@link OutcomeRequested}.
+     * The writer's reply to {@link ClaimRequested} or {@link OutcomeRequested}.
      *
      * @param key the key
-     * @param run the run asked for
-     * @param result what became of it
+     * @param run the run of the request message
+     * @param result the result
      */
     record ClaimReported(RequestKey key, RunId run, ClaimResult result) implements RequestMessage {}
 
     /**
-     * To the host that writes the key's page of claims: record the outcome of a claimed run. May be
+     * Requests the writer of the key's bucket to record the outcome of a claimed run. May be
      * repeated.
      *
      * @param key the key
@@ -133,26 +137,26 @@
      */
     record OutcomeRequested(RequestKey key, RunId run, Outcome outcome) implements RequestMessage {}
 
-    /** What became of a claim asked for, or of an outcome to be recorded. */
+    /** The result of a requested claim or of an outcome to be recorded. */
     sealed interface ClaimResult {
-        /** The claim stands in the store. */
+        /** The claim is stored. */
         record Acquired() implements ClaimResult {}
 
-        /** Another run has the key; its outcome is given when it is recorded. */
+        /** Another run holds the key; its outcome is included if recorded. */
         record Taken(RunId holder, Optional<Outcome> outcome) implements ClaimResult {}
 
-        /** The store is away, or the host asked is not the writer. */
+        /** The store is unavailable. */
         record Unavailable() implements ClaimResult {}
 
-        /** The outcome stands in the store. */
+        /** The outcome is stored. */
         record Recorded() implements ClaimResult {}
     }
 
-    /** Returns whether an outcome leaves the key free to be run again. */
+    /** Returns whether a resend of the key may start a new run after an outcome. */
     static boolean mayRunAgain(Outcome outcome) {
         return switch (outcome) {
             case Outcome.Answered answered -> false;
-            case Outcome.InDoubt doubt -> false;
+            case Outcome.InDoubt inDoubt -> false;
             case Outcome.NotRun notRun -> true;
             case Outcome.Failed failed -> true;
         };
--- a/src/main/java/org/orioleshed/request/RequestStatus.java
+++ b/src/main/java/org/orioleshed/request/RequestStatus.java
@@ -2,12 +2,12 @@
 
 import org.orioleshed.model.Outcome;
 
-/** What is known of a request key. */
+/** The status of a request key. */
 public sealed interface RequestStatus {
-    /** No host that could be asked knows the key, and no claim stands for it. */
+    /** No reachable host has a request with the key, and no claim for it was found. */
     record Unknown() implements RequestStatus {}
 
-    /** The request waits or runs. */
+    /** The request is waiting or running. */
     record Pending() implements RequestStatus {}
 
     /** The request has its final outcome. */
--- a/src/main/java/org/orioleshed/request/RetryBudget.java
+++ b/src/main/java/org/orioleshed/request/RetryBudget.java
@@ -1,27 +1,27 @@
 package org.orioleshed.request;
 
-/** Allows retries as a share of successes, so that a fault does not multiply the load. */
+/** Limits retries to a share of the successes, so that a fault does not multiply the load. */
 final class RetryBudget {
-    private final double share;
-    private final double burst;
-    private double saved;
+    private final double retriesPerSuccess;
+    private final double maxRetries;
+    private double available;
 
-    RetryBudget(double share, int burst) {
-        this.share = share;
-        this.burst = burst;
-        this.saved = burst;
+    RetryBudget(double retriesPerSuccess, int maxRetries) {
+        this.retriesPerSuccess = retriesPerSuccess;
+        this.maxRetries = maxRetries;
+        this.available = maxRetries;
     }
 
     void onSuccess() {
-        saved = Math.min(burst, saved + share);
+        available = Math.min(maxRetries, available + retriesPerSuccess);
     }
 
-    /** Returns whether a retry is allowed, and counts it. */
-    boolean take() {
-        if (saved < 1) {
+    /** Returns whether a retry is allowed, and deducts it from the budget. */
+    boolean tryAcquire() {
+        if (available < 1) {
             return false;
         }
-        saved -= 1;
+        available -= 1;
         return true;
     }
 }
--- a/src/main/java/org/orioleshed/request/RunCanceller.java
+++ b/src/main/java/org/orioleshed/request/RunCanceller.java
@@ -15,15 +15,15 @@
 import org.orioleshed.routing.RoutingMessage;
 
 /**
- * Cancels runs until their end is proved: by way of the owner first, straight at the engine when
- * the owner is gone or does not answer.
+ * Repeats the cancellation of runs until their end is confirmed: through the owner at first,
+ * directly at the engine if the owner is dead or does not answer.
  */
 final class RunCanceller {
-    /** Unanswered messages to an owner before the engine is asked itself. */
-    private static final int HOME_TRIES = 4;
+    /** The number of unanswered messages to an owner before the engine is contacted directly. */
+    private static final int MAX_OWNER_ATTEMPTS = 4;
 
-    /** Tries after which a run that nobody waits for is given up. */
-    private static final int MAX_TRIES = 240;
+    /** The number of attempts after which the cancellation of a run is abandoned. */
+    private static final int MAX_ATTEMPTS = 240;
 
     private final long repeatNanos;
     private final Consumer<HostAction> out;
@@ -34,14 +34,16 @@
         this.out = out;
     }
 
-    /** Starts to cancel a run that its owner should know of. */
-    void viaOwner(long nowNanos, FleetSnapshot fleet, RunId run, ServerId server, HostId owner) {
+    /** Starts to cancel a run through its owner. */
+    void cancelViaOwner(
+            long nowNanos, FleetSnapshot fleet, RunId run, ServerId server, HostId owner) {
         start(nowNanos, fleet, run, new Cancelling(server, owner, 0));
     }
 
-    /** Starts to cancel a run at its engine, as its owner can't. */
-    void atEngine(long nowNanos, FleetSnapshot fleet, RunId run, ServerId server, HostId owner) {
-        start(nowNanos, fleet, run, new Cancelling(server, owner, HOME_TRIES));
+    /** Starts to cancel a run directly at its engine. */
+    void cancelAtEngine(
+            long nowNanos, FleetSnapshot fleet, RunId run, ServerId server, HostId owner) {
+        start(nowNanos, fleet, run, new Cancelling(server, owner, MAX_OWNER_ATTEMPTS));
     }
 
     private void start(long nowNanos, FleetSnapshot fleet, RunId run, Cancelling cancelling) {
@@ -49,7 +51,7 @@
         send(nowNanos, fleet, run, cancelling);
     }
 
-    /** Returns whether the run was being cancelled, and stops it. */
+    /** Stops cancelling a run that has ended; returns whether it was being cancelled. */
     boolean onEnd(RunId run) {
         return pending.remove(run) != null;
     }
@@ -59,39 +61,42 @@
         return pending.containsKey(run);
     }
 
-    /** Returns how many runs are being cancelled. */
+    /** Returns the number of runs being cancelled. */
     int size() {
         return pending.size();
     }
 
-    /** Repeats what is due, and what a changed fleet snapshot asks for. */
+    /** Repeats the cancellations that are due and those whose owner has died. */
     void tick(long nowNanos, FleetSnapshot fleet) {
         if (pending.isEmpty()) {
             return;
         }
-        List<RunId> given = new ArrayList<>();
+        List<RunId> abandoned = new ArrayList<>();
         for (Map.Entry<RunId, Cancelling> entry : pending.entrySet()) {
             Cancelling cancelling = entry.getValue();
             boolean ownerLost =
-                    cancelling.tries < HOME_TRIES && !reachable(fleet, cancelling.owner);
+                    cancelling.attempts < MAX_OWNER_ATTEMPTS && !reachable(fleet, cancelling.owner);
             if (nowNanos < cancelling.nextNanos && !ownerLost) {
                 continue;
             }
-            if (cancelling.tries >= MAX_TRIES) {
-                given.add(entry.getKey());
+            if (cancelling.attempts >= MAX_ATTEMPTS) {
+                abandoned.add(entry.getKey());
                 continue;
             }
             send(nowNanos, fleet, entry.getKey(), cancelling);
         }
-        given.forEach(pending::remove);
+        abandoned.forEach(pending::remove);
     }
 
     private void send(long nowNanos, FleetSnapshot fleet, RunId run, Cancelling cancelling) {
         cancelling.nextNanos = nowNanos + repeatNanos;
-        boolean owner = cancelling.tries < HOME_TRIES && reachable(fleet, cancelling.owner);
-        cancelling.tries =
-                owner ? cancelling.tries + 1 : Math.max(HOME_TRIES, cancelling.tries) + 1;
-        if (owner) {
+        boolean throughOwner =
+                cancelling.attempts < MAX_OWNER_ATTEMPTS && reachable(fleet, cancelling.owner);
+        cancelling.attempts =
+                throughOwner
+                        ? cancelling.attempts + 1
+                        : Math.max(MAX_OWNER_ATTEMPTS, cancelling.attempts) + 1;
+        if (throughOwner) {
             out.accept(
                     new HostAction.SendRouting(
                             cancelling.owner, new RoutingMessage.Cancelled(run)));
@@ -108,13 +113,13 @@
     private static final class Cancelling {
         final ServerId server;
         final HostId owner;
-        int tries;
+        int attempts;
         long nextNanos;
 
-        Cancelling(ServerId server, HostId owner, int tries) {
+        Cancelling(ServerId server, HostId owner, int attempts) {
             this.server = server;
             this.owner = owner;
-            this.tries = tries;
+            this.attempts = attempts;
         }
     }
 }
--- a/src/main/java/org/orioleshed/request/ServerChoices.java
+++ b/src/main/java/org/orioleshed/request/ServerChoices.java
@@ -14,7 +14,7 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.request.Placement.Choice;
 
-/** Chooses the version, and among its servers, for the next offers of a model request. */
+/** Selects the version and its servers for the next offers of a model request. */
 final class ServerChoices {
     private final EvenDraws draws;
     private final Placement placement;
@@ -23,9 +23,9 @@
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     /**
-     * Makes one that knows no servers.
+     * Creates an instance with an empty fleet snapshot.
      *
-     * @param offersAtOnce how many servers are chosen; positive
+     * @param offersAtOnce the number of servers to select; positive
      */
     ServerChoices(
             RandomGenerator random, Placement placement, PoisonWatch poison, int offersAtOnce) {
@@ -39,52 +39,58 @@
         fleet = changed;
     }
 
-    /** Draws the version of a new request; empty where any will do. */
+    /** Draws the version of a new request; empty for any. */
     Optional<VersionId> draw(RouteId route) {
         return fleet.version(route, draws.next(route));
     }
 
-    /** Returns where to offer: the version drawn, else the version that a move leaves, else any. */
+    /**
+     * Returns the servers to offer to: of the version drawn, else of the rollout's old version,
+     * else of any version if tokens were already received.
+     */
     List<Choice> choose(long nowNanos, Execution execution) {
         Request request = execution.request;
-        int known = execution.transcript.tokens();
+        int receivedTokens = execution.transcript.tokens();
         VersionSplit split = fleet.splits().get(request.route());
         if (split != null && poison.isSuspect(nowNanos, request.fingerprint())) {
             execution.version = Optional.of(split.from());
         }
-        List<Choice> choices = of(nowNanos, request, execution.version, known);
+        List<Choice> choices = choicesOf(nowNanos, request, execution.version, receivedTokens);
         if (choices.isEmpty() && split != null) {
             execution.version = Optional.of(split.from());
-            choices = of(nowNanos, request, execution.version, known);
+            choices = choicesOf(nowNanos, request, execution.version, receivedTokens);
         }
-        if (choices.isEmpty() && known > 0) {
+        if (choices.isEmpty() && receivedTokens > 0) {
             execution.version = Optional.empty();
-            choices = of(nowNanos, request, execution.version, known);
+            choices = choicesOf(nowNanos, request, execution.version, receivedTokens);
         }
         return choices;
     }
 
-    private List<Choice> of(
-            long nowNanos, Request request, Optional<VersionId> version, int known) {
-        return placement.choices(nowNanos, request, version, known, Set.of(), offersAtOnce);
+    private List<Choice> choicesOf(
+            long nowNanos, Request request, Optional<VersionId> version, int receivedTokens) {
+        return placement.choices(
+                nowNanos, request, version, receivedTokens, Set.of(), offersAtOnce);
     }
 
     /**
-     * Sends a request back to the version that a move leaves, where it failed at the new one before
-     * any token.
+     * Moves a request to the rollout's old version if it failed on the new version before the first
+     * token.
      *
-     * @return whether it goes back
+     * @return whether the request was moved
      */
-    boolean leaveNewVersion(Execution execution, ServerId failedServer) {
-        boolean leaves = leavesNewVersion(execution, failedServer);
-        if (leaves) {
+    boolean revertVersion(Execution execution, ServerId failedServer) {
+        boolean revert = shouldRevertVersion(execution, failedServer);
+        if (revert) {
             execution.version = Optional.of(fleet.splits().get(execution.request.route()).from());
         }
-        return leaves;
+        return revert;
     }
 
-    /** Returns whether a failure at {@code server}, before any token, sends the request back. */
-    boolean leavesNewVersion(Execution execution, ServerId server) {
+    /**
+     * Returns whether a failure on {@code server} moves the request to the rollout's old version.
+     */
+    boolean shouldRevertVersion(Execution execution, ServerId server) {
         VersionSplit split = fleet.splits().get(execution.request.route());
         BackendServer failed = fleet.servers().get(server);
         return split != null
--- a/src/main/java/org/orioleshed/request/ServiceCall.java
+++ b/src/main/java/org/orioleshed/request/ServiceCall.java
@@ -7,11 +7,11 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.Work;
 
-/** A call to a plain service on its accepting host. */
+/** A call to a plain service, on its accepting host. */
 final class ServiceCall extends KeyedRequest {
     State state;
 
-    /** The number of the latest attempt; zero before the first. */
+    /** The number of the latest attempt; 0 before the first. */
     int attempt;
 
     /** Whether a run may have reached the service. */
@@ -20,16 +20,16 @@
     /** Whether a run before the latest may have reached the service. */
     boolean ranBefore;
 
-    /** Whether this host holds the claim on the key, under the run {@link #claimed}. */
-    boolean owned;
+    /** Whether this host holds the claim on the key, under the run {@link #claimRun}. */
+    boolean claimHeld;
 
-    /** The run that the claim names. */
-    RunId claimed;
+    /** The run that the key is or was claimed for; null before the first claim. */
+    RunId claimRun;
 
-    /** Whether another host's run has the key and may have reached the service. */
-    boolean taken;
+    /** Whether another run holds the claim on the key and may have reached the service. */
+    boolean claimedElsewhere;
 
-    /** An earlier claim that is proved never to be sent, to be replaced. */
+    /** The run of an earlier claim to be replaced, which is proved never to be sent. */
     Optional<RunId> replaces = Optional.empty();
 
     int failures;
@@ -49,45 +49,45 @@
     }
 
     @Override
-    long stateWakeNanos() {
-        return state.wakeNanos();
+    long stateTimerNanos() {
+        return state.timerNanos();
     }
 
     @Override
     boolean provedNotRun() {
-        return !mayHaveRun && !taken;
+        return !mayHaveRun && !claimedElsewhere;
     }
 
-    /** Where a call is in its life. */
+    /** The state of a call. */
     sealed interface State {
-        /** Returns when the state has something to do by itself. */
-        default long wakeNanos() {
+        /** Returns when the state's next timer is due. */
+        default long timerNanos() {
             return Long.MAX_VALUE;
         }
     }
 
-    /** Waits for a free place on a server. */
+    /** Waiting for a free slot on a server. */
     record Queued(long sequence) implements State {}
 
-    /** Waits before it is queued again. */
+    /** Waiting to be queued again. */
     record Delayed(long untilNanos) implements State {
         @Override
-        public long wakeNanos() {
+        public long timerNanos() {
             return untilNanos;
         }
     }
 
-    /** Has a place on a server and waits for its claim. */
+    /** Holding a slot on a server and waiting for the claim. */
     record Claiming(ServerId server) implements State {}
 
-    /** On its way to a server, or running there. */
+    /** Sent to a server. */
     record Sent(RunId run, ServerId server) implements State {}
 
-    /** Another host claimed the key; waits for that host's word. */
-    record Asking(RunId holder, HostId host, long askAgainNanos) implements State {
+    /** Waiting for the status of the run that holds the claim. */
+    record AwaitingHolder(RunId holder, HostId host, long pollNanos) implements State {
         @Override
-        public long wakeNanos() {
-            return askAgainNanos;
+        public long timerNanos() {
+            return pollNanos;
         }
     }
 }
--- a/src/main/java/org/orioleshed/request/ServiceRequests.java
+++ b/src/main/java/org/orioleshed/request/ServiceRequests.java
@@ -29,30 +29,30 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.request.ServiceCall.Asking;
+import org.orioleshed.request.ServiceCall.AwaitingHolder;
 import org.orioleshed.request.ServiceCall.Claiming;
 import org.orioleshed.request.ServiceCall.Delayed;
 import org.orioleshed.request.ServiceCall.Queued;
 import org.orioleshed.request.ServiceCall.Sent;
 
 /**
- * The calls to plain services that this host accepted. A call that may not be repeated is claimed
- * in the store before it is sent, and sent at most once: by this host, straight to the service.
+ * The calls to plain services that this host accepted. A non-repeatable call is claimed in the
+ * store first, then sent at most once, by this host and directly to the service.
  */
 final class ServiceRequests {
-    /** How often the host that claimed a key is asked for its request status. */
-    private static final long ASK_MILLIS = 200;
+    /** The interval between status requests to the host that claimed a key. */
+    private static final long STATUS_POLL_MILLIS = 200;
 
-    /** When a caller should ask again after the store was away. */
-    private static final long STORE_RETRY_MILLIS = 1_000;
+    /** The retry-after hint for a call that was not run because the store was unavailable. */
+    private static final long STORE_RETRY_AFTER_MILLIS = 1_000;
 
-    /** Routes without a free place after which the queue is not searched further. */
+    /** The number of routes without a free slot after which the queue is not searched further. */
     private static final int MAX_BLOCKED_ROUTES = 16;
 
-    /** How many ends of claimed runs are kept for hosts that ask. */
-    private static final int MAX_FATES = 50_000;
+    /** The number of outcomes of claimed runs kept for status requests of other hosts. */
+    private static final int MAX_CLAIM_OUTCOMES = 50_000;
 
-    private static final Comparator<ServiceCall> ORDER =
+    private static final Comparator<ServiceCall> QUEUE_ORDER =
             Comparator.<ServiceCall>comparingInt(call -> call.request.tier().rank())
                     .thenComparingLong(call -> call.request.deadlineNanos())
                     .thenComparing(call -> call.request.id().toString());
@@ -62,30 +62,30 @@
     private final RequestLimits limits;
     private final RandomGenerator random;
     private final Claims claims;
-    private final ServicePlaces places;
+    private final ServiceSlots slots;
     private final RetryBudget retries;
-    private final Wakes<ServiceCall> wakes = new Wakes<>();
+    private final Timers<ServiceCall> timers = new Timers<>();
     private final Consumer<HostAction> out;
     private final Closed onClosed;
     private final Map<RequestId, ServiceCall> byCaller = new HashMap<>();
     private final Map<RequestId, ServiceCall> byRequest = new LinkedHashMap<>();
 
-    /** How the runs that this host claimed or tried to claim ended. */
+    /** The outcomes of the runs that this host claimed or tried to claim. */
     private final Map<RunId, Outcome> claimOutcomes =
             new LinkedHashMap<>() {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<RunId, Outcome> eldest) {
-                    return size() > MAX_FATES;
+                    return size() > MAX_CLAIM_OUTCOMES;
                 }
             };
 
-    private final TreeSet<ServiceCall> queue = new TreeSet<>(ORDER);
+    private final TreeSet<ServiceCall> queue = new TreeSet<>(QUEUE_ORDER);
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
     private boolean draining;
 
-    /** Hears of calls that are over. */
+    /** Receives calls that have ended. */
     interface Closed {
         void closed(long nowNanos, ServiceCall call, Outcome outcome);
     }
@@ -106,24 +106,24 @@
         this.claims = claims;
         this.out = out;
         this.onClosed = onClosed;
-        this.places = new ServicePlaces(domain, random);
+        this.slots = new ServiceSlots(domain, random);
         this.retries = new RetryBudget(limits.retryShare(), limits.retryBurst());
     }
 
-    /** Starts a call whose key runs nowhere else on this host. */
+    /** Starts a call whose key is not in progress on this host. */
     void start(long nowNanos, Request request, Consumer<KeyedRequest> onOpened) {
         ServiceCall call = new ServiceCall(request, new Delayed(nowNanos));
         byRequest.put(request.id(), call);
         addCaller(call, request);
         onOpened.accept(call);
         enqueue(nowNanos, call);
-        wakes.schedule(call);
+        timers.schedule(call);
     }
 
-    /** Lets a resend of the key share a call under way. */
+    /** Attaches a resend of the key to the call in progress. */
     void join(ServiceCall call, Request request) {
         addCaller(call, request);
-        wakes.schedule(call);
+        timers.schedule(call);
     }
 
     int size() {
@@ -134,19 +134,19 @@
         return byRequest.isEmpty();
     }
 
-    boolean knowsCaller(RequestId caller) {
+    boolean hasCaller(RequestId caller) {
         return byCaller.containsKey(caller);
     }
 
     void onFleet(long nowNanos, FleetSnapshot changed) {
         fleet = changed;
-        places.onFleet(changed);
+        slots.onFleet(changed);
         for (ServiceCall call : List.copyOf(byRequest.values())) {
-            if (call.state instanceof Asking asking) {
-                ask(nowNanos, call, asking.holder());
+            if (call.state instanceof AwaitingHolder awaiting) {
+                requestStatus(nowNanos, call, awaiting.holder());
             }
         }
-        sendQueued(nowNanos);
+        dispatchQueued(nowNanos);
     }
 
     void drain(long nowNanos) {
@@ -158,23 +158,23 @@
         }
     }
 
-    /** Answers all that is left: this host won't be there to hear how it ends. */
-    void giveUp(long nowNanos) {
+    /** Ends all remaining calls, as this host is about to stop. */
+    void endAll(long nowNanos) {
         for (ServiceCall call : List.copyOf(byRequest.values())) {
             log("give-up", call, null, "drain-over");
-            end(nowNanos, call, givenUpOutcome(call));
+            end(nowNanos, call, stoppedOutcome(call));
         }
     }
 
-    private static Outcome givenUpOutcome(ServiceCall call) {
-        if (call.state instanceof Asking) {
-            return new Outcome.InDoubt("another host still runs the call");
+    private static Outcome stoppedOutcome(ServiceCall call) {
+        if (call.state instanceof AwaitingHolder) {
+            return new Outcome.InDoubt("another host is still running the call");
         }
         if (call.provedNotRun()) {
             return notRun(NotRunReason.DRAINING, 0);
         }
         if (!call.work().repeatable()) {
-            return new Outcome.InDoubt("the host stopped before the call had answered");
+            return new Outcome.InDoubt("the host stopped before the call was answered");
         }
         return new Outcome.Failed(FailReason.RETRIES_SPENT, KeyedRequest.HOST_STOPPED);
     }
@@ -195,21 +195,21 @@
         if (call == null || !(call.state instanceof Sent sent) || !sent.run().equals(run)) {
             return;
         }
-        places.release(server);
+        slots.release(server);
         switch (end) {
-            case CallEnd.Answered answered -> answered(nowNanos, call, answered);
-            case CallEnd.NeverSent never -> {
+            case CallEnd.Answered answered -> onAnswered(nowNanos, call, answered);
+            case CallEnd.NeverSent neverSent -> {
                 call.mayHaveRun = call.ranBefore;
-                places.avoid(nowNanos, server);
-                again(nowNanos, call, server, "never-sent");
+                slots.avoid(nowNanos, server);
+                scheduleRetry(nowNanos, call, server, "never-sent");
             }
-            case CallEnd.Broken broken -> broken(nowNanos, call, server, broken);
+            case CallEnd.Broken broken -> onBroken(nowNanos, call, server, broken);
         }
-        wakes.schedule(call);
-        sendQueued(nowNanos);
+        timers.schedule(call);
+        dispatchQueued(nowNanos);
     }
 
-    private void answered(long nowNanos, ServiceCall call, CallEnd.Answered answered) {
+    private void onAnswered(long nowNanos, ServiceCall call, CallEnd.Answered answered) {
         int statusClass = answered.status() / 100;
         if (statusClass == 2) {
             retries.onSuccess();
@@ -220,21 +220,21 @@
         FailReason reason = statusClass == 4 ? FailReason.REFUSED : FailReason.BACKEND_ERROR;
         boolean retry = statusClass == 5 && mayRepeat(call);
         if (retry) {
-            again(nowNanos, call, null, "service-error");
+            scheduleRetry(nowNanos, call, null, "service-error");
             return;
         }
         end(nowNanos, call, new Outcome.Failed(reason, detail));
     }
 
-    private void broken(long nowNanos, ServiceCall call, ServerId server, CallEnd.Broken broken) {
+    private void onBroken(long nowNanos, ServiceCall call, ServerId server, CallEnd.Broken broken) {
         if (!call.work().repeatable()) {
-            String detail = "the service was called and its answer lost: " + broken.detail();
+            String detail = "the service was called, but its answer was lost: " + broken.detail();
             end(nowNanos, call, new Outcome.InDoubt(detail));
             return;
         }
-        places.avoid(nowNanos, server);
+        slots.avoid(nowNanos, server);
         if (mayRepeat(call)) {
-            again(nowNanos, call, server, "call-broken");
+            scheduleRetry(nowNanos, call, server, "call-broken");
             return;
         }
         end(nowNanos, call, new Outcome.Failed(FailReason.RETRIES_SPENT, broken.detail()));
@@ -242,12 +242,14 @@
 
     private boolean mayRepeat(ServiceCall call) {
         call.failures++;
-        return call.work().repeatable() && call.failures < limits.maxFailures() && retries.take();
+        return call.work().repeatable()
+                && call.failures < limits.maxFailures()
+                && retries.tryAcquire();
     }
 
-    private void again(long nowNanos, ServiceCall call, ServerId server, String reason) {
+    private void scheduleRetry(long nowNanos, ServiceCall call, ServerId server, String reason) {
         if (call.callers.isEmpty()) {
-            end(nowNanos, call, goneOutcome(call));
+            end(nowNanos, call, callerGoneOutcome(call));
             return;
         }
         if (draining && call.provedNotRun()) {
@@ -261,41 +263,41 @@
         call.state = new Delayed(nowNanos + delay);
     }
 
-    /** Hears what became of a claim under way. */
+    /** Handles the result of a pending claim. */
     void onClaimed(long nowNanos, RunId run, Claims.Result result) {
         ServiceCall call = byRequest.get(run.request());
         if (call == null
                 || !(call.state instanceof Claiming claiming)
-                || !run.equals(call.claimed)) {
+                || !run.equals(call.claimRun)) {
             return;
         }
         switch (result) {
-            case Claims.Result.Acquired owned -> {
-                call.owned = true;
+            case Claims.Result.Acquired acquired -> {
+                call.claimHeld = true;
                 send(nowNanos, call, claiming.server());
             }
             case Claims.Result.Taken taken -> {
-                places.release(claiming.server());
-                taken(nowNanos, call, taken);
+                slots.release(claiming.server());
+                onTaken(nowNanos, call, taken);
             }
-            case Claims.Result.Free free -> giveUpClaim(nowNanos, call, claiming);
-            case Claims.Result.Unavailable unavailable -> giveUpClaim(nowNanos, call, claiming);
+            case Claims.Result.Free free -> abandonClaim(nowNanos, call, claiming);
+            case Claims.Result.Unavailable unavailable -> abandonClaim(nowNanos, call, claiming);
         }
-        wakes.schedule(call);
-        sendQueued(nowNanos);
+        timers.schedule(call);
+        dispatchQueued(nowNanos);
     }
 
-    private void giveUpClaim(long nowNanos, ServiceCall call, Claiming claiming) {
-        places.release(claiming.server());
+    private void abandonClaim(long nowNanos, ServiceCall call, Claiming claiming) {
+        slots.release(claiming.server());
         call.state = new Delayed(nowNanos);
-        claims.abandon(call.request.key(), call.claimed);
-        end(nowNanos, call, notRun(NotRunReason.STORE_AWAY, STORE_RETRY_MILLIS));
+        claims.abandon(call.request.key(), call.claimRun);
+        end(nowNanos, call, notRun(NotRunReason.STORE_AWAY, STORE_RETRY_AFTER_MILLIS));
     }
 
-    private void taken(long nowNanos, ServiceCall call, Claims.Result.Taken taken) {
+    private void onTaken(long nowNanos, ServiceCall call, Claims.Result.Taken taken) {
         if (taken.outcome().isEmpty()) {
-            call.taken = true;
-            ask(nowNanos, call, taken.holder());
+            call.claimedElsewhere = true;
+            requestStatus(nowNanos, call, taken.holder());
             return;
         }
         if (taken.outcome().get() instanceof Outcome.NotRun) {
@@ -305,65 +307,69 @@
         end(nowNanos, call, taken.outcome().get());
     }
 
-    /** Claims a key anew whose earlier claim is proved never to be sent. */
-    private void replace(long nowNanos, ServiceCall call, RunId earlier) {
-        call.taken = false;
-        call.replaces = Optional.of(earlier);
+    /** Replaces an earlier claim on the key whose run is proved never to be sent. */
+    private void replace(long nowNanos, ServiceCall call, RunId earlierRun) {
+        call.claimedElsewhere = false;
+        call.replaces = Optional.of(earlierRun);
         enqueue(nowNanos, call);
     }
 
-    /** Asks the host that claimed a key what became of it, as long as it is the same process. */
-    private void ask(long nowNanos, ServiceCall call, RunId holder) {
+    /**
+     * Requests the status of a claimed key from the host that claimed it, if that host is still the
+     * same incarnation.
+     */
+    private void requestStatus(long nowNanos, ServiceCall call, RunId holder) {
         HostId host = holder.request().host();
-        EntryHost known = fleet.hosts().get(host);
-        boolean here = host.equals(self) && holder.request().incarnation() == incarnation;
-        boolean there =
+        EntryHost holderHost = fleet.hosts().get(host);
+        boolean claimedBySelf = host.equals(self) && holder.request().incarnation() == incarnation;
+        boolean claimedByLivePeer =
                 !host.equals(self)
-                        && known != null
-                        && known.state() != EntryHost.State.DEAD
-                        && known.incarnation() == holder.request().incarnation();
-        if (!there && !here) {
-            String detail = "the host that sent the call is gone, and left no outcome";
+                        && holderHost != null
+                        && holderHost.state() != EntryHost.State.DEAD
+                        && holderHost.incarnation() == holder.request().incarnation();
+        if (!claimedByLivePeer && !claimedBySelf) {
+            String detail =
+                    "the host that claimed the call is no longer running and recorded no outcome";
             end(nowNanos, call, new Outcome.InDoubt(detail));
             return;
         }
-        call.state = new Asking(holder, host, nowNanos + nanos(ASK_MILLIS));
+        call.state = new AwaitingHolder(holder, host, nowNanos + nanos(STATUS_POLL_MILLIS));
         out.accept(
                 new HostAction.SendRequest(
                         host,
                         new RequestMessage.StatusRequested(
                                 call.request.key(), Optional.of(holder))));
-        wakes.schedule(call);
+        timers.schedule(call);
     }
 
-    /** Hears from the host that claimed a key. */
+    /** Handles the status reported by the host that claimed a key. */
     void onStatus(
-            long nowNanos, ServiceCall call, HostId from, RequestMessage.StatusReported told) {
-        boolean awaited =
-                call.state instanceof Asking asking
-                        && asking.host().equals(from)
-                        && told.claim().equals(Optional.of(asking.holder()));
-        if (!awaited) {
+            long nowNanos, ServiceCall call, HostId from, RequestMessage.StatusReported reported) {
+        boolean expected =
+                call.state instanceof AwaitingHolder awaiting
+                        && awaiting.host().equals(from)
+                        && reported.claim().equals(Optional.of(awaiting.holder()));
+        if (!expected) {
             return;
         }
-        RunId holder = ((Asking) call.state).holder();
-        switch (told.status()) {
+        RunId holder = ((AwaitingHolder) call.state).holder();
+        switch (reported.status()) {
             case RequestStatus.Pending pending -> {}
             case RequestStatus.Unknown unknown -> {
-                String detail = "the host that sent the call no longer knows its outcome";
+                String detail = "the host that claimed the call no longer has its outcome";
                 end(nowNanos, call, new Outcome.InDoubt(detail));
             }
             case RequestStatus.Final end when end.outcome() instanceof Outcome.NotRun ->
                     replace(nowNanos, call, holder);
             case RequestStatus.Final end -> end(nowNanos, call, end.outcome());
         }
-        wakes.schedule(call);
+        timers.schedule(call);
     }
 
-    /** Returns what became of a run that this host claimed, for a host that asks. */
+    /** Returns the status of a run that this host claimed. */
     RequestStatus statusOf(RunId claim) {
         ServiceCall call = byRequest.get(claim.request());
-        if (call != null && claim.equals(call.claimed)) {
+        if (call != null && claim.equals(call.claimRun)) {
             return new RequestStatus.Pending();
         }
         Outcome outcome = claimOutcomes.get(claim);
@@ -372,21 +378,23 @@
 
     private void enqueue(long nowNanos, ServiceCall call) {
         Route route = fleet.routes().get(call.request.route());
-        if (route == null || !places.hasServer(route, Optional.empty())) {
-            long retryAfter = limits.noServerMillis();
+        if (route == null || !slots.hasServer(route, Optional.empty())) {
+            long retryAfterMillis = limits.noServerMillis();
             Outcome outcome =
                     call.provedNotRun()
-                            ? notRun(NotRunReason.NO_SERVER, retryAfter)
-                            : new Outcome.Failed(FailReason.RETRIES_SPENT, "no server is left");
+                            ? notRun(NotRunReason.NO_SERVER, retryAfterMillis)
+                            : new Outcome.Failed(
+                                    FailReason.RETRIES_SPENT,
+                                    "no server is available for the route");
             end(nowNanos, call, outcome);
             return;
         }
         call.state = new Queued(call.request.id().sequence());
         queue.add(call);
-        sendQueued(nowNanos);
+        dispatchQueued(nowNanos);
     }
 
-    private void sendQueued(long nowNanos) {
+    private void dispatchQueued(long nowNanos) {
         Set<RouteId> blocked = new HashSet<>();
         ServiceCall call = queue.isEmpty() ? null : queue.first();
         while (call != null && blocked.size() < MAX_BLOCKED_ROUTES) {
@@ -404,48 +412,48 @@
             return false;
         }
         Optional<VersionId> version = version(call, route);
-        Optional<ServerId> server = places.take(nowNanos, route, version);
+        Optional<ServerId> server = slots.acquire(nowNanos, route, version);
         if (server.isEmpty()) {
             return false;
         }
         queue.remove(call);
         call.attempt++;
-        boolean needsClaim = !call.work().repeatable() && !call.owned;
+        boolean needsClaim = !call.work().repeatable() && !call.claimHeld;
         if (!needsClaim) {
             send(nowNanos, call, server.get());
             return true;
         }
-        call.claimed = call.run();
+        call.claimRun = call.run();
         call.state = new Claiming(server.get());
-        claims.claim(nowNanos, call.request.key(), call.claimed, call.replaces);
+        claims.claim(nowNanos, call.request.key(), call.claimRun, call.replaces);
         return true;
     }
 
     private Optional<VersionId> version(ServiceCall call, Route route) {
         double draw = call.failures > 0 ? 1 : random.nextDouble();
         Optional<VersionId> version = fleet.version(call.request.route(), Math.min(draw, 0.999999));
-        return places.hasServer(route, version) ? version : Optional.empty();
+        return slots.hasServer(route, version) ? version : Optional.empty();
     }
 
     private void send(long nowNanos, ServiceCall call, ServerId server) {
         if (call.callers.isEmpty()) {
-            places.release(server);
+            slots.release(server);
             call.state = new Delayed(nowNanos);
-            end(nowNanos, call, goneOutcome(call));
+            end(nowNanos, call, callerGoneOutcome(call));
             return;
         }
         if (nowNanos >= call.deadlineNanos()) {
-            places.release(server);
+            slots.release(server);
             call.state = new Delayed(nowNanos);
-            end(nowNanos, call, lateOutcome(call));
+            end(nowNanos, call, deadlineOutcome(call));
             return;
         }
-        if (!places.takesWork(server)) {
-            places.release(server);
+        if (!slots.takesWork(server)) {
+            slots.release(server);
             enqueue(nowNanos, call);
             return;
         }
-        long timeout = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos() - nowNanos);
+        long timeoutMillis = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos() - nowNanos);
         call.state = new Sent(call.run(), server);
         call.ranBefore = call.mayHaveRun;
         call.mayHaveRun = true;
@@ -456,46 +464,46 @@
                         server,
                         call.work().call(),
                         call.request.body(),
-                        Math.max(1, timeout)));
+                        Math.max(1, timeoutMillis)));
     }
 
-    /** Does what time asks for. */
+    /** Handles the timers that are due. */
     void tick(long nowNanos) {
-        for (ServiceCall call = wakes.poll(nowNanos); call != null; call = wakes.poll(nowNanos)) {
-            wake(nowNanos, call);
-            wakes.schedule(call);
+        for (ServiceCall call = timers.poll(nowNanos); call != null; call = timers.poll(nowNanos)) {
+            onTimer(nowNanos, call);
+            timers.schedule(call);
         }
     }
 
-    private void wake(long nowNanos, ServiceCall call) {
-        for (Caller late : call.lateCallers(nowNanos)) {
-            out.accept(new HostAction.Answer(late.request.id(), lateOutcome(call)));
-            byCaller.remove(late.request.id());
-            call.removeCaller(late.request.id());
+    private void onTimer(long nowNanos, ServiceCall call) {
+        for (Caller expired : call.expiredCallers(nowNanos)) {
+            out.accept(new HostAction.Answer(expired.request.id(), deadlineOutcome(call)));
+            byCaller.remove(expired.request.id());
+            call.removeCaller(expired.request.id());
         }
         boolean sent = call.state instanceof Sent;
         if (call.callers.isEmpty() && !sent) {
-            end(nowNanos, call, lateOutcome(call));
+            end(nowNanos, call, deadlineOutcome(call));
             return;
         }
         switch (call.state) {
             case Delayed delayed when nowNanos >= delayed.untilNanos() -> enqueue(nowNanos, call);
-            case Asking asking when nowNanos >= asking.askAgainNanos() ->
-                    ask(nowNanos, call, asking.holder());
+            case AwaitingHolder awaiting when nowNanos >= awaiting.pollNanos() ->
+                    requestStatus(nowNanos, call, awaiting.holder());
             default -> {}
         }
     }
 
-    private static Outcome goneOutcome(ServiceCall call) {
+    private static Outcome callerGoneOutcome(ServiceCall call) {
         if (call.provedNotRun()) {
             return notRun(NotRunReason.CALLER_GONE, 0);
         }
-        return new Outcome.Failed(FailReason.CALLER_GONE, "the caller left");
+        return new Outcome.Failed(FailReason.CALLER_GONE, "the caller disconnected");
     }
 
-    private static Outcome lateOutcome(ServiceCall call) {
-        if (call.taken) {
-            return new Outcome.InDoubt("another host still runs the call");
+    private static Outcome deadlineOutcome(ServiceCall call) {
+        if (call.claimedElsewhere) {
+            return new Outcome.InDoubt("another host is still running the call");
         }
         if (call.provedNotRun() && call.callers.size() > 1) {
             return new Outcome.InDoubt(KeyedRequest.SHARED_KEY);
@@ -504,7 +512,7 @@
             return notRun(NotRunReason.DEADLINE, 0);
         }
         if (!call.work().repeatable()) {
-            return new Outcome.InDoubt("the call was sent and has not answered yet");
+            return new Outcome.InDoubt("the call was sent but not answered before the deadline");
         }
         return new Outcome.Failed(FailReason.DEADLINE, "the deadline passed");
     }
@@ -512,14 +520,14 @@
     private void end(long nowNanos, ServiceCall call, Outcome outcome) {
         queue.remove(call);
         if (call.state instanceof Claiming claiming) {
-            places.release(claiming.server());
-            claims.abandon(call.request.key(), call.claimed);
+            slots.release(claiming.server());
+            claims.abandon(call.request.key(), call.claimRun);
         }
-        if (call.claimed != null) {
-            claimOutcomes.put(call.claimed, outcome);
+        if (call.claimRun != null) {
+            claimOutcomes.put(call.claimRun, outcome);
         }
-        if (call.owned) {
-            claims.record(nowNanos, call.request.key(), call.claimed, outcome);
+        if (call.claimHeld) {
+            claims.record(nowNanos, call.request.key(), call.claimRun, outcome);
         }
         for (Caller caller : call.callers) {
             out.accept(new HostAction.Answer(caller.request.id(), outcome));
--- a/src/main/java/org/orioleshed/request/ServicePlaces.java
+++ b/src/main/java/org/orioleshed/request/ServiceSlots.java
@@ -13,21 +13,21 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
 
-/** This host's share of the places on the servers of plain services. */
-final class ServicePlaces {
-    /** How long a server that could not be reached is chosen last. */
-    private static final long AVOID_NANOS = TimeUnit.SECONDS.toNanos(1);
+/** This host's share of the slots on the servers of plain services. */
+final class ServiceSlots {
+    /** How long a server is ranked lower after a failed call. */
+    private static final long AVOIDANCE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** What a server in another failure domain counts, in calls under way. */
-    private static final int FAR_CALLS = 2;
+    /** The score penalty for a server in another failure domain, in calls. */
+    private static final int OTHER_DOMAIN_PENALTY_CALLS = 2;
 
     private final FailureDomain domain;
     private final RandomGenerator random;
-    private final Map<ServerId, Integer> underWay = new HashMap<>();
+    private final Map<ServerId, Integer> callsByServer = new HashMap<>();
     private final Map<ServerId, Long> avoidUntilNanos = new HashMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
-    ServicePlaces(FailureDomain domain, RandomGenerator random) {
+    ServiceSlots(FailureDomain domain, RandomGenerator random) {
         this.domain = domain;
         this.random = random;
     }
@@ -37,13 +37,13 @@
         avoidUntilNanos.keySet().retainAll(changed.servers().keySet());
     }
 
-    /** Takes a place on the server with the fewest calls, if any has a free one. */
-    Optional<ServerId> take(long nowNanos, Route route, Optional<VersionId> version) {
+    /** Acquires a slot on the server with the lowest score, if any server has a free one. */
+    Optional<ServerId> acquire(long nowNanos, Route route, Optional<VersionId> version) {
         BackendServer best = null;
         double bestScore = Double.MAX_VALUE;
         for (BackendServer server : fleet.serversOf(route.target())) {
             boolean fits = version.isEmpty() || version.get().equals(server.version());
-            if (server.leaving() || !fits || calls(server.id()) >= share(server)) {
+            if (server.leaving() || !fits || calls(server.id()) >= slotShare(server)) {
                 continue;
             }
             double score = score(nowNanos, server);
@@ -55,37 +55,37 @@
         if (best == null) {
             return Optional.empty();
         }
-        underWay.merge(best.id(), 1, Integer::sum);
+        callsByServer.merge(best.id(), 1, Integer::sum);
         return Optional.of(best.id());
     }
 
-    /** Returns whether any server could take a call on {@code route}, now or later. */
+    /** Returns whether any server can take a call on {@code route}, now or later. */
     boolean hasServer(Route route, Optional<VersionId> version) {
         return fleet.serversOf(route.target()).stream()
                 .filter(server -> !server.leaving())
                 .anyMatch(s -> version.isEmpty() || version.get().equals(s.version()));
     }
 
-    /** Returns whether {@code server} may still be given a call. */
+    /** Returns whether {@code server} accepts new calls. */
     boolean takesWork(ServerId server) {
-        BackendServer known = fleet.servers().get(server);
-        return known != null && !known.leaving();
+        BackendServer current = fleet.servers().get(server);
+        return current != null && !current.leaving();
     }
 
-    /** Gives a place back. */
+    /** Releases a slot. */
     void release(ServerId server) {
-        underWay.computeIfPresent(server, (s, calls) -> calls > 1 ? calls - 1 : null);
+        callsByServer.computeIfPresent(server, (s, calls) -> calls > 1 ? calls - 1 : null);
     }
 
-    /** Chooses {@code server} last for a while. */
+    /** Ranks {@code server} lower for a while. */
     void avoid(long nowNanos, ServerId server) {
-        avoidUntilNanos.put(server, nowNanos + AVOID_NANOS);
+        avoidUntilNanos.put(server, nowNanos + AVOIDANCE_NANOS);
     }
 
     private double score(long nowNanos, BackendServer server) {
         double score = calls(server.id()) + random.nextDouble();
         if (!server.domain().equals(domain)) {
-            score += FAR_CALLS;
+            score += OTHER_DOMAIN_PENALTY_CALLS;
         }
         if (avoidUntilNanos.getOrDefault(server.id(), Long.MIN_VALUE) > nowNanos) {
             score += server.places();
@@ -94,11 +94,11 @@
     }
 
     private int calls(ServerId server) {
-        return underWay.getOrDefault(server, 0);
+        return callsByServer.getOrDefault(server, 0);
     }
 
-    /** Returns how many of a server's places this host may use: its even share and one more. */
-    private int share(BackendServer server) {
+    /** Returns how many of a server's slots this host may use: its even share and one more. */
+    private int slotShare(BackendServer server) {
         long hosts = fleet.hosts().values().stream().filter(EntryHost::takesWork).count();
         return (int) Math.min(server.places(), server.places() / Math.max(1, hosts) + 1);
     }
--- a/src/main/java/org/orioleshed/request/StatusInquiries.java
+++ b/src/main/java/org/orioleshed/request/StatusInquiries.java
@@ -18,12 +18,12 @@
 import org.orioleshed.model.RunId;
 
 /**
- * Finds the request status of keys that this host does not know itself: asks the directory, the
- * host that accepted the key's request, and the claims in the store. The first sure word is the
- * answer.
+ * Finds the status of keys that is not certain from this host's own data: queries the directory,
+ * the host that accepted the key's request, and the claims in the store. The first conclusive reply
+ * is the result.
  */
 final class StatusInquiries {
-    private static final long MAX_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+    private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     private static final int MAX_INQUIRIES = 10_000;
 
     private final Claims claims;
@@ -39,30 +39,33 @@
 
     private static final class Inquiry {
         final RequestKey key;
-        final long untilNanos;
+        final long deadlineNanos;
         final List<Long> tickets = new ArrayList<>();
 
-        /** What this host knows itself. */
-        final RequestStatus here;
+        /** The status according to this host's own data. */
+        final RequestStatus local;
 
-        boolean directoryKnowsNone;
-        boolean storeKnowsNone;
+        boolean notInDirectory;
+        boolean notInStore;
         boolean storeUnavailable;
-        boolean known;
+        boolean found;
 
-        Inquiry(RequestKey key, RequestStatus here, long untilNanos) {
+        Inquiry(RequestKey key, RequestStatus local, long deadlineNanos) {
             this.key = key;
-            this.here = here;
-            this.untilNanos = untilNanos;
+            this.local = local;
+            this.deadlineNanos = deadlineNanos;
         }
 
-        /** Returns what is known when no other host said more; "not run" once all were heard. */
-        RequestStatus unlessOthersKnow() {
-            boolean heardAll = directoryKnowsNone && storeKnowsNone && !storeUnavailable;
+        /**
+         * Returns the local status, for when no other source reported one. A local "not run" is
+         * returned only if both the directory and the store confirmed that they have no entry.
+         */
+        RequestStatus confirmedLocal() {
+            boolean allConfirmed = notInDirectory && notInStore && !storeUnavailable;
             boolean notRun =
-                    here instanceof RequestStatus.Final end
+                    local instanceof RequestStatus.Final end
                             && end.outcome() instanceof Outcome.NotRun;
-            return notRun && !heardAll ? new RequestStatus.Unknown() : here;
+            return notRun && !allConfirmed ? new RequestStatus.Unknown() : local;
         }
     }
 
@@ -71,17 +74,17 @@
     }
 
     /**
-     * Starts to look for a key.
+     * Starts an inquiry.
      *
-     * @param here what this host knows itself
-     * @param directory the host to ask; empty when this host keeps the key's entry, which names
-     *     {@code holder}
+     * @param local the status according to this host's own data
+     * @param directory the directory host to query; empty if this host stores the key's entry,
+     *     which has {@code holder}
      */
     void start(
             long nowNanos,
             long ticket,
             RequestKey key,
-            RequestStatus here,
+            RequestStatus local,
             Optional<HostId> directory,
             Optional<RequestId> holder) {
         Inquiry running = byKey.get(key);
@@ -93,7 +96,7 @@
             out.accept(new HostAction.ReplyStatus(ticket, new RequestStatus.Unknown()));
             return;
         }
-        Inquiry inquiry = new Inquiry(key, here, nowNanos + MAX_NANOS);
+        Inquiry inquiry = new Inquiry(key, local, nowNanos + TIMEOUT_NANOS);
         inquiry.tickets.add(ticket);
         byKey.put(key, inquiry);
         byTicket.put(ticket, inquiry);
@@ -105,31 +108,31 @@
         claims.lookUp(nowNanos, ticket, key);
     }
 
-    /** Hears from the directory who accepted the key's request. */
+    /** Handles the directory's reply on which request holds the key. */
     void onHolder(RequestKey key, Optional<RequestId> holder) {
         Inquiry inquiry = byKey.get(key);
         if (inquiry == null) {
             return;
         }
-        if (holder.isEmpty() || !lives(holder.get())) {
-            inquiry.directoryKnowsNone = true;
-            endIfUnknown(inquiry);
+        if (holder.isEmpty() || !isHostAlive(holder.get())) {
+            inquiry.notInDirectory = true;
+            endIfNotFound(inquiry);
             return;
         }
-        inquiry.known = true;
+        inquiry.found = true;
         send(holder.get().host(), new RequestMessage.StatusRequested(key, Optional.empty()));
     }
 
-    /** Hears what the store knows. */
+    /** Handles the result of the lookup in the store. */
     void onLookedUp(long ticket, Claims.Result result) {
         Inquiry inquiry = byTicket.get(ticket);
         if (inquiry == null) {
             return;
         }
         if (!(result instanceof Claims.Result.Taken taken)) {
-            inquiry.storeKnowsNone = true;
+            inquiry.notInStore = true;
             inquiry.storeUnavailable = result instanceof Claims.Result.Unavailable;
-            endIfUnknown(inquiry);
+            endIfNotFound(inquiry);
             return;
         }
         if (taken.outcome().isPresent()) {
@@ -137,48 +140,49 @@
             return;
         }
         RunId holder = taken.holder();
-        if (!lives(holder.request())) {
-            String detail = "the host that sent the call is gone, and left no outcome";
+        if (!isHostAlive(holder.request())) {
+            String detail =
+                    "the host that claimed the call is no longer running and recorded no outcome";
             end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             return;
         }
-        inquiry.known = true;
+        inquiry.found = true;
         send(taken.host(), new RequestMessage.StatusRequested(inquiry.key, Optional.of(holder)));
     }
 
-    /** Hears from the host that accepted the key's request. */
-    void onStatus(RequestMessage.StatusReported told) {
-        Inquiry inquiry = byKey.get(told.key());
+    /** Handles the status reported by the host that accepted the key's request. */
+    void onStatus(RequestMessage.StatusReported reported) {
+        Inquiry inquiry = byKey.get(reported.key());
         if (inquiry == null) {
             return;
         }
-        switch (told.status()) {
+        switch (reported.status()) {
             case RequestStatus.Pending pending -> end(inquiry, pending);
             case RequestStatus.Final end -> end(inquiry, end);
-            case RequestStatus.Unknown unknown when told.claim().isPresent() -> {
-                String detail = "the host that sent the call no longer knows its outcome";
+            case RequestStatus.Unknown unknown when reported.claim().isPresent() -> {
+                String detail = "the host that claimed the call no longer has its outcome";
                 end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             }
             case RequestStatus.Unknown unknown -> {
-                inquiry.directoryKnowsNone = true;
-                endIfUnknown(inquiry);
+                inquiry.notInDirectory = true;
+                endIfNotFound(inquiry);
             }
         }
     }
 
-    /** Ends what nobody answered in time. */
+    /** Ends inquiries that have timed out. */
     void tick(long nowNanos) {
         for (Inquiry inquiry : List.copyOf(byTicket.values())) {
-            if (nowNanos < inquiry.untilNanos) {
+            if (nowNanos < inquiry.deadlineNanos) {
                 return;
             }
-            end(inquiry, inquiry.known ? new RequestStatus.Pending() : inquiry.unlessOthersKnow());
+            end(inquiry, inquiry.found ? new RequestStatus.Pending() : inquiry.confirmedLocal());
         }
     }
 
-    private void endIfUnknown(Inquiry inquiry) {
-        if (inquiry.directoryKnowsNone && inquiry.storeKnowsNone) {
-            end(inquiry, inquiry.unlessOthersKnow());
+    private void endIfNotFound(Inquiry inquiry) {
+        if (inquiry.notInDirectory && inquiry.notInStore) {
+            end(inquiry, inquiry.confirmedLocal());
         }
     }
 
@@ -188,7 +192,7 @@
         inquiry.tickets.forEach(ticket -> out.accept(new HostAction.ReplyStatus(ticket, status)));
     }
 
-    private boolean lives(RequestId request) {
+    private boolean isHostAlive(RequestId request) {
         EntryHost host = fleet.hosts().get(request.host());
         return host != null
                 && host.state() != EntryHost.State.DEAD
--- a/src/main/java/org/orioleshed/request/TokenText.java
+++ b/src/main/java/org/orioleshed/request/TokenText.java
@@ -5,13 +5,13 @@
 import org.orioleshed.model.PromptBlocks;
 import org.orioleshed.request.RequestMessage.Piece;
 
-/** Cuts text between tokens, a token being a run of characters without white space. */
+/** Splits text at token boundaries; a token is a sequence of characters without white space. */
 final class TokenText {
     private TokenText() {}
 
     /**
-     * Returns {@code piece} without its first {@code drop} tokens; empty when nothing is left or
-     * the text does not hold as many tokens as the piece says.
+     * Returns {@code piece} without its first {@code drop} tokens; empty if nothing is left or the
+     * text does not have {@code piece.count()} tokens.
      */
     static Optional<Piece> dropLeading(Piece piece, int drop) {
         if (drop <= 0) {
@@ -21,8 +21,8 @@
         if (drop >= piece.count() || PromptBlocks.tokens(text) != piece.count()) {
             return Optional.empty();
         }
-        boolean spaceLeads = Character.isWhitespace(text.charAt(0));
-        int cut = spaceLeads ? endOf(text, drop) : startOf(text, drop);
+        boolean startsWithSpace = Character.isWhitespace(text.charAt(0));
+        int cut = startsWithSpace ? endOf(text, drop) : startOf(text, drop);
         return Optional.of(
                 new Piece(
                         piece.firstToken() + drop,
@@ -30,19 +30,20 @@
                         Payload.of(text.substring(cut))));
     }
 
-    /** Returns where the {@code n}th token ends, counted from one. */
+    /** Returns the index after the {@code n}th token, counted from one. */
     private static int endOf(String text, int n) {
-        int seen = 0;
+        int ended = 0;
         for (int i = 0; i < text.length(); i++) {
-            boolean last = i + 1 == text.length() || Character.isWhitespace(text.charAt(i + 1));
-            if (!Character.isWhitespace(text.charAt(i)) && last && ++seen == n) {
+            boolean lastOfToken =
+                    i + 1 == text.length() || Character.isWhitespace(text.charAt(i + 1));
+            if (!Character.isWhitespace(text.charAt(i)) && lastOfToken && ++ended == n) {
                 return i + 1;
             }
         }
         return text.length();
     }
 
-    /** Returns where the token after the {@code n}th starts. */
+    /** Returns the index of the first character of the token after the {@code n}th. */
     private static int startOf(String text, int n) {
         int start = endOf(text, n);
         while (start < text.length() && Character.isWhitespace(text.charAt(start))) {
--- a/src/main/java/org/orioleshed/request/Transcript.java
+++ b/src/main/java/org/orioleshed/request/Transcript.java
@@ -7,70 +7,71 @@
 import org.orioleshed.request.RequestMessage.Piece;
 
 /**
- * The answer of a model as far as it is known: tokens in order, each once. Pieces that arrive ahead
- * of a missing one are kept until it comes.
+ * The part of a model's answer received so far, each token once and in order. Pieces that arrive
+ * ahead of a missing one are buffered until it is received.
  */
 final class Transcript {
 
     private final List<Piece> pieces = new ArrayList<>();
-    private final TreeMap<Integer, Piece> ahead = new TreeMap<>();
+    private final TreeMap<Integer, Piece> outOfOrder = new TreeMap<>();
     private int tokens;
     private int bytes;
 
-    /** Returns the number of tokens known without a gap. */
+    /** Returns the number of contiguous tokens received. */
     int tokens() {
         return tokens;
     }
 
-    /** Returns the size of the known text in bytes. */
+    /** Returns the size of the contiguous text, in bytes. */
     int bytes() {
         return bytes;
     }
 
-    /** Returns the parts known without a gap, in order. */
+    /** Returns the contiguous pieces, in order. */
     List<Piece> pieces() {
         return pieces;
     }
 
-    /** Returns whether a piece waits for a missing one before it. */
+    /** Returns whether a buffered piece waits for a missing one. */
     boolean hasGap() {
-        return !ahead.isEmpty();
+        return !outOfOrder.isEmpty();
     }
 
-    /** Forgets the pieces behind a gap, as their run is over. */
-    void dropAhead() {
-        ahead.clear();
+    /** Drops the pieces after a gap, as their run has ended. */
+    void dropOutOfOrder() {
+        outOfOrder.clear();
     }
 
     /**
-     * Takes a piece and returns the new parts that may be delivered, in order. A piece behind a gap
-     * that starts more than {@code window} tokens ahead is dropped.
+     * Adds a piece and returns the pieces that became contiguous, in order. A piece that starts
+     * more than {@code windowTokens} tokens beyond a gap is dropped.
      */
-    List<Piece> add(Piece piece, int window) {
+    List<Piece> add(Piece piece, int windowTokens) {
         if (piece.count() < 1 || endOf(piece) <= tokens) {
             return List.of();
         }
         if (piece.firstToken() > tokens) {
-            if (piece.firstToken() <= tokens + window) {
-                ahead.merge(piece.firstToken(), piece, (a, b) -> a.count() >= b.count() ? a : b);
+            if (piece.firstToken() <= tokens + windowTokens) {
+                outOfOrder.merge(
+                        piece.firstToken(), piece, (a, b) -> a.count() >= b.count() ? a : b);
             }
             return List.of();
         }
-        List<Piece> fresh = new ArrayList<>();
-        append(piece, fresh);
-        while (!ahead.isEmpty() && ahead.firstKey() <= tokens) {
-            append(ahead.pollFirstEntry().getValue(), fresh);
+        List<Piece> added = new ArrayList<>();
+        append(piece, added);
+        while (!outOfOrder.isEmpty() && outOfOrder.firstKey() <= tokens) {
+            append(outOfOrder.pollFirstEntry().getValue(), added);
         }
-        return fresh;
+        return added;
     }
 
-    private void append(Piece piece, List<Piece> fresh) {
+    private void append(Piece piece, List<Piece> added) {
         Optional<Piece> rest = TokenText.dropLeading(piece, tokens - piece.firstToken());
         if (rest.isEmpty()) {
             return;
         }
         pieces.add(rest.get());
-        fresh.add(rest.get());
+        added.add(rest.get());
         tokens = endOf(rest.get());
         bytes += rest.get().text().size();
     }
--- a/src/main/java/org/orioleshed/request/WireForms.java
+++ b/src/main/java/org/orioleshed/request/WireForms.java
@@ -12,13 +12,13 @@
 import org.orioleshed.wire.RequestWire;
 
 /**
- * The protobuf forms of keys, runs and outcomes. Reading a form that is no such value throws
- * IllegalArgumentException.
+ * Converts keys, runs and outcomes to and from protobuf messages. Converting an invalid message
+ * throws {@link IllegalArgumentException}.
  */
 public final class WireForms {
     private WireForms() {}
 
-    /** Returns the form of a key. */
+    /** Returns the protobuf message of a key. */
     public static RequestWire.Key of(RequestKey key) {
         return RequestWire.Key.newBuilder()
                 .setWorkspace(key.workspace().value())
@@ -26,12 +26,12 @@
                 .build();
     }
 
-    /** Returns the key of a form. */
-    public static RequestKey key(RequestWire.Key form) {
-        return new RequestKey(new WorkspaceId(form.getWorkspace()), form.getKey());
+    /** Returns the key in a protobuf message. */
+    public static RequestKey key(RequestWire.Key proto) {
+        return new RequestKey(new WorkspaceId(proto.getWorkspace()), proto.getKey());
     }
 
-    /** Returns the form of a run. */
+    /** Returns the protobuf message of a run. */
     public static RequestWire.Run of(RunId run) {
         return RequestWire.Run.newBuilder()
                 .setRequest(of(run.request()))
@@ -39,9 +39,9 @@
                 .build();
     }
 
-    /** Returns the run of a form. */
-    public static RunId run(RequestWire.Run form) {
-        return new RunId(request(form.getRequest()), form.getAttempt());
+    /** Returns the run in a protobuf message. */
+    public static RunId run(RequestWire.Run proto) {
+        return new RunId(request(proto.getRequest()), proto.getAttempt());
     }
 
     static RequestWire.Request of(RequestId request) {
@@ -52,8 +52,9 @@
                 .build();
     }
 
-    static RequestId request(RequestWire.Request form) {
-        return new RequestId(new HostId(form.getHost()), form.getIncarnation(), form.getSequence());
+    static RequestId request(RequestWire.Request proto) {
+        return new RequestId(
+                new HostId(proto.getHost()), proto.getIncarnation(), proto.getSequence());
     }
 
     static RequestWire.Fingerprint of(Fingerprint fingerprint) {
@@ -63,47 +64,49 @@
                 .build();
     }
 
-    static Fingerprint fingerprint(RequestWire.Fingerprint form) {
-        return new Fingerprint(form.getHigh(), form.getLow());
+    static Fingerprint fingerprint(RequestWire.Fingerprint proto) {
+        return new Fingerprint(proto.getHigh(), proto.getLow());
     }
 
-    /** Returns the form of an outcome. */
+    /** Returns the protobuf message of an outcome. */
     public static RequestWire.Outcome of(Outcome outcome) {
-        RequestWire.Outcome.Builder form = RequestWire.Outcome.newBuilder();
+        RequestWire.Outcome.Builder proto = RequestWire.Outcome.newBuilder();
         switch (outcome) {
             case Outcome.Answered answered ->
-                    form.getAnsweredBuilder()
+                    proto.getAnsweredBuilder()
                             .setTokens(answered.tokens())
                             .setBody(bytes(answered.body()));
             case Outcome.Failed failed ->
-                    form.getFailedBuilder()
+                    proto.getFailedBuilder()
                             .setReason(failed.reason().name())
                             .setDetail(failed.detail());
             case Outcome.NotRun notRun ->
-                    form.getNotRunBuilder()
+                    proto.getNotRunBuilder()
                             .setReason(notRun.reason().name())
                             .setRetryAfterMillis(notRun.retryAfterMillis());
-            case Outcome.InDoubt doubt -> form.getInDoubtBuilder().setDetail(doubt.detail());
+            case Outcome.InDoubt inDoubt -> proto.getInDoubtBuilder().setDetail(inDoubt.detail());
         }
-        return form.build();
+        return proto.build();
     }
 
-    /** Returns the outcome of a form. */
-    public static Outcome outcome(RequestWire.Outcome form) {
-        return switch (form.getOutcomeCase()) {
+    /** Returns the outcome in a protobuf message. */
+    public static Outcome outcome(RequestWire.Outcome proto) {
+        return switch (proto.getOutcomeCase()) {
             case ANSWERED ->
                     new Outcome.Answered(
-                            form.getAnswered().getTokens(), payload(form.getAnswered().getBody()));
+                            proto.getAnswered().getTokens(),
+                            payload(proto.getAnswered().getBody()));
             case FAILED ->
                     new Outcome.Failed(
-                            Outcome.FailReason.valueOf(form.getFailed().getReason()),
-                            form.getFailed().getDetail());
+                            Outcome.FailReason.valueOf(proto.getFailed().getReason()),
+                            proto.getFailed().getDetail());
             case NOT_RUN ->
                     new Outcome.NotRun(
-                            Outcome.NotRunReason.valueOf(form.getNotRun().getReason()),
-                            form.getNotRun().getRetryAfterMillis());
-            case IN_DOUBT -> new Outcome.InDoubt(form.getInDoubt().getDetail());
-            case OUTCOME_NOT_SET -> throw new IllegalArgumentException("outcome must be given");
+                            Outcome.NotRunReason.valueOf(proto.getNotRun().getReason()),
+                            proto.getNotRun().getRetryAfterMillis());
+            case IN_DOUBT -> new Outcome.InDoubt(proto.getInDoubt().getDetail());
+            case OUTCOME_NOT_SET ->
+                    throw new IllegalArgumentException("outcome message has no outcome set");
         };
     }
 
--- a/src/main/java/org/orioleshed/request/package-info.java
+++ b/src/main/java/org/orioleshed/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The life of a request on its accepting host: offers, attempts, retries, claims, and the one final
- * outcome.
+ * The processing of requests on their accepting host: offers, attempts, retries, claims, and the
+ * single final outcome.
  */
 package org.orioleshed.request;
--- a/src/test/java/org/orioleshed/claim/ClaimBench.java
+++ b/src/test/java/org/orioleshed/claim/ClaimBench.java
@@ -25,42 +25,43 @@
 import org.orioleshed.request.Claims;
 
 /**
- * Measures claims of eight hosts at several rates, with a store that answers in 3 ms and messages
- * that take 0.5 ms, under a stepped clock. Each claim's outcome is recorded 50 ms later. Run it as
- * a program; it prints a line for each rate.
+ * Benchmark of claims from eight hosts at several rates, on a simulated clock. The store answers in
+ * 3 ms, messages between hosts take 0.5 ms, and the outcome of each claim is recorded after 50 ms.
+ * Run it as a program; it prints one line per rate.
  */
 final class ClaimBench implements Claims.Listener {
     private static final int HOSTS = 8;
     private static final long STORE_NANOS = TimeUnit.MICROSECONDS.toNanos(3_000);
-    private static final long PEER_NANOS = TimeUnit.MICROSECONDS.toNanos(500);
+    private static final long MESSAGE_NANOS = TimeUnit.MICROSECONDS.toNanos(500);
     private static final long SERVICE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
     private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     private static final WorkspaceId WORKSPACE = new WorkspaceId("association");
 
-    private final PriorityQueue<Later> later = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private final List<ClaimCore> cores = new ArrayList<>();
     private final FakeStore store = new FakeStore();
     private final Map<RunId, Long> startedNanos = new HashMap<>();
     private final Histogram latency = new Histogram(3);
     private long nowNanos;
     private long sequence;
-    private long laterOrder;
-    private int owned;
+    private long nextOrder;
+    private int acquired;
     private int unavailable;
 
-    private record Later(long atNanos, long order, Runnable action) implements Comparable<Later> {
+    private record ScheduledAction(long atNanos, long order, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Later other) {
+        public int compareTo(ScheduledAction other) {
             int byTime = Long.compare(atNanos, other.atNanos);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
 
-    /** Runs all rates. */
+    /** Runs the benchmark at all rates. */
     public static void main(String[] args) {
         System.out.println(
                 "claims/s  store calls/claim  writes/s  reads/s  KB written/s  "
-                        + "p50 ms  p99 ms  max ms  owned  away  largest value");
+                        + "p50 ms  p99 ms  max ms  acquired  unavailable  largest value");
         for (int rate : new int[] {1, 10, 100, 1_000}) {
             new ClaimBench().run(rate, 60);
         }
@@ -91,21 +92,21 @@
             core.on(0, new HostEvent.FleetChanged(fleet));
             tick(core, 0);
         }
-        // The first second fills the hosts' views of the store and is not measured.
+        // The first second, in which the hosts load the heads, is not measured.
         long start = TimeUnit.SECONDS.toNanos(1);
         long claims = (long) rate * seconds;
         for (long i = 0; i < claims; i++) {
             at(start + i * TimeUnit.SECONDS.toNanos(1) / rate, this::claim);
         }
-        at(start - 1, this::forgetCounts);
+        at(start - 1, this::resetCounts);
         long end = start + TimeUnit.SECONDS.toNanos(seconds + 1);
-        while (!later.isEmpty() && later.peek().atNanos < end) {
-            Later next = later.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().atNanos < end) {
+            ScheduledAction next = scheduled.poll();
             nowNanos = next.atNanos;
             next.action.run();
         }
         System.out.printf(
-                "%8d  %17.2f  %8.1f  %7.1f  %12.0f  %6.1f  %6.1f  %6.1f  %5d  %4d  %d%n",
+                "%8d  %17.2f  %8.1f  %7.1f  %12.0f  %6.1f  %6.1f  %6.1f  %8d  %11d  %d%n",
                 rate,
                 (store.reads + store.writes) / (double) claims,
                 store.writes / (double) seconds,
@@ -114,12 +115,12 @@
                 latency.getValueAtPercentile(50) / 1e6,
                 latency.getValueAtPercentile(99) / 1e6,
                 latency.getMaxValue() / 1e6,
-                owned,
+                acquired,
                 unavailable,
                 store.largestValue);
     }
 
-    private void forgetCounts() {
+    private void resetCounts() {
         store.reads = 0;
         store.writes = 0;
         store.bytesWritten = 0;
@@ -141,7 +142,7 @@
             unavailable++;
             return;
         }
-        owned++;
+        acquired++;
         int host = Integer.parseInt(run.request().host().value().substring(5));
         Outcome outcome = new Outcome.Answered(0, Payload.of("{\"held\":\"cabin 12\"}".repeat(6)));
         at(nowNanos + SERVICE_NANOS, () -> cores.get(host).record(nowNanos, key, run, outcome));
@@ -165,7 +166,7 @@
                 int to = Integer.parseInt(send.to().value().substring(5));
                 HostId from = new HostId("host-" + host);
                 HostEvent event = new HostEvent.RequestReceived(from, send.message());
-                at(nowNanos + PEER_NANOS, () -> cores.get(to).on(nowNanos, event));
+                at(nowNanos + MESSAGE_NANOS, () -> cores.get(to).on(nowNanos, event));
             }
             case HostAction.ReadStore read -> answer(host, read.ticket(), read);
             case HostAction.CompareAndSwap swap -> answer(host, swap.ticket(), swap);
@@ -189,6 +190,6 @@
     }
 
     private void at(long atNanos, Runnable action) {
-        later.add(new Later(atNanos, laterOrder++, action));
+        scheduled.add(new ScheduledAction(atNanos, nextOrder++, action));
     }
 }
--- a/src/test/java/org/orioleshed/claim/ClaimCoreTest.java
+++ b/src/test/java/org/orioleshed/claim/ClaimCoreTest.java
@@ -26,18 +26,21 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ClaimCore}: two hosts that know nothing of each other, and one store. */
+/**
+ * Tests of {@link ClaimCore} with two hosts that are not in each other's fleet snapshot and share
+ * one store.
+ */
 public class ClaimCoreTest {
-    private static final ClaimLimits SMALL =
+    private static final ClaimLimits SMALL_LIMITS =
             new ClaimLimits(1, 600_000, 500, 300, 0, 0, 2_000, 6_000, 100);
 
     private FakeStore store;
-    private Side first;
-    private Side second;
+    private ClaimHost first;
+    private ClaimHost second;
     private long nowNanos;
 
-    /** One host's claims. */
-    private final class Side implements Claims.Listener {
+    /** The claims of one host. */
+    private final class ClaimHost implements Claims.Listener {
         final HostId id;
         final Deque<HostAction> calls = new ArrayDeque<>();
         final Map<RunId, Result> results = new HashMap<>();
@@ -45,9 +48,9 @@
         final ClaimCore core;
         long sequence;
 
-        Side(String name) {
+        ClaimHost(String name) {
             id = new HostId(name);
-            core = new ClaimCore(id, SMALL, calls::add);
+            core = new ClaimCore(id, SMALL_LIMITS, calls::add);
             core.listener(this);
         }
 
@@ -76,7 +79,10 @@
             found.put(ticket, result);
         }
 
-        /** Answers the next call; {@code how} is 0 truly, 1 done but lost, 2 refused. */
+        /**
+         * Answers the next store call. {@code how} is 0 to perform the call and answer, 1 to
+         * perform it and lose the answer, 2 to fail it without performing it.
+         */
         void answer(int how) {
             HostAction call = calls.poll();
             StoreAnswer answer =
@@ -86,7 +92,7 @@
                             store.apply(call);
                             yield new StoreAnswer.Unknown("lost");
                         }
-                        default -> new StoreAnswer.Unavailable("away");
+                        default -> new StoreAnswer.Unavailable("unavailable");
                     };
             core.on(nowNanos, new HostEvent.StoreAnswered(ticket(call), answer));
         }
@@ -110,10 +116,10 @@
     }
 
     @BeforeMethod
-    void makeSides() {
+    void createHosts() {
         store = new FakeStore();
-        first = new Side("h1");
-        second = new Side("h2");
+        first = new ClaimHost("h1");
+        second = new ClaimHost("h2");
         nowNanos = 1;
     }
 
@@ -128,16 +134,16 @@
     }
 
     @Test
-    public void oneOfTwoRacingClaimsWins() {
-        RunId mine = first.claim("k");
+    public void oneOfTwoConcurrentClaimsWins() {
+        RunId own = first.claim("k");
         RunId other = second.claim("k");
         first.answer(0);
         second.answer(0);
         first.answer(0);
         second.answer(0);
-        assertEquals(first.result(mine), new Result.Acquired());
+        assertEquals(first.result(own), new Result.Acquired());
         second.run();
-        assertEquals(second.result(other), new Result.Taken(mine, Optional.empty()));
+        assertEquals(second.result(other), new Result.Taken(own, Optional.empty()));
     }
 
     @DataProvider
@@ -146,7 +152,7 @@
     }
 
     @Test(dataProvider = "lostAnswers")
-    public void claimIsOwnedOnceWhenTheAnswerToItsWriteIsLost(int how) {
+    public void claimIsAcquiredOnceWhenTheAnswerToItsWriteIsLost(int how) {
         RunId run = first.claim("k");
         first.answer(0);
         first.answer(how);
@@ -158,7 +164,7 @@
     }
 
     @Test
-    public void manyClaimsGoIntoOneWrite() {
+    public void concurrentClaimsAreBatchedIntoOneWrite() {
         for (int i = 0; i < 10; i++) {
             first.claim("k" + i);
         }
@@ -169,7 +175,7 @@
     }
 
     @Test
-    public void claimsMoveToPagesAndStayKnownToAllHosts() {
+    public void claimsMovedToPagesStayVisibleToAllHosts() {
         Map<String, RunId> runs = new HashMap<>();
         for (int i = 0; i < 200; i++) {
             runs.put("k" + i, first.claim("k" + i));
@@ -189,7 +195,7 @@
     }
 
     @Test
-    public void outcomeIsRecordedAlsoForAClaimThatMovedToAPage() {
+    public void outcomeIsRecordedForAClaimThatMovedToAPage() {
         RunId run = first.claim("k");
         first.run();
         for (int i = 0; i < 60; i++) {
@@ -205,7 +211,7 @@
     }
 
     @Test
-    public void claimsOlderThanTheRetentionAreForgotten() {
+    public void claimsOlderThanTheRetentionAreDropped() {
         first.claim("k");
         first.run();
         tick(601_000);
@@ -217,7 +223,7 @@
     }
 
     @Test
-    public void givenUpClaimThatLandsLaterFreesItsKey() {
+    public void abandonedClaimThatIsAppliedLaterReleasesItsKey() {
         RunId run = first.claim("k");
         first.answer(0);
         first.core.abandon(key("k"), run);
@@ -233,12 +239,15 @@
         assertEquals(first.result(run), null);
     }
 
-    /** The host that gave the first claim up stood still meanwhile. */
+    /**
+     * The host that abandoned the first claim was paused and reports its "not run" outcome only
+     * after the replacement's claim moved to a page.
+     */
     @Test
-    public void lateWordThatAClaimWasNeverSentDoesNotHideTheClaimThatReplacedIt() {
-        RunId never = first.claim("k");
+    public void lateNotRunOutcomeDoesNotHideTheClaimThatReplacedIt() {
+        RunId neverSent = first.claim("k");
         first.run();
-        RunId sent = second.claim("k", Optional.of(never));
+        RunId sent = second.claim("k", Optional.of(neverSent));
         second.run();
         Outcome answered = new Outcome.Answered(0, Payload.of("cabin 12"));
         second.core.record(nowNanos, key("k"), sent, answered);
@@ -248,7 +257,7 @@
             second.run();
         }
         Outcome notRun = new Outcome.NotRun(Outcome.NotRunReason.STORE_AWAY, 0);
-        first.core.record(nowNanos, key("k"), never, notRun);
+        first.core.record(nowNanos, key("k"), neverSent, notRun);
         first.run();
         second.core.lookUp(nowNanos, 7, key("k"));
         second.run();
@@ -256,7 +265,7 @@
     }
 
     @Test
-    public void claimIsReplacedOnlyByWhoNamesIt() {
+    public void claimIsReplacedOnlyByARunThatNamesIt() {
         RunId run = first.claim("k");
         first.run();
         RunId wrong = second.claim("k", Optional.of(new RunId(run.request(), 9)));
@@ -268,7 +277,7 @@
     }
 
     @Test
-    public void claimEndsInTimeWhileTheStoreIsAwayAndWorksAgainAfter() {
+    public void claimTimesOutWhileTheStoreIsUnavailableAndSucceedsAfterwards() {
         RunId run = first.claim("k");
         for (int i = 0; i < 25; i++) {
             while (!first.calls.isEmpty()) {
--- a/src/test/java/org/orioleshed/request/RequestCodecProperties.java
+++ b/src/test/java/org/orioleshed/request/RequestCodecProperties.java
@@ -23,7 +23,10 @@
 import org.orioleshed.peer.BadMessageException;
 import org.orioleshed.request.RequestMessage.ClaimResult;
 
-/** Properties of {@link RequestCodec}. */
+/**
+ * Properties of {@link RequestCodec}: a message survives a round trip, and invalid bytes fail only
+ * with {@link BadMessageException}.
+ */
 class RequestCodecProperties {
     private static final RequestKey KEY = new RequestKey(new WorkspaceId("association"), "k");
     private static final RequestId REQUEST = new RequestId(new HostId("suva-a.1"), 3, 9);
@@ -85,18 +88,18 @@
     }
 
     @Property(tries = 300, seed = "11")
-    boolean decodesWhatItEncoded(@ForAll("messages") RequestMessage message)
+    boolean decodingReversesEncoding(@ForAll("messages") RequestMessage message)
             throws BadMessageException {
         return codec.decode(codec.encode(message)).equals(message);
     }
 
     @Property(tries = 2_000, seed = "12")
-    void bytesAreAMessageOrABadMessage(@ForAll byte[] bytes) {
-        decodeAnyhow(bytes);
+    void arbitraryBytesDecodeOrThrowBadMessage(@ForAll byte[] bytes) {
+        decodeOrThrowBadMessage(bytes);
     }
 
     @Property(tries = 2_000, seed = "13")
-    void damagedMessageIsAMessageOrABadMessage(
+    void damagedMessageDecodesOrThrowsBadMessage(
             @ForAll("messages") RequestMessage message,
             @ForAll @IntRange(min = 0, max = 500) int at,
             @ForAll byte replacement,
@@ -104,14 +107,14 @@
         byte[] bytes = codec.encode(message);
         int index = at % bytes.length;
         bytes[index] = replacement;
-        decodeAnyhow(cut ? Arrays.copyOf(bytes, index) : bytes);
+        decodeOrThrowBadMessage(cut ? Arrays.copyOf(bytes, index) : bytes);
     }
 
-    private void decodeAnyhow(byte[] bytes) {
+    private void decodeOrThrowBadMessage(byte[] bytes) {
         try {
             codec.decode(bytes);
         } catch (BadMessageException expected) {
-            // The one way to refuse.
+            // The only exception that invalid bytes may cause.
         }
     }
 }
