--- a/src/main/java/org/orioleshed/claim/Bucket.java
+++ b/src/main/java/org/orioleshed/claim/Bucket.java
@@ -28,7 +28,7 @@
     private final PageRotation pageRotation;
     private boolean pumping;
 
-    /** The head was read after all claims and lookups up to this number were registered. */
+    /** The head was read after all claims and lookups up to this sequence number were added. */
     private long freshThrough = -1;
 
     Bucket(String prefix, ClaimLimits limits, StoreCalls store) {
@@ -121,7 +121,7 @@
     }
 
     private void readHead(long nowNanos) {
-        long readThrough = queue.lastRegistered();
+        long readThrough = queue.lastSequenceNumber();
         calls.readHead(
                 nowNanos,
                 (now, answer) -> {
--- a/src/main/java/org/orioleshed/claim/BucketQueue.java
+++ b/src/main/java/org/orioleshed/claim/BucketQueue.java
@@ -23,7 +23,7 @@
     private final List<PendingClaim> lookUps = new ArrayList<>();
     private final Map<RunId, PendingOutcome> outcomes = new LinkedHashMap<>();
     private final AbandonedClaims abandoned = new AbandonedClaims();
-    private long lastRegistered;
+    private long lastSequenceNumber;
 
     BucketQueue(ClaimLimits limits) {
         this.limits = limits;
@@ -52,7 +52,7 @@
             PendingClaim.Settled settled) {
         long deadlineNanos = nowNanos + TimeUnit.MILLISECONDS.toNanos(limits.waitMillis());
         return new PendingClaim(
-                key, run, replaces, local, deadlineNanos, ++lastRegistered, settled);
+                key, run, replaces, local, deadlineNanos, ++lastSequenceNumber, settled);
     }
 
     /**
@@ -101,21 +101,21 @@
                 || outcomes.values().stream().anyMatch(outcome -> outcome.isDue(nowNanos));
     }
 
-    /** Returns the number of the latest claim or lookup. */
-    long lastRegistered() {
-        return lastRegistered;
+    /** Returns the sequence number of the latest claim or lookup. */
+    long lastSequenceNumber() {
+        return lastSequenceNumber;
     }
 
     /**
-     * Returns whether a claim or lookup registered after {@code freshThrough} requires the head to
-     * be read again.
+     * Returns whether a claim or lookup with a sequence number above {@code freshThrough} requires
+     * the head to be read again.
      */
     boolean needsHeadAfter(long freshThrough, ClaimHead head) {
-        return lookUps.stream().anyMatch(lookUp -> lookUp.registered > freshThrough)
+        return lookUps.stream().anyMatch(lookUp -> lookUp.sequenceNumber > freshThrough)
                 || claims.values().stream()
                         .anyMatch(
                                 claim ->
-                                        claim.registered > freshThrough
+                                        claim.sequenceNumber > freshThrough
                                                 && isContested(claim, head));
     }
 
@@ -174,8 +174,8 @@
     }
 
     /**
-     * Removes outcomes that were written, except those replaced meanwhile, and notifies their
-     * owners.
+     * Removes outcomes that were written, except those replaced meanwhile, and runs their
+     * callbacks.
      */
     void onWritten(List<PendingOutcome> written) {
         written.forEach(outcome -> outcomes.remove(outcome.run(), outcome));
--- a/src/main/java/org/orioleshed/claim/PageRotation.java
+++ b/src/main/java/org/orioleshed/claim/PageRotation.java
@@ -16,11 +16,11 @@
     private final ClaimLimits limits;
     private final BucketCalls calls;
     private final CachedHead cachedHead;
-    private final Emptied emptied;
+    private final EmptiedHeadWriter emptiedHeadWriter;
 
     /** Receives the head without the claims that were moved to a page, to be written. */
-    interface Emptied {
-        void write(long nowNanos, ClaimHead empty);
+    interface EmptiedHeadWriter {
+        void write(long nowNanos, ClaimHead emptiedHead);
     }
 
     /** A move of a head's claims to a page. */
@@ -36,11 +36,15 @@
         }
     }
 
-    PageRotation(ClaimLimits limits, BucketCalls calls, CachedHead cachedHead, Emptied emptied) {
+    PageRotation(
+            ClaimLimits limits,
+            BucketCalls calls,
+            CachedHead cachedHead,
+            EmptiedHeadWriter emptiedHeadWriter) {
         this.limits = limits;
         this.calls = calls;
         this.cachedHead = cachedHead;
-        this.emptied = emptied;
+        this.emptiedHeadWriter = emptiedHeadWriter;
     }
 
     /** Moves the claims of the cached head. */
@@ -98,7 +102,7 @@
                     if (answer instanceof StoreAnswer.Swapped) {
                         calls.succeeded();
                         cachedHead.addPage(next);
-                        emptied.write(now, without(now, rotation, next));
+                        emptiedHeadWriter.write(now, emptiedHead(now, rotation, next));
                     } else {
                         startOver(now);
                     }
@@ -110,7 +114,7 @@
         calls.failed(nowNanos);
     }
 
-    private ClaimHead without(long nowNanos, Rotation rotation, ClaimPage page) {
+    private ClaimHead emptiedHead(long nowNanos, Rotation rotation, ClaimPage page) {
         long clockMillis = cachedHead.clockMillis(nowNanos);
         List<PageRef> pages = new ArrayList<>(rotation.head.pages());
         pages.removeIf(ref -> ref.generation() == page.generation());
--- a/src/main/java/org/orioleshed/claim/PendingClaim.java
+++ b/src/main/java/org/orioleshed/claim/PendingClaim.java
@@ -23,7 +23,7 @@
     final Settled settled;
 
     /** The sequence number of the claim or lookup; see {@link BucketQueue}. */
-    final long registered;
+    final long sequenceNumber;
 
     /** The generations of the pages that were found not to prevent the claim. */
     final Set<Long> cleared = new HashSet<>();
@@ -39,14 +39,14 @@
             Optional<RunId> replaces,
             boolean local,
             long deadlineNanos,
-            long registered,
+            long sequenceNumber,
             Settled settled) {
         this.key = key;
         this.run = run;
         this.replaces = replaces;
         this.local = local;
         this.deadlineNanos = deadlineNanos;
-        this.registered = registered;
+        this.sequenceNumber = sequenceNumber;
         this.settled = settled;
     }
 
--- a/src/main/java/org/orioleshed/request/OfferRounds.java
+++ b/src/main/java/org/orioleshed/request/OfferRounds.java
@@ -22,7 +22,9 @@
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
-/** Offers requests to owners: to a few at first, to more as time passes or owners refuse. */
+/**
+ * Offers requests to the owners of servers: a few at first, more as time passes or owners refuse.
+ */
 final class OfferRounds {
     /** Allowance for a message between hosts, subtracted from the remaining time. */
     private static final long MESSAGE_DELAY_MILLIS = 5;
