--- a/src/main/java/org/orioleshed/gateway/CallHeaders.java
+++ b/src/main/java/org/orioleshed/gateway/CallHeaders.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * What a caller's header fields say of its request.
+ * The values read from the header fields of a caller's request.
  *
- * @param id the caller's id of this attempt; empty where it states none
- * @param key the key that it holds
- * @param deadlineMillis how long it waits, in milliseconds; negative where it does not say
- * @param promptTokens the tokens of its prompt; 0 for a plain call
- * @param outputTokens the tokens that it expects at most
- * @param likelyTokens the tokens that it expects to be generated
- * @param statedTokens what it counts against a quota in tokens; negative where it states none
+ * @param id the caller's id of this attempt; empty if absent
+ * @param key the caller's API key; empty if absent
+ * @param deadlineMillis how long the caller waits, in milliseconds; negative if not stated
+ * @param promptTokens the number of tokens in the prompt; 0 for a plain call
+ * @param outputTokens the maximum number of output tokens
+ * @param likelyTokens the expected number of output tokens
+ * @param statedTokens the tokens to charge to a quota in tokens; negative if not stated
  */
 public record CallHeaders(
         String id,
--- a/src/main/java/org/orioleshed/gateway/CallerConnection.java
+++ b/src/main/java/org/orioleshed/gateway/CallerConnection.java
@@ -32,25 +32,25 @@
 import org.orioleshed.model.Payload;
 
 /**
- * One caller's connection: reads requests whole, one at a time, and writes their answers in order.
+ * One caller's connection. Reads whole requests one at a time and writes the responses in order.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Parts of later requests that are read while one is answered; more are left in the socket. */
-    private static final int MAX_PARTS_AHEAD = 64;
+    /** Parts of pipelined requests to buffer while one is served; the rest stay in the socket. */
+    private static final int MAX_PIPELINED_PARTS = 64;
 
     private final RequestAcceptor acceptor;
-    private final Deque<HttpObject> ahead = new ArrayDeque<>();
+    private final Deque<HttpObject> pipelined = new ArrayDeque<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Channel channel;
     private HttpRequest head;
     private long headNanos;
     private long idleSinceNanos;
-    private int requests;
+    private int requestCount;
     private Exchange exchange;
     private boolean keepAlive = true;
     private boolean closing;
-    private boolean doneReading;
-    private boolean chunkedAnswer;
+    private boolean inputClosed;
+    private boolean chunkedResponse;
     private boolean headOnly;
 
     CallerConnection(RequestAcceptor acceptor) {
@@ -67,12 +67,12 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         acceptor.closed(this);
-        ahead.forEach(ReferenceCountUtil::release);
-        ahead.clear();
+        pipelined.forEach(ReferenceCountUtil::release);
+        pipelined.clear();
         if (exchange != null) {
-            Exchange left = exchange;
+            Exchange abandoned = exchange;
             exchange = null;
-            left.callerLeft();
+            abandoned.callerDisconnected();
         }
     }
 
@@ -94,13 +94,13 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject part = (HttpObject) message;
-        if (doneReading) {
+        if (inputClosed) {
             ReferenceCountUtil.release(part);
             return;
         }
         if (exchange != null) {
-            ahead.add(part);
-            if (ahead.size() > MAX_PARTS_AHEAD) {
+            pipelined.add(part);
+            if (pipelined.size() > MAX_PIPELINED_PARTS) {
                 channel.config().setAutoRead(false);
             }
             return;
@@ -111,7 +111,7 @@
     private void read(HttpObject part) {
         try {
             if (part.decoderResult().isFailure()) {
-                refuseUnread(part.decoderResult().cause());
+                rejectUndecodable(part.decoderResult().cause());
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -125,28 +125,28 @@
         }
     }
 
-    private void refuseUnread(Throwable cause) {
+    private void rejectUndecodable(Throwable cause) {
         HttpResponseStatus status =
                 cause instanceof TooLongFrameException
                         ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                         : HttpResponseStatus.BAD_REQUEST;
-        refuse(status, "unreadable");
+        reject(status, "unreadable");
     }
 
     private void begin(HttpRequest request) {
         headNanos = System.nanoTime();
         body.reset();
-        if (!isPlain(request)) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "framing");
+        if (!hasUnambiguousFraming(request)) {
+            reject(HttpResponseStatus.BAD_REQUEST, "framing");
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > acceptor.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body_length");
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body_length");
             return;
         }
         head = request;
         keepAlive = HttpUtil.isKeepAlive(request);
-        chunkedAnswer = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
+        chunkedResponse = request.protocolVersion().equals(HttpVersion.HTTP_1_1);
         headOnly = request.method().name().equals("HEAD");
         if (HttpUtil.is100ContinueExpected(request)) {
             channel.writeAndFlush(
@@ -157,15 +157,15 @@
         }
     }
 
-    /** Returns whether nothing about the request's framing is in doubt. */
-    private static boolean isPlain(HttpRequest request) {
+    /** Returns whether the request's framing is unambiguous. */
+    private static boolean hasUnambiguousFraming(HttpRequest request) {
         List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean plainCoding =
+        boolean validCoding =
                 codings.isEmpty()
                         || (codings.size() == 1
                                 && codings.getFirst().equalsIgnoreCase("chunked")
                                 && request.protocolVersion().equals(HttpVersion.HTTP_1_1));
-        return plainCoding
+        return validCoding
                 && request.uri().startsWith("/")
                 && request.headers().getAll(HttpHeaderNames.HOST).size() == 1
                 && request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size() <= 1;
@@ -173,73 +173,73 @@
 
     private void add(ByteBuf bytes, boolean last) {
         if (body.size() + bytes.readableBytes() > acceptor.limits().maxBodyBytes()) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body_bytes");
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body_bytes");
             return;
         }
         byte[] copy = new byte[bytes.readableBytes()];
         bytes.readBytes(copy);
         body.writeBytes(copy);
         if (last) {
-            HttpRequest whole = head;
+            HttpRequest complete = head;
             head = null;
             CallerRequest request =
                     new CallerRequest(
-                            whole.method(),
-                            whole.uri(),
-                            whole.headers(),
+                            complete.method(),
+                            complete.uri(),
+                            complete.headers(),
                             Payload.of(body.toByteArray()),
                             headNanos,
-                            ++requests);
+                            ++requestCount);
             body.reset();
             exchange = acceptor.exchange(this, request);
             exchange.start();
         }
     }
 
-    /** Answers a request that is not read to its end, and closes. */
-    private void refuse(HttpResponseStatus status, String reason) {
-        doneReading = true;
+    /** Responds to a request that was not read to its end, and closes the connection. */
+    private void reject(HttpResponseStatus status, String reason) {
+        inputClosed = true;
         head = null;
         keepAlive = false;
-        chunkedAnswer = true;
-        acceptor.refused(status.code(), reason);
+        chunkedResponse = true;
+        acceptor.rejected(status.code(), reason);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        answer(status, headers, new byte[0]);
+        respond(status, headers, new byte[0]);
     }
 
-    /** Closes a connection that was idle, or slow to send a request, for too long. */
+    /** Closes the connection if it was idle, or took too long to send a request. */
     void checkIdle(long nowNanos, CallerLimits limits) {
-        if (exchange != null || doneReading) {
+        if (exchange != null || inputClosed) {
             return;
         }
         long since = head != null ? headNanos : idleSinceNanos;
-        long allowedMillis =
+        long timeoutMillis =
                 head != null
                         ? limits.headerTimeoutMillis() + limits.idleTimeoutMillis()
                         : limits.idleTimeoutMillis();
-        if (nowNanos - since > allowedMillis * 1_000_000) {
+        if (nowNanos - since > timeoutMillis * 1_000_000) {
             channel.close();
         }
     }
 
-    /** Closes after the present answer, or now if the connection is idle. */
-    void closeSoon() {
+    /** Closes after the current response, or at once if the connection is idle. */
+    void closeWhenIdle() {
         closing = true;
-        if (exchange == null && head == null && ahead.isEmpty()) {
-            closeWritten();
+        if (exchange == null && head == null && pipelined.isEmpty()) {
+            closeAfterFlush();
         }
     }
 
-    /** Reads nothing more, and closes when what was answered is written. */
-    private void closeWritten() {
-        doneReading = true;
+    /** Stops reading, and closes once all responses are written. */
+    private void closeAfterFlush() {
+        inputClosed = true;
         channel.config().setAutoRead(false);
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
     }
 
-    /** Writes a whole answer. */
-    void answer(HttpResponseStatus status, HttpHeaders headers, byte[] bytes) {
-        boolean keep = prepare(headers);
+    /** Writes a whole response. */
+    void respond(HttpResponseStatus status, HttpHeaders headers, byte[] bytes) {
+        boolean keep = prepareHeaders(headers);
         if (!headOnly || !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
         }
@@ -254,11 +254,11 @@
         finish(response, keep);
     }
 
-    /** Writes the head of a stream. */
+    /** Writes the head of a streamed response. */
     void beginStream(HttpResponseStatus status, HttpHeaders headers) {
-        keepAlive = prepare(headers);
+        keepAlive = prepareHeaders(headers);
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-        if (chunkedAnswer) {
+        if (chunkedResponse) {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
             keepAlive = false;
@@ -266,7 +266,7 @@
         channel.write(new DefaultHttpResponse(HttpVersion.HTTP_1_1, status, headers));
     }
 
-    void streamPart(byte[] bytes) {
+    void writeStreamPart(byte[] bytes) {
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     }
 
@@ -274,14 +274,14 @@
         finish(LastHttpContent.EMPTY_LAST_CONTENT, keepAlive && !closing);
     }
 
-    /** Ends the connection so that the answer does not look complete. */
-    void breakOff() {
+    /** Resets the connection, so that the truncated response does not look complete. */
+    void abort() {
         exchange = null;
         channel.config().setOption(io.netty.channel.ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
-    private boolean prepare(HttpHeaders headers) {
+    private boolean prepareHeaders(HttpHeaders headers) {
         boolean keep = keepAlive && !closing && !acceptor.isLeaving();
         if (!keep) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -301,10 +301,10 @@
     }
 
     private void next() {
-        while (exchange == null && !doneReading && !ahead.isEmpty()) {
-            read(ahead.poll());
+        while (exchange == null && !inputClosed && !pipelined.isEmpty()) {
+            read(pipelined.poll());
         }
-        if (!doneReading && ahead.size() <= MAX_PARTS_AHEAD / 2 && channel.isOpen()) {
+        if (!inputClosed && pipelined.size() <= MAX_PIPELINED_PARTS / 2 && channel.isOpen()) {
             channel.config().setAutoRead(true);
         }
     }
--- a/src/main/java/org/orioleshed/gateway/CallerRequest.java
+++ b/src/main/java/org/orioleshed/gateway/CallerRequest.java
@@ -5,14 +5,14 @@
 import org.orioleshed.model.Payload;
 
 /**
- * A request that was read whole.
+ * A caller's request, read whole.
  *
- * @param method its method
- * @param uri its path and query, as sent
- * @param headers its header fields, as sent
- * @param body its body, without transfer coding
- * @param arrivedNanos when its head was read, on the monotonic clock
- * @param number its number on the connection, 1 first
+ * @param method the HTTP method
+ * @param uri the path and query, as sent
+ * @param headers the header fields, as sent
+ * @param body the body, with any transfer coding removed
+ * @param arrivedNanos when the head was read, in nanoseconds on the monotonic clock
+ * @param number the position of the request on its connection, from 1
  */
 record CallerRequest(
         HttpMethod method,
--- a/src/main/java/org/orioleshed/gateway/CatalogFeed.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogFeed.java
@@ -17,42 +17,42 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.WorkspaceId;
 
-/** Tells schedulers what is in force. */
+/** Supplies schedulers with the servers, limits and rollouts in force. */
 final class CatalogFeed {
     private final Map<RolloutOrder, Long> ordersSeenNanos = new HashMap<>();
     private final Map<RolloutOrder, RolloutOutcome> recorded = new HashMap<>();
     private final Map<ServerId, PoolServer> servers = new HashMap<>();
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
 
-    /** Something newer is in force. */
-    void changed(CatalogSnapshot newer, long nowNanos) {
+    /** Takes a newer snapshot. */
+    void catalogChanged(CatalogSnapshot newer, long nowNanos) {
         snapshot = newer;
         servers.clear();
         newer.servers().forEach(server -> servers.put(server.id(), server));
         newer.orders().forEach(order -> ordersSeenNanos.putIfAbsent(order, nowNanos));
     }
 
-    /** The store holds an outcome of a rollout. */
+    /** Takes the outcome of a rollout as recorded in the store. */
     void recorded(RolloutOrder order, RolloutOutcome outcome) {
         recorded.put(order, outcome);
     }
 
-    /** Returns the server with an id, where it is known. */
+    /** Returns the server with an id; empty if the snapshot has none. */
     Optional<PoolServer> server(ServerId id) {
         return Optional.ofNullable(servers.get(id));
     }
 
     /**
-     * Tells a scheduler all that is in force, and returns what it does about it.
+     * Replays everything in force to a scheduler and returns the resulting actions.
      *
-     * @param evidenceHere whether it sees the answers of all servers
+     * @param seesAllResponses whether the scheduler sees the responses of all servers
      */
-    List<DispatchAction> to(Scheduler scheduler, boolean evidenceHere, long nowNanos) {
+    List<DispatchAction> replay(Scheduler scheduler, boolean seesAllResponses, long nowNanos) {
         List<DispatchEvent> events = new ArrayList<>();
         snapshot.catalog().ifPresent(catalog -> events.add(limits(catalog)));
         for (RolloutOrder order : snapshot.orders()) {
             long seenNanos = ordersSeenNanos.get(order);
-            events.add(new DispatchEvent.RolloutOrdered(order, seenNanos, evidenceHere));
+            events.add(new DispatchEvent.RolloutOrdered(order, seenNanos, seesAllResponses));
         }
         recorded.forEach(
                 (order, outcome) -> events.add(new DispatchEvent.RolloutSettled(order, outcome)));
--- a/src/main/java/org/orioleshed/gateway/CatalogPropagation.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogPropagation.java
@@ -14,21 +14,22 @@
 import org.orioleshed.peer.PeerPort;
 
 /**
- * Spreads the configuration and the servers between hosts. Who watches the store, or hears of a
- * change from it, tells the hosts of its failure domain at once; each host tells a random one now
- * and then; who is behind asks the first that is ahead.
+ * Propagates the configuration and the servers between hosts. A host that watches the store, or
+ * receives a change from it, sends its revisions to the hosts of its failure domain at once. Each
+ * host also sends them to a random host at an interval. A host that is behind fetches the changes
+ * from the first host that is ahead.
  */
 final class CatalogPropagation {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A host that is cut off from the store hears within about a second. */
-    private static final long TELL_MILLIS = 500;
+    /** A host that is cut off from the store receives changes within about a second. */
+    private static final long GOSSIP_INTERVAL_MILLIS = 500;
 
-    /** A peer's word of a change may be ahead of the store's own by this much. */
-    private static final long PATIENCE_MILLIS = 120;
+    /** How far revisions received from a peer may be ahead of the host's own store watch. */
+    private static final long WATCH_LAG_MILLIS = 120;
 
-    /** A peer's answer comes within this time, unless it is lost. */
-    private static final long ANSWER_MILLIS = 250;
+    /** A peer that has not responded within this time is taken to have lost the request. */
+    private static final long RESPONSE_TIMEOUT_MILLIS = 250;
 
     private final Member self;
     private final PeerPort peers;
@@ -40,19 +41,19 @@
     private final CatalogUpdateCodec codec = new CatalogUpdateCodec();
     private final Deque<Hint> hints = new ArrayDeque<>();
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
-    private CatalogUpdate.Revisions heard = new CatalogUpdate.Revisions(0, 0);
-    private CatalogUpdate.Revisions told = new CatalogUpdate.Revisions(0, 0);
+    private CatalogUpdate.Revisions receivedRevisions = new CatalogUpdate.Revisions(0, 0);
+    private CatalogUpdate.Revisions sentRevisions = new CatalogUpdate.Revisions(0, 0);
     private CatalogUpdate.Revisions requested = new CatalogUpdate.Revisions(0, 0);
     private long requestedNanos;
-    private long toldNanos;
+    private long gossipedNanos;
 
-    /** Someone is ahead; look again when the store should have told the same. */
+    /** A peer is ahead; compare again once the store watch should have caught up. */
     private record Hint(HostId from, CatalogUpdate.Revisions revisions, long dueNanos) {}
 
     /**
-     * Makes one that knows nothing.
+     * Creates a propagation without a snapshot.
      *
-     * @param adopter takes what peers know
+     * @param adopter takes the changes received from peers
      * @param clock the monotonic clock, in nanoseconds
      */
     CatalogPropagation(
@@ -72,16 +73,16 @@
         this.log = log;
     }
 
-    /** Something newer is in force here. */
-    void changed(CatalogSnapshot newer) {
+    /** Takes a newer snapshot of this host. */
+    void catalogChanged(CatalogSnapshot newer) {
         snapshot = newer;
         CatalogUpdate.Revisions own = CatalogUpdate.Revisions.of(newer);
-        boolean fromStore = !latest(heard, own).equals(heard);
-        if (!own.equals(told) && (fromStore || fleet.watchesStore())) {
-            told = own;
+        boolean fromStore = !latest(receivedRevisions, own).equals(receivedRevisions);
+        if (!own.equals(sentRevisions) && (fromStore || fleet.watchesStore())) {
+            sentRevisions = own;
             fleet.live().stream()
                     .filter(member -> member.domain().equals(self.domain()))
-                    .forEach(member -> tell(member.id(), own));
+                    .forEach(member -> send(member.id(), own));
         }
     }
 
@@ -92,40 +93,41 @@
                 Math.max(one.servers(), other.servers()));
     }
 
-    private void tell(HostId to, CatalogUpdate update) {
+    private void send(HostId to, CatalogUpdate update) {
         if (!to.equals(self.id())) {
             peers.send(to, MessageKind.CATALOG, codec.encode(update));
         }
     }
 
-    /** Takes a message of a peer. */
+    /** Handles a message from a peer. */
     void received(HostId from, byte[] body) throws BadMessageException {
         switch (codec.decode(body)) {
-            case CatalogUpdate.Revisions revisions -> hear(from, revisions);
-            case CatalogUpdate.Wanted wanted -> {
-                CatalogUpdate.Content answer = wanted.answer(snapshot);
-                if (!answer.isEmpty()) {
-                    tell(from, answer);
+            case CatalogUpdate.Revisions revisions -> receiveRevisions(from, revisions);
+            case CatalogUpdate.FetchRequest fetch -> {
+                CatalogUpdate.Content changes = fetch.changesIn(snapshot);
+                if (!changes.isEmpty()) {
+                    send(from, changes);
                 }
             }
             case CatalogUpdate.Content content -> {
-                content.operators().ifPresent(it -> heardOf(it.changed(), 0));
-                content.servers().ifPresent(it -> heardOf(0, it.changed()));
+                content.operators().ifPresent(it -> recordReceived(it.changed(), 0));
+                content.servers().ifPresent(it -> recordReceived(0, it.changed()));
                 adopter.accept(content);
             }
         }
     }
 
-    private void heardOf(long operators, long servers) {
-        heard = latest(heard, new CatalogUpdate.Revisions(operators, servers));
+    private void recordReceived(long operators, long servers) {
+        receivedRevisions =
+                latest(receivedRevisions, new CatalogUpdate.Revisions(operators, servers));
     }
 
-    private void hear(HostId from, CatalogUpdate.Revisions revisions) {
+    private void receiveRevisions(HostId from, CatalogUpdate.Revisions revisions) {
         if (!isBehind(revisions)) {
             return;
         }
-        long patienceMillis = fleet.watchesStore() ? PATIENCE_MILLIS : 0;
-        hints.add(new Hint(from, revisions, clock.getAsLong() + patienceMillis * NANOS_PER_MILLI));
+        long delayMillis = fleet.watchesStore() ? WATCH_LAG_MILLIS : 0;
+        hints.add(new Hint(from, revisions, clock.getAsLong() + delayMillis * NANOS_PER_MILLI));
         followHints(clock.getAsLong());
     }
 
@@ -133,16 +135,16 @@
         return snapshot.isBehind(other.operators(), other.servers());
     }
 
-    /** Does what is due. */
+    /** Sends the fetches and gossip that are due. */
     void tick() {
         long nowNanos = clock.getAsLong();
         followHints(nowNanos);
-        if (nowNanos - toldNanos >= TELL_MILLIS * NANOS_PER_MILLI) {
-            toldNanos = nowNanos;
+        if (nowNanos - gossipedNanos >= GOSSIP_INTERVAL_MILLIS * NANOS_PER_MILLI) {
+            gossipedNanos = nowNanos;
             List<Member> live = fleet.live();
             if (!live.isEmpty()) {
-                HostId chosen = live.get(random.nextInt(live.size())).id();
-                tell(chosen, CatalogUpdate.Revisions.of(snapshot));
+                HostId target = live.get(random.nextInt(live.size())).id();
+                send(target, CatalogUpdate.Revisions.of(snapshot));
             }
         }
     }
@@ -150,10 +152,10 @@
     private void followHints(long nowNanos) {
         while (!hints.isEmpty() && nowNanos - hints.peek().dueNanos() >= 0) {
             Hint hint = hints.poll();
-            boolean underWay =
-                    nowNanos - requestedNanos < ANSWER_MILLIS * NANOS_PER_MILLI
+            boolean inFlight =
+                    nowNanos - requestedNanos < RESPONSE_TIMEOUT_MILLIS * NANOS_PER_MILLI
                             && latest(requested, hint.revisions()).equals(requested);
-            if (!underWay && isBehind(hint.revisions())) {
+            if (!inFlight && isBehind(hint.revisions())) {
                 request(hint, nowNanos);
             }
         }
@@ -170,6 +172,6 @@
                                 snapshot.operators().revision(),
                                 hint.revisions().servers(),
                                 snapshot.entries().revision()));
-        tell(hint.from(), CatalogUpdate.Wanted.by(snapshot));
+        send(hint.from(), CatalogUpdate.FetchRequest.of(snapshot));
     }
 }
--- a/src/main/java/org/orioleshed/gateway/CatalogUpdate.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogUpdate.java
@@ -5,13 +5,13 @@
 import org.orioleshed.catalog.EntryChange;
 import org.orioleshed.catalog.EntryView;
 
-/** What hosts tell each other of the configuration and the servers in force. */
+/** A message between hosts about the configuration and the servers in force. */
 sealed interface CatalogUpdate {
     /**
-     * What the sender has in force.
+     * The revisions in force at the sender.
      *
-     * @param operators the revision of the last change of what operators wrote
-     * @param servers the revision of the last change of the servers
+     * @param operators the revision of the last change of the operators' entries
+     * @param servers the revision of the last change of the server entries
      */
     record Revisions(long operators, long servers) implements CatalogUpdate {
         static Revisions of(CatalogSnapshot own) {
@@ -20,27 +20,28 @@
     }
 
     /**
-     * The receiver should answer with what it knows beyond these revisions.
+     * Requests the changes after these revisions.
      *
-     * @param operators the revision up to which the sender knows what operators wrote
-     * @param servers the revision up to which it knows the servers
+     * @param operators the revision up to which the sender has the operators' entries
+     * @param servers the revision up to which the sender has the server entries
      */
-    record Wanted(long operators, long servers) implements CatalogUpdate {
-        static Wanted by(CatalogSnapshot own) {
-            return new Wanted(own.operators().revision(), own.entries().revision());
+    record FetchRequest(long operators, long servers) implements CatalogUpdate {
+        static FetchRequest of(CatalogSnapshot own) {
+            return new FetchRequest(own.operators().revision(), own.entries().revision());
         }
 
-        /** Returns what {@code own} holds beyond what is wanted; nothing where it is behind. */
-        Content answer(CatalogSnapshot own) {
-            return new Content(beyond(own.operators(), operators), beyond(own.entries(), servers));
+        /** Returns the requested changes from {@code own}; none if it is not ahead. */
+        Content changesIn(CatalogSnapshot own) {
+            return new Content(
+                    changesAfter(own.operators(), operators), changesAfter(own.entries(), servers));
         }
 
-        private static Optional<EntryChange> beyond(EntryView own, long known) {
-            return own.changed() > known ? Optional.of(own.after(known)) : Optional.empty();
+        private static Optional<EntryChange> changesAfter(EntryView own, long revision) {
+            return own.changed() > revision ? Optional.of(own.after(revision)) : Optional.empty();
         }
     }
 
-    /** What the receiver lacks; empty where it lacks nothing. */
+    /** The changes that the receiver lacks; empty if it lacks none. */
     record Content(Optional<EntryChange> operators, Optional<EntryChange> servers)
             implements CatalogUpdate {
         boolean isEmpty() {
--- a/src/main/java/org/orioleshed/gateway/CatalogUpdateCodec.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogUpdateCodec.java
@@ -11,17 +11,18 @@
 import org.orioleshed.store.Store;
 import org.orioleshed.wire.DispatchWire;
 
-/** Writes updates as protobuf. */
+/** Encodes catalog updates as protobuf. */
 final class CatalogUpdateCodec implements MessageCodec<CatalogUpdate> {
     @Override
     public byte[] encode(CatalogUpdate update) {
         DispatchWire.CatalogUpdate.Builder wire = DispatchWire.CatalogUpdate.newBuilder();
         switch (update) {
-            case CatalogUpdate.Revisions told ->
-                    wire.setOperatorsRevision(told.operators()).setServersRevision(told.servers());
-            case CatalogUpdate.Wanted wanted ->
-                    wire.setOperatorsRevision(wanted.operators())
-                            .setServersRevision(wanted.servers())
+            case CatalogUpdate.Revisions revisions ->
+                    wire.setOperatorsRevision(revisions.operators())
+                            .setServersRevision(revisions.servers());
+            case CatalogUpdate.FetchRequest fetch ->
+                    wire.setOperatorsRevision(fetch.operators())
+                            .setServersRevision(fetch.servers())
                             .setWanted(true);
             case CatalogUpdate.Content content -> {
                 content.operators().ifPresent(change -> wire.setOperators(write(change)));
@@ -63,7 +64,7 @@
         try {
             return read(DispatchWire.CatalogUpdate.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new BadMessageException("no update", e);
+            throw new BadMessageException("malformed catalog update", e);
         }
     }
 
@@ -76,7 +77,7 @@
         long operators = wire.getOperatorsRevision();
         long servers = wire.getServersRevision();
         return wire.getWanted()
-                ? new CatalogUpdate.Wanted(operators, servers)
+                ? new CatalogUpdate.FetchRequest(operators, servers)
                 : new CatalogUpdate.Revisions(operators, servers);
     }
 
--- a/src/main/java/org/orioleshed/gateway/Dispatcher.java
+++ b/src/main/java/org/orioleshed/gateway/Dispatcher.java
@@ -31,30 +31,29 @@
 import org.orioleshed.peer.PeerPort;
 
 /**
- * Gets places for this host's requests: from the primary of the pools, or, while that is silent,
- * from a scheduler of its own that knows this host's runs only.
+ * Obtains slots for this host's requests: from the primary of the pools, or, while the primary does
+ * not respond, from a local fallback scheduler that has only this host's runs.
  */
 final class Dispatcher {
-    /**
-     * The primary answers each request at once; a few round trips and a busy moment fit in this.
-     */
-    private static final long PRIMARY_ANSWER_MILLIS = 60;
+    /** The primary responds to each request at once; allows a few round trips and a short stall. */
+    private static final long PRIMARY_RESPONSE_MILLIS = 60;
 
     /**
-     * A request that waits at the primary is sent again at this interval: its grant may be lost.
+     * A request that waits at the primary is sent again at this interval, as its grant may be lost.
      */
     private static final long RESEND_MILLIS = 500;
 
-    /** A scheduler that begins does not know what was used before. */
-    private static final double FIRST_FILL = 0.05;
+    /** The quota fill of a new scheduler, which has no data on earlier use. */
+    private static final double INITIAL_FILL = 0.05;
 
     /**
-     * While all hosts were down, quotas filled up; the first primary gives that out, and no other.
+     * The quota fill of the first primary after all hosts were down: quotas refilled meanwhile, and
+     * only the first primary grants that.
      */
-    private static final double RESTART_FILL = 0.7;
+    private static final double FLEET_RESTART_FILL = 0.7;
 
-    /** After a pause of this host's own, answers may wait unread; they come before judgement. */
-    private static final long LATE_TICK_MILLIS = 45;
+    /** After a longer pause of this host, unread responses are read before silence is checked. */
+    private static final long STALL_MILLIS = 45;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -64,34 +63,34 @@
     private final FleetView fleet;
     private final Consumer<String> log;
     private final DispatchCodec codec = new DispatchCodec();
-    private final Map<RunKey, Pending> pending = new HashMap<>();
+    private final Map<RunKey, PendingPlacement> pending = new HashMap<>();
     private final Map<RunKey, Active> active = new HashMap<>();
     private final Followers followers = new Followers();
     private final Quotas.Slack slack;
     private final RolloutPolicy rolloutPolicy;
     private final ServerNotices notices = new ServerNotices();
     private final CatalogFeed feed = new CatalogFeed();
-    private final Map<RolloutOrder, Told> told = new HashMap<>();
-    private final Scheduler own;
-    private Scheduler asPrimary;
+    private final Map<RolloutOrder, LoggedState> loggedStates = new HashMap<>();
+    private final Scheduler fallback;
+    private Scheduler primaryScheduler;
     private final PrimaryLink primary;
     private BiConsumer<RolloutOrder, RolloutOutcome> recorder = (order, outcome) -> {};
-    private Runnable whenRequested = () -> {};
+    private Runnable onRequestSent = () -> {};
     private final QuotaHandOver handOver = new QuotaHandOver();
-    private boolean followed;
+    private boolean hasFollowed;
     private long tickedNanos;
     private double quotaShare;
 
-    /** Who wants a place. */
+    /** Receives the outcome of a placement. */
     interface PlacementListener {
-        /** Send the request to the server. */
+        /** Called when a server was chosen, to which the request is to be sent. */
         void granted(RunKey run, ServerId server, String why);
 
-        /** The request is turned away. */
+        /** Called when the request is refused. */
         void refused(RunKey run, DispatchAction.Reason reason, long retryAfterMillis);
     }
 
-    private static final class Pending {
+    private static final class PendingPlacement {
         private final PlacementRequest request;
         private final PlacementListener listener;
         private final long sinceNanos;
@@ -99,7 +98,7 @@
         private boolean atPrimary;
         private boolean queued;
 
-        Pending(PlacementRequest request, PlacementListener listener, long sinceNanos) {
+        PendingPlacement(PlacementRequest request, PlacementListener listener, long sinceNanos) {
             this.request = request;
             this.listener = listener;
             this.sinceNanos = sinceNanos;
@@ -110,8 +109,8 @@
         }
     }
 
-    /** The state of a rollout that was logged last. */
-    private record Told(RolloutOutcome outcome, int step) {}
+    /** The last logged state of a rollout. */
+    private record LoggedState(RolloutOutcome outcome, int step) {}
 
     private record Active(PlacementRequest request, ServerId server, long sinceNanos) {}
 
@@ -127,8 +126,8 @@
         this.self = self;
         this.slack = slack;
         this.rolloutPolicy = rolloutPolicy;
-        this.own = new Scheduler(FIRST_FILL, slack, Quotas.Role.FALLBACK, rolloutPolicy);
-        this.asPrimary = newPrimary(FIRST_FILL);
+        this.fallback = new Scheduler(INITIAL_FILL, slack, Quotas.Role.FALLBACK, rolloutPolicy);
+        this.primaryScheduler = newPrimary(INITIAL_FILL);
         this.peers = peers;
         this.fleet = fleet;
         this.primary = new PrimaryLink(self, fleet, log);
@@ -139,114 +138,117 @@
         return new Scheduler(fill, slack, Quotas.Role.PRIMARY, rolloutPolicy);
     }
 
-    /** Asks for a place; the answer may come before this returns. */
+    /** Requests a slot; the listener may be called before this returns. */
     void place(RunKey run, PlacementRequest request, PlacementListener listener) {
         long nowNanos = clock.getAsLong();
-        Pending wanted = new Pending(request, listener, nowNanos);
-        pending.put(run, wanted);
-        place(run, wanted, request, nowNanos);
+        PendingPlacement placement = new PendingPlacement(request, listener, nowNanos);
+        pending.put(run, placement);
+        place(run, placement, request, nowNanos);
     }
 
-    private void place(RunKey run, Pending wanted, PlacementRequest request, long nowNanos) {
-        wanted.requestedNanos = nowNanos;
-        wanted.queued = false;
+    private void place(
+            RunKey run, PendingPlacement placement, PlacementRequest request, long nowNanos) {
+        placement.requestedNanos = nowNanos;
+        placement.queued = false;
         if (primary.isSelf()) {
-            wanted.atPrimary = true;
-            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.PlacementRequested(run, request)));
+            placement.atPrimary = true;
+            applyPrimary(
+                    primaryScheduler.on(
+                            nowNanos, new DispatchEvent.PlacementRequested(run, request)));
             return;
         }
         if (primary.acceptsRequests(nowNanos)) {
-            wanted.atPrimary = true;
-            if (toPrimary(new DispatchEvent.PlacementRequested(run, request))) {
-                primary.requested(nowNanos);
-                whenRequested.run();
+            placement.atPrimary = true;
+            if (sendToPrimary(new DispatchEvent.PlacementRequested(run, request))) {
+                primary.messageSent(nowNanos);
+                onRequestSent.run();
                 return;
             }
         }
-        wanted.atPrimary = false;
-        fromOwn(own.on(nowNanos, new DispatchEvent.PlacementRequested(run, request)));
+        placement.atPrimary = false;
+        applyFallback(fallback.on(nowNanos, new DispatchEvent.PlacementRequested(run, request)));
     }
 
-    /** Wants no place any more. */
+    /** Withdraws a placement request. */
     void withdraw(RunKey run) {
-        Pending wanted = pending.remove(run);
-        if (wanted == null) {
+        PendingPlacement placement = pending.remove(run);
+        if (placement == null) {
             return;
         }
         DispatchEvent event = new DispatchEvent.Withdrawn(run);
-        if (wanted.atPrimary) {
+        if (placement.atPrimary) {
             reportToPrimary(event);
         } else {
-            fromOwn(own.on(clock.getAsLong(), event));
+            applyFallback(fallback.on(clock.getAsLong(), event));
         }
     }
 
-    /** A run's first event came, in an answer that says this of its server's limit. */
-    void first(RunKey run, long firstMillis, StatedLimit limit) {
-        tellAll(new DispatchEvent.First(run, firstMillis, limit));
+    /** Takes the first event of a run, and the server's limit stated in that response. */
+    void firstEvent(RunKey run, long firstMillis, StatedLimit limit) {
+        notifySchedulers(new DispatchEvent.First(run, firstMillis, limit));
     }
 
-    /** A run ended. */
+    /** Takes the end of a run. */
     void ended(RunKey run, RunReport report) {
         if (active.remove(run) != null) {
-            tellAll(new DispatchEvent.Ended(run, report));
+            notifySchedulers(new DispatchEvent.Ended(run, report));
         }
     }
 
-    /** Returns the servers that want nothing from this host now. */
+    /** Returns the servers to which this host must send nothing now. */
     Set<ServerId> avoided() {
         return notices.avoided(clock.getAsLong());
     }
 
-    /** Returns whether a server leaves, or wants nothing from this host now. */
+    /** Returns whether a server is draining, or asked this host to send nothing now. */
     boolean avoids(PoolServer server) {
         return server.draining() || notices.avoids(server, clock.getAsLong());
     }
 
-    /** Takes what an answer says of its server, and returns what is new in it. */
-    ServerNotices.News noticed(PoolServer server, ResponseHeaders responseHeaders) {
-        ServerNotices.News news = notices.note(server, responseHeaders, clock.getAsLong());
-        if (news.leaves()) {
-            tellAll(leaving(server));
+    /** Takes the server state stated in a response, and returns what is new in it. */
+    ServerNotices.Update noticed(PoolServer server, ResponseHeaders responseHeaders) {
+        ServerNotices.Update update = notices.record(server, responseHeaders, clock.getAsLong());
+        if (update.newlyLeaving()) {
+            notifySchedulers(leaving(server));
         }
-        return news;
+        return update;
     }
 
     private static DispatchEvent leaving(PoolServer server) {
         return new DispatchEvent.ServerLeaving(server.id(), server.startMillis());
     }
 
-    private void tellAll(DispatchEvent event) {
+    private void notifySchedulers(DispatchEvent event) {
         reportToPrimary(event);
-        fromOwn(own.on(clock.getAsLong(), event));
+        applyFallback(fallback.on(clock.getAsLong(), event));
     }
 
     private void reportToPrimary(DispatchEvent event) {
         if (primary.isSelf()) {
-            fromPrimary(asPrimary.on(clock.getAsLong(), event));
+            applyPrimary(primaryScheduler.on(clock.getAsLong(), event));
         } else if (primary.id().isPresent()) {
-            toPrimary(event);
+            sendToPrimary(event);
         }
     }
 
-    private boolean toPrimary(DispatchEvent event) {
+    private boolean sendToPrimary(DispatchEvent event) {
         byte[] bytes = codec.encode(new DispatchMessage.ToPrimary(event));
         return peers.send(primary.id().orElseThrow(), MessageKind.DISPATCH, bytes);
     }
 
-    /** Takes a message of a peer. */
+    /** Handles a message from a peer. */
     void received(HostId from, byte[] body) throws BadMessageException {
         switch (codec.decode(body)) {
             case DispatchMessage.ToPrimary to -> receivedAsPrimary(from, to.event());
-            case DispatchMessage.Follow follows -> followedBy(from);
-            case DispatchMessage.PrimaryStarted begins -> {
+            case DispatchMessage.Follow follows -> followerSeen(from);
+            case DispatchMessage.PrimaryStarted started -> {
                 if (primary.id().equals(Optional.of(from))) {
-                    tellWhatIsKnown();
+                    replayState();
                 }
             }
-            case DispatchMessage.FromPrimary answer -> {
-                primary.answered(from, clock.getAsLong());
-                deliver(answer.action(), true);
+            case DispatchMessage.FromPrimary response -> {
+                primary.responded(from, clock.getAsLong());
+                deliver(response.action(), true);
             }
         }
     }
@@ -258,9 +260,9 @@
             return;
         }
         if (event instanceof DispatchEvent.PlacementRequested) {
-            followedBy(from);
+            followerSeen(from);
         }
-        fromPrimary(asPrimary.on(clock.getAsLong(), event));
+        applyPrimary(primaryScheduler.on(clock.getAsLong(), event));
     }
 
     private void takeOverQuotas() {
@@ -272,24 +274,24 @@
 
     private void takeOver(DispatchEvent.QuotasHanded handed, long nowNanos) {
         log.accept("event=quotas_taken_over workspaces=" + handed.parts().size());
-        fromPrimary(asPrimary.on(nowNanos, handed));
+        applyPrimary(primaryScheduler.on(nowNanos, handed));
     }
 
-    /** Hands the next primary what this one, which leaves, has left of quotas. */
+    /** Hands this leaving primary's remaining quota credit to the next primary. */
     private void handOverQuotas() {
-        DispatchEvent.QuotasHanded handed = asPrimary.handOverQuotas(clock.getAsLong());
-        boolean sent = toPrimary(handed);
+        DispatchEvent.QuotasHanded handed = primaryScheduler.handOverQuotas(clock.getAsLong());
+        boolean sent = sendToPrimary(handed);
         log.accept(
                 "event=quotas_handed_over home=%s workspaces=%d sent=%s"
                         .formatted(primary.name(), handed.parts().size(), sent));
     }
 
-    private void followedBy(HostId host) {
-        followers.heard(host, clock.getAsLong());
-        shareAsPrimary();
+    private void followerSeen(HostId host) {
+        followers.refresh(host, clock.getAsLong());
+        updatePrimaryShare();
     }
 
-    private void fromPrimary(List<DispatchAction> actions) {
+    private void applyPrimary(List<DispatchAction> actions) {
         for (DispatchAction action : actions) {
             if (action.run().origin().equals(self)) {
                 deliver(action, true);
@@ -300,31 +302,31 @@
         }
     }
 
-    private void fromOwn(List<DispatchAction> actions) {
+    private void applyFallback(List<DispatchAction> actions) {
         actions.forEach(action -> deliver(action, false));
     }
 
     private void deliver(DispatchAction action, boolean byPrimary) {
-        Pending wanted = pending.get(action.run());
+        PendingPlacement placement = pending.get(action.run());
         switch (action) {
             case DispatchAction.Queued queued -> {
-                if (wanted != null && wanted.atPrimary == byPrimary) {
-                    wanted.queued = true;
+                if (placement != null && placement.atPrimary == byPrimary) {
+                    placement.queued = true;
                 }
             }
             case DispatchAction.Refuse refuse -> {
-                if (wanted != null && wanted.atPrimary == byPrimary) {
+                if (placement != null && placement.atPrimary == byPrimary) {
                     pending.remove(refuse.run());
-                    wanted.listener.refused(
+                    placement.listener.refused(
                             refuse.run(), refuse.reason(), refuse.retryAfterMillis());
                 }
             }
-            case DispatchAction.Grant grant -> grant(grant, wanted, byPrimary);
+            case DispatchAction.Grant grant -> grant(grant, placement, byPrimary);
         }
     }
 
-    private void grant(DispatchAction.Grant grant, Pending wanted, boolean byPrimary) {
-        if (wanted == null || wanted.atPrimary != byPrimary) {
+    private void grant(DispatchAction.Grant grant, PendingPlacement placement, boolean byPrimary) {
+        if (placement == null || placement.atPrimary != byPrimary) {
             if (byPrimary && !active.containsKey(grant.run())) {
                 reportToPrimary(new DispatchEvent.Withdrawn(grant.run()));
             }
@@ -332,32 +334,37 @@
         }
         pending.remove(grant.run());
         long nowNanos = clock.getAsLong();
-        PlacementRequest request = wanted.agedRequest(nowNanos);
+        PlacementRequest request = placement.agedRequest(nowNanos);
         active.put(grant.run(), new Active(request.withoutQuota(), grant.server(), nowNanos));
         if (byPrimary) {
-            PlacementRequest paid = request.withoutQuota();
-            fromOwn(own.on(nowNanos, new DispatchEvent.Placed(grant.run(), paid, grant.server())));
+            PlacementRequest unchargedRequest = request.withoutQuota();
+            applyFallback(
+                    fallback.on(
+                            nowNanos,
+                            new DispatchEvent.Placed(
+                                    grant.run(), unchargedRequest, grant.server())));
         } else {
             reportToPrimary(new DispatchEvent.Placed(grant.run(), request, grant.server()));
         }
-        String by = byPrimary ? (primary.isSelf() ? "self" : "home") : "own";
-        wanted.listener.granted(grant.run(), grant.server(), "by=" + by + " " + grant.why());
+        String grantedBy = byPrimary ? (primary.isSelf() ? "self" : "home") : "own";
+        placement.listener.granted(
+                grant.run(), grant.server(), "by=" + grantedBy + " " + grant.why());
     }
 
-    /** Returns whether requests wait for a place, this host's or, at the primary, others'. */
+    /** Returns whether requests wait for a slot: this host's or, at the primary, any host's. */
     boolean isPlacing() {
-        return !pending.isEmpty() || asPrimary.waiting() > 0 || own.waiting() > 0;
+        return !pending.isEmpty() || primaryScheduler.waiting() > 0 || fallback.waiting() > 0;
     }
 
-    /** Does what is due; to be called every 20 ms while requests wait, and every 100 ms else. */
+    /** Does the work that is due. Call every 20 ms while requests wait, else every 100 ms. */
     void tick() {
         long nowNanos = clock.getAsLong();
-        shareAsPrimary();
+        updatePrimaryShare();
         if (primary.isSelf()) {
-            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.Tick()));
-            asPrimary.rollouts().forEach(this::record);
+            applyPrimary(primaryScheduler.on(nowNanos, new DispatchEvent.Tick()));
+            primaryScheduler.rollouts().forEach(this::record);
         }
-        fromOwn(own.on(nowNanos, new DispatchEvent.Tick()));
+        applyFallback(fallback.on(nowNanos, new DispatchEvent.Tick()));
         if (!primary.isSelf()) {
             checkPrimary(nowNanos);
             follow(nowNanos);
@@ -367,35 +374,35 @@
 
     private void resendRequests(long nowNanos) {
         pending.forEach(
-                (run, wanted) -> {
-                    long sinceNanos = nowNanos - wanted.requestedNanos;
+                (run, placement) -> {
+                    long sinceNanos = nowNanos - placement.requestedNanos;
                     boolean due = sinceNanos > RESEND_MILLIS * NANOS_PER_MILLI;
                     if (primary.acceptsRequests(nowNanos)
-                            && wanted.atPrimary
-                            && wanted.queued
+                            && placement.atPrimary
+                            && placement.queued
                             && due) {
-                        wanted.requestedNanos = nowNanos;
+                        placement.requestedNanos = nowNanos;
                         var unused =
-                                toPrimary(
+                                sendToPrimary(
                                         new DispatchEvent.PlacementRequested(
-                                                run, wanted.agedRequest(nowNanos)));
+                                                run, placement.agedRequest(nowNanos)));
                     }
                 });
     }
 
-    /** Tells the primary that this host looks to it, unless it just did so by a request. */
+    /** Sends the primary a follow message, unless a recent request already served as one. */
     private void follow(long nowNanos) {
-        if (primary.isTellDue(nowNanos)) {
-            primary.requested(nowNanos);
+        if (primary.isFollowDue(nowNanos)) {
+            primary.messageSent(nowNanos);
             byte[] bytes = codec.encode(new DispatchMessage.Follow());
             peers.send(primary.id().orElseThrow(), MessageKind.DISPATCH, bytes);
         }
     }
 
-    /** Has the state of a rollout recorded where it is new. */
+    /** Logs and records the state of a rollout if it changed. */
     private void record(Scheduler.RolloutView rollout) {
-        Told now = new Told(rollout.outcome(), rollout.step());
-        Told before = told.put(rollout.order(), now);
+        LoggedState now = new LoggedState(rollout.outcome(), rollout.step());
+        LoggedState before = loggedStates.put(rollout.order(), now);
         if (now.equals(before)) {
             return;
         }
@@ -407,172 +414,173 @@
         }
     }
 
-    /**
-     * Takes what is called when the primary was sent a request, which it may not answer in time.
-     */
-    void whenRequested(Runnable newWhenRequested) {
-        whenRequested = newWhenRequested;
+    /** Sets a callback for each request sent to the primary, whose response may be overdue. */
+    void onRequestSent(Runnable newOnRequestSent) {
+        onRequestSent = newOnRequestSent;
     }
 
-    /** Takes what records outcomes of rollouts. */
+    /** Sets the recorder of rollout outcomes. */
     void recorder(BiConsumer<RolloutOrder, RolloutOutcome> newRecorder) {
         recorder = newRecorder;
     }
 
-    /** The store holds an outcome of a rollout. */
-    void recorded(RolloutOrder order, RolloutOutcome outcome) {
+    /** Takes the outcome of a rollout as recorded in the store. */
+    void rolloutRecorded(RolloutOrder order, RolloutOutcome outcome) {
         feed.recorded(order, outcome);
         long nowNanos = clock.getAsLong();
         DispatchEvent settled = new DispatchEvent.RolloutSettled(order, outcome);
-        fromOwn(own.on(nowNanos, settled));
-        fromPrimary(asPrimary.on(nowNanos, settled));
+        applyFallback(fallback.on(nowNanos, settled));
+        applyPrimary(primaryScheduler.on(nowNanos, settled));
     }
 
     private void checkPrimary(long nowNanos) {
-        boolean delayed = nowNanos - tickedNanos > LATE_TICK_MILLIS * NANOS_PER_MILLI;
+        boolean stalled = nowNanos - tickedNanos > STALL_MILLIS * NANOS_PER_MILLI;
         tickedNanos = nowNanos;
-        if (delayed) {
+        if (stalled) {
             return;
         }
         List<RunKey> overdue = new ArrayList<>();
-        for (Map.Entry<RunKey, Pending> entry : pending.entrySet()) {
+        for (Map.Entry<RunKey, PendingPlacement> entry : pending.entrySet()) {
             if (isOverdue(entry.getValue(), nowNanos)) {
                 overdue.add(entry.getKey());
             }
         }
-        if (!overdue.isEmpty() && primary.noteSilence(nowNanos)) {
+        if (!overdue.isEmpty() && primary.markSilent(nowNanos)) {
             fleetChanged();
         }
         for (RunKey run : overdue) {
-            Pending wanted = pending.get(run);
-            if (wanted != null && isOverdue(wanted, nowNanos)) {
-                placeWithoutPrimary(run, wanted, nowNanos);
+            PendingPlacement placement = pending.get(run);
+            if (placement != null && isOverdue(placement, nowNanos)) {
+                placeWithoutPrimary(run, placement, nowNanos);
             }
         }
     }
 
-    private void placeWithoutPrimary(RunKey run, Pending wanted, long nowNanos) {
+    private void placeWithoutPrimary(RunKey run, PendingPlacement placement, long nowNanos) {
         reportToPrimary(new DispatchEvent.Withdrawn(run));
-        wanted.atPrimary = false;
-        wanted.queued = false;
-        fromOwn(
-                own.on(
+        placement.atPrimary = false;
+        placement.queued = false;
+        applyFallback(
+                fallback.on(
                         nowNanos,
-                        new DispatchEvent.PlacementRequested(run, wanted.agedRequest(nowNanos))));
+                        new DispatchEvent.PlacementRequested(
+                                run, placement.agedRequest(nowNanos))));
     }
 
-    private boolean isOverdue(Pending wanted, long nowNanos) {
-        if (!wanted.atPrimary) {
+    private boolean isOverdue(PendingPlacement placement, long nowNanos) {
+        if (!placement.atPrimary) {
             return false;
         }
-        if (wanted.queued) {
+        if (placement.queued) {
             return primary.isLost(nowNanos);
         }
-        return nowNanos - wanted.requestedNanos > PRIMARY_ANSWER_MILLIS * NANOS_PER_MILLI;
+        return nowNanos - placement.requestedNanos > PRIMARY_RESPONSE_MILLIS * NANOS_PER_MILLI;
     }
 
-    /** The membership view changed. */
+    /** Chooses the primary and updates the shares after a change of the membership view. */
     void fleetChanged() {
         boolean wasPrimary = primary.isSelf();
-        boolean moved = primary.choose(clock.getAsLong());
-        share();
+        boolean primaryChanged = primary.choose(clock.getAsLong());
+        updateShares();
         if (wasPrimary && !primary.isSelf() && fleet.isLeaving() && primary.id().isPresent()) {
             handOverQuotas();
         }
-        if (moved) {
-            primaryMoved();
+        if (primaryChanged) {
+            primaryChanged();
         }
     }
 
-    private void share() {
+    private void updateShares() {
         long nowNanos = clock.getAsLong();
-        double known = fleet.known();
-        double ownPlaces = Math.min(1, 2 / known);
-        var unused = own.on(nowNanos, new DispatchEvent.ShareChanged(ownPlaces, 1 / known));
+        double quotaUsers = fleet.quotaUserCount();
+        double slotShare = Math.min(1, 2 / quotaUsers);
+        var unused =
+                fallback.on(nowNanos, new DispatchEvent.ShareChanged(slotShare, 1 / quotaUsers));
         quotaShare = 0;
-        shareAsPrimary();
+        updatePrimaryShare();
     }
 
-    /** Gives out, as the primary, the parts of quotas of this host and of those that follow it. */
-    private void shareAsPrimary() {
+    /** Sets the primary's share of all quotas: the parts of this host and of its followers. */
+    private void updatePrimaryShare() {
         long nowNanos = clock.getAsLong();
-        double quota = Math.min(1, (1.0 + followers.count(nowNanos)) / fleet.known());
-        if (quota != quotaShare) {
-            quotaShare = quota;
-            fromPrimary(asPrimary.on(nowNanos, new DispatchEvent.ShareChanged(1, quota)));
+        double share = Math.min(1, (1.0 + followers.count(nowNanos)) / fleet.quotaUserCount());
+        if (share != quotaShare) {
+            quotaShare = share;
+            applyPrimary(primaryScheduler.on(nowNanos, new DispatchEvent.ShareChanged(1, share)));
         }
     }
 
-    private void primaryMoved() {
+    private void primaryChanged() {
         long nowNanos = clock.getAsLong();
         log.accept(
                 "event=home_moved home=%s live=%d known=%d waiting=%d running=%d"
                         .formatted(
                                 primary.name(),
                                 fleet.live().size(),
-                                fleet.known(),
+                                fleet.quotaUserCount(),
                                 pending.size(),
                                 active.size()));
         if (primary.isSelf()) {
-            told.clear();
-            double fill = !followed && fleet.startedTogether() ? RESTART_FILL : FIRST_FILL;
-            asPrimary = newPrimary(fill);
-            var unused = feed.to(asPrimary, true, nowNanos);
-            share();
-            handOver.begin(nowNanos);
+            loggedStates.clear();
+            double fill =
+                    !hasFollowed && fleet.startedTogether() ? FLEET_RESTART_FILL : INITIAL_FILL;
+            primaryScheduler = newPrimary(fill);
+            var unused = feed.replay(primaryScheduler, true, nowNanos);
+            updateShares();
+            handOver.becamePrimary(nowNanos);
             takeOverQuotas();
         }
-        followed |= primary.id().isPresent() && !primary.isSelf();
-        tellWhatIsKnown();
+        hasFollowed |= primary.id().isPresent() && !primary.isSelf();
+        replayState();
         if (primary.isSelf()) {
-            // Those who chose this host before it did so itself told what they know too early.
+            // Hosts that chose this one before it chose itself sent their state too early.
             byte[] started = codec.encode(new DispatchMessage.PrimaryStarted());
             fleet.others().forEach(host -> peers.send(host, MessageKind.DISPATCH, started));
         }
-        for (Map.Entry<RunKey, Pending> entry : List.copyOf(pending.entrySet())) {
-            Pending wanted = entry.getValue();
-            if (wanted.atPrimary && pending.containsKey(entry.getKey())) {
-                place(entry.getKey(), wanted, wanted.agedRequest(nowNanos), nowNanos);
+        for (Map.Entry<RunKey, PendingPlacement> entry : List.copyOf(pending.entrySet())) {
+            PendingPlacement placement = entry.getValue();
+            if (placement.atPrimary && pending.containsKey(entry.getKey())) {
+                place(entry.getKey(), placement, placement.agedRequest(nowNanos), nowNanos);
             }
         }
     }
 
-    /** Tells the primary what only this host knows: servers' words, its runs, what it saw. */
-    private void tellWhatIsKnown() {
+    /** Replays to the primary what only this host has: server notices, observations and runs. */
+    private void replayState() {
         long nowNanos = clock.getAsLong();
         notices.leaving().forEach(server -> reportToPrimary(leaving(server)));
         notices.limits(nowNanos).forEach(this::reportToPrimary);
-        own.reports(self, nowNanos).forEach(this::reportToPrimary);
+        fallback.reports(self, nowNanos).forEach(this::reportToPrimary);
         active.forEach(
-                (run, at) ->
+                (run, placed) ->
                         reportToPrimary(
                                 new DispatchEvent.Placed(
                                         run,
-                                        at.request.aged(
-                                                (nowNanos - at.sinceNanos) / NANOS_PER_MILLI),
-                                        at.server)));
+                                        placed.request.aged(
+                                                (nowNanos - placed.sinceNanos) / NANOS_PER_MILLI),
+                                        placed.server)));
     }
 
     void hostDied(HostId host) {
-        followers.gone(host);
-        fromPrimary(asPrimary.on(clock.getAsLong(), new DispatchEvent.HostGone(host)));
+        followers.remove(host);
+        applyPrimary(primaryScheduler.on(clock.getAsLong(), new DispatchEvent.HostGone(host)));
     }
 
-    /** The configuration or the servers changed. */
-    void changed(CatalogSnapshot newer) {
+    /** Takes a change of the configuration or the servers. */
+    void catalogChanged(CatalogSnapshot newer) {
         long nowNanos = clock.getAsLong();
-        feed.changed(newer, nowNanos);
-        notices.changed(newer.servers());
-        fromOwn(feed.to(own, false, nowNanos));
-        fromPrimary(feed.to(asPrimary, true, nowNanos));
+        feed.catalogChanged(newer, nowNanos);
+        notices.serversChanged(newer.servers());
+        applyFallback(feed.replay(fallback, false, nowNanos));
+        applyPrimary(feed.replay(primaryScheduler, true, nowNanos));
     }
 
-    /** Returns the server with an id, where it is known. */
+    /** Returns the server with an id; empty if the snapshot has none. */
     Optional<PoolServer> server(ServerId id) {
         return feed.server(id);
     }
 
-    /** Returns one word on who is the primary, for the log. */
+    /** Returns the primary's name for the log; "none" while there is no primary. */
     String primaryName() {
         return primary.name();
     }
--- a/src/main/java/org/orioleshed/gateway/EventFramer.java
+++ b/src/main/java/org/orioleshed/gateway/EventFramer.java
@@ -5,20 +5,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** Cuts a stream of server-sent events at the ends of events and notes the last event's id. */
+/** Splits a stream of server-sent events at event boundaries and tracks the last event's id. */
 final class EventFramer {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
     private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private byte[] line = new byte[64];
     private int lineLength;
-    private boolean lineBegun;
-    private String idInEvent;
+    private boolean lineStarted;
+    private String pendingId;
     private String lastId;
     private int events;
-    private int complete;
+    private int completeBytes;
 
-    /** Takes bytes and returns those up to the last end of an event; empty where there is none. */
+    /** Takes bytes and returns those up to the last event boundary; empty if there is none. */
     byte[] feed(ByteBuf bytes) {
         while (bytes.isReadable()) {
             byte next = bytes.readByte();
@@ -29,27 +29,27 @@
                 add(next);
             }
         }
-        return take();
+        return takeComplete();
     }
 
     private void add(byte next) {
-        lineBegun = true;
+        lineStarted = true;
         if (lineLength < line.length) {
             line[lineLength++] = next;
         }
     }
 
     private void endLine() {
-        if (lineBegun) {
-            noteId();
+        if (lineStarted) {
+            parseId();
         } else {
             endEvent();
         }
         lineLength = 0;
-        lineBegun = false;
+        lineStarted = false;
     }
 
-    private void noteId() {
+    private void parseId() {
         if (lineLength <= ID_FIELD.length) {
             return;
         }
@@ -59,57 +59,57 @@
             }
         }
         int length = lineLength - ID_FIELD.length;
-        idInEvent = new String(line, ID_FIELD.length, length, StandardCharsets.UTF_8).strip();
+        pendingId = new String(line, ID_FIELD.length, length, StandardCharsets.UTF_8).strip();
     }
 
     private void endEvent() {
-        complete = pending.size();
+        completeBytes = pending.size();
         events++;
-        if (idInEvent != null) {
-            lastId = idInEvent;
-            idInEvent = null;
+        if (pendingId != null) {
+            lastId = pendingId;
+            pendingId = null;
         }
     }
 
-    private byte[] take() {
-        if (complete == 0) {
+    private byte[] takeComplete() {
+        if (completeBytes == 0) {
             return new byte[0];
         }
         byte[] all = pending.toByteArray();
-        byte[] result = java.util.Arrays.copyOf(all, complete);
+        byte[] result = java.util.Arrays.copyOf(all, completeBytes);
         pending.reset();
-        pending.write(all, complete, all.length - complete);
-        complete = 0;
+        pending.write(all, completeBytes, all.length - completeBytes);
+        completeBytes = 0;
         return result;
     }
 
-    /** Returns what follows the last end of an event and forgets it. */
-    byte[] rest() {
+    /** Returns and discards the bytes after the last event boundary. */
+    byte[] takeRest() {
         byte[] result = pending.toByteArray();
         dropRest();
         return result;
     }
 
-    /** Forgets the event that was cut off, so that another server's stream can go on. */
+    /** Discards an incomplete event, so that another server can resume the stream. */
     void dropRest() {
         pending.reset();
         lineLength = 0;
-        lineBegun = false;
-        idInEvent = null;
-        complete = 0;
+        lineStarted = false;
+        pendingId = null;
+        completeBytes = 0;
     }
 
-    /** Returns the bytes of the event that is not whole yet. */
+    /** Returns the number of buffered bytes of the incomplete event. */
     int pendingBytes() {
         return pending.size();
     }
 
-    /** Returns the id of the last whole event. */
+    /** Returns the id of the last complete event. */
     Optional<String> lastId() {
         return Optional.ofNullable(lastId);
     }
 
-    /** Returns the number of whole events. */
+    /** Returns the number of complete events. */
     int events() {
         return events;
     }
--- a/src/main/java/org/orioleshed/gateway/Exchange.java
+++ b/src/main/java/org/orioleshed/gateway/Exchange.java
@@ -31,21 +31,21 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * One caller's request, from its arrival to the end of its answer. Knows of each attempt how far it
- * came, and sends the request again only where that can't run it twice.
+ * One caller's request, from its arrival to the end of its response. Tracks how far each attempt
+ * got, and sends the request again only if it provably did not run or its route allows another run.
  */
 final class Exchange implements Dispatcher.PlacementListener, ServerAttempt.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A host that starts reads its configuration within this time, unless the store is away. */
+    /** A starting host reads its configuration within this time unless the store is unavailable. */
     private static final long CONFIG_WAIT_MILLIS = 700;
 
     private static final long NO_CONFIG_RETRY_MILLIS = 300;
 
-    /** Calls that may run once get no connection that the server may just be closing. */
-    private static final long FRESH_MILLIS = 1_500;
+    /** Calls that must run only once avoid connections that the server may just be closing. */
+    private static final long RUN_ONCE_MAX_IDLE_MILLIS = 1_500;
 
-    private static final long ANY_AGE_MILLIS = Long.MAX_VALUE / NANOS_PER_MILLI;
+    private static final long UNLIMITED_IDLE_MILLIS = Long.MAX_VALUE / NANOS_PER_MILLI;
 
     private static final String LEAVING = "leaving";
 
@@ -65,14 +65,14 @@
     private State state = State.WAITING_FOR_CONFIG;
     private Optional<WorkspaceConfig> workspaceConfig = Optional.empty();
     private CallRoute route;
-    private RetryRule rule;
+    private RetryRule retryRule;
     private ServiceId service;
     private long endNanos;
-    private long content;
+    private long contentFingerprint;
     private RunKey run;
-    private ServerAttempt current;
+    private ServerAttempt currentAttempt;
     private boolean streaming;
-    private boolean reported;
+    private boolean firstEventReported;
 
     Exchange(GatewayContext context, CallerConnection caller, CallerRequest request) {
         this.context = context;
@@ -83,43 +83,44 @@
 
     void start() {
         context.started(this);
-        if (context.isLate()) {
-            // Who waited unread may have left, and that is read only after the request.
-            context.soon(this::serveIfKnown);
+        if (context.wasStalled()) {
+            // A caller that waited unread may have disconnected; the close is read only after the
+            // request.
+            context.runAfterPendingReads(this::serveIfConfigured);
         } else {
-            serveIfKnown();
+            serveIfConfigured();
         }
     }
 
-    private void serveIfKnown() {
+    private void serveIfConfigured() {
         if (state == State.WAITING_FOR_CONFIG) {
             context.snapshot().usable().ifPresent(this::serve);
         }
     }
 
-    /** Returns whether a server has the request. */
+    /** Returns whether the request was sent to a server. */
     boolean isSent() {
         return state == State.SENT;
     }
 
-    /** Ends the request with a final answer, since this host ends. */
-    void hostEnds() {
+    /** Ends the request with a final response because this host is stopping. */
+    void hostStopping() {
         logUnfinished();
         switch (state) {
-            case WAITING_FOR_CONFIG -> giveUp(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
-            case PLACING -> handBack();
+            case WAITING_FOR_CONFIG -> fail(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
+            case PLACING -> returnToCaller();
             case SENT -> {
-                letGo(RunReport.Outcome.CANCELLED);
-                giveUp(HttpResponseStatus.BAD_GATEWAY, LEAVING, -1);
+                abandonAttempt(RunReport.Outcome.CANCELLED);
+                fail(HttpResponseStatus.BAD_GATEWAY, LEAVING, -1);
             }
             case DONE -> {}
         }
     }
 
-    /** Gives up a request that no server has, so that its caller comes back to another host. */
-    private void handBack() {
-        letGo(RunReport.Outcome.CANCELLED);
-        giveUpUnplaced(LEAVING, 0);
+    /** Ends an unplaced request, so that its caller retries at another host. */
+    private void returnToCaller() {
+        abandonAttempt(RunReport.Outcome.CANCELLED);
+        failUnplaced(LEAVING, 0);
     }
 
     private void logUnfinished() {
@@ -129,13 +130,15 @@
                                         callHeaders.id(),
                                         run,
                                         state,
-                                        current == null ? "none" : current.server().id(),
+                                        currentAttempt == null
+                                                ? "none"
+                                                : currentAttempt.server().id(),
                                         framer.events(),
                                         callHeaders.outputTokens())
                         + " total_ms=%d".formatted(request.ageMillis(System.nanoTime())));
     }
 
-    /** A configuration is known now. */
+    /** Serves the request if it waited for the first configuration. */
     void configured(Catalog catalog) {
         if (state == State.WAITING_FOR_CONFIG) {
             serve(catalog);
@@ -143,48 +146,52 @@
     }
 
     private void serve(Catalog catalog) {
-        Optional<CallRoute> found = catalog.route(hostName(), request.path());
-        if (found.isEmpty()) {
-            giveUp(HttpResponseStatus.NOT_FOUND, "no_route", -1);
+        Optional<CallRoute> matched = catalog.route(hostName(), request.path());
+        if (matched.isEmpty()) {
+            fail(HttpResponseStatus.NOT_FOUND, "no_route", -1);
             return;
         }
-        route = found.get();
+        route = matched.get();
         if (!route.open() && catalog.requiresKeys()) {
             workspaceConfig = callHeaders.key().flatMap(catalog::holder);
             if (workspaceConfig.isEmpty()) {
-                giveUp(HttpResponseStatus.UNAUTHORIZED, "unknown_key", -1);
+                fail(HttpResponseStatus.UNAUTHORIZED, "unknown_key", -1);
                 return;
             }
         }
-        rule = new RetryRule(route);
+        retryRule = new RetryRule(route);
         service = route.pick(context.random().nextDouble());
         long waitMillis = route.timeoutMillis();
         if (callHeaders.deadlineMillis() >= 0) {
             waitMillis = Math.min(waitMillis, callHeaders.deadlineMillis());
         }
         endNanos = request.arrivedNanos() + waitMillis * NANOS_PER_MILLI;
-        content = fingerprint();
-        if (context.leaving().begun() && !isTakenWhileLeaving()) {
-            giveUp(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
+        contentFingerprint = fingerprint();
+        if (context.shutdownPolicy().begun() && !acceptsWhileStopping()) {
+            fail(HttpResponseStatus.SERVICE_UNAVAILABLE, LEAVING, 0);
             return;
         }
         place(workspaceConfig.map(WorkspaceConfig::workspace));
     }
 
-    private boolean isTakenWhileLeaving() {
+    private boolean acceptsWhileStopping() {
         long nowNanos = System.nanoTime();
-        long limitMillis = callerLeftMillis(nowNanos);
-        boolean taken = context.leaving().takes(limitMillis, nowNanos);
+        long limitMillis = callerRemainingMillis(nowNanos);
+        boolean accepted = context.shutdownPolicy().accepts(limitMillis, nowNanos);
         context.log(
                 "event=%s request=%s number_on_connection=%d age_ms=%d"
                                 .formatted(
-                                        taken ? "taken_while_leaving" : "not_taken_while_leaving",
+                                        accepted
+                                                ? "taken_while_leaving"
+                                                : "not_taken_while_leaving",
                                         callHeaders.id(),
                                         request.number(),
                                         request.ageMillis(nowNanos))
                         + " host_ends_in_ms=%d limit_ms=%d"
-                                .formatted(context.leaving().leftMillis(nowNanos), limitMillis));
-        return taken;
+                                .formatted(
+                                        context.shutdownPolicy().leftMillis(nowNanos),
+                                        limitMillis));
+        return accepted;
     }
 
     private String hostName() {
@@ -200,7 +207,7 @@
     }
 
     private PlacementRequest placementRequest(Optional<WorkspaceId> payer) {
-        boolean model = route.repeatability() == Repeatability.STREAM;
+        boolean isModelCall = route.repeatability() == Repeatability.STREAM;
         long nowNanos = System.nanoTime();
         return new PlacementRequest(
                 service,
@@ -209,18 +216,18 @@
                 context.domain(),
                 rank(),
                 route.targetMillis() - request.ageMillis(nowNanos),
-                leftMillis(nowNanos),
-                model ? Math.max(1, callHeaders.promptTokens()) : 0,
-                model ? callHeaders.likelyTokens() : 0,
+                remainingMillis(nowNanos),
+                isModelCall ? Math.max(1, callHeaders.promptTokens()) : 0,
+                isModelCall ? callHeaders.likelyTokens() : 0,
                 workspaceConfig
                         .map(WorkspaceConfig::quota)
                         .orElse(Quota.NONE)
                         .units(callHeaders.statedTokens()),
-                content,
+                contentFingerprint,
                 excluded());
     }
 
-    /** Returns the servers that had the request, and those that want nothing from this host now. */
+    /** Returns the servers already tried and those to which this host must send nothing now. */
     private Set<ServerId> excluded() {
         Set<ServerId> avoided = context.dispatcher().avoided();
         if (avoided.isEmpty()) {
@@ -231,16 +238,17 @@
         return all;
     }
 
-    private long callerLeftMillis(long nowNanos) {
+    private long callerRemainingMillis(long nowNanos) {
         return (endNanos - nowNanos) / NANOS_PER_MILLI;
     }
 
-    /** Returns the time left to the caller and to this host. */
-    private long leftMillis(long nowNanos) {
-        return Math.min(callerLeftMillis(nowNanos), context.leaving().leftMillis(nowNanos));
+    /** Returns the time left until the caller's deadline or the end of this host's service. */
+    private long remainingMillis(long nowNanos) {
+        return Math.min(
+                callerRemainingMillis(nowNanos), context.shutdownPolicy().leftMillis(nowNanos));
     }
 
-    /** Returns a fingerprint of what is asked and by whom. */
+    /** Returns a fingerprint of the request's URI, key and body. */
     private long fingerprint() {
         return Hashing.murmur3_128()
                 .newHasher()
@@ -263,25 +271,25 @@
                     .ended(granted, new RunReport(RunReport.Outcome.CANCELLED, 0, 0, 0));
             return;
         }
-        Optional<PoolServer> known = context.dispatcher().server(id);
-        if (known.isEmpty() || context.dispatcher().avoids(known.get())) {
+        Optional<PoolServer> server = context.dispatcher().server(id);
+        if (server.isEmpty() || context.dispatcher().avoids(server.get())) {
             context.dispatcher().ended(run, new RunReport(RunReport.Outcome.MISDIRECTED, 0, 0, 0));
             excluded.add(id);
-            rule.notSent();
-            again(true, "server_left");
+            retryRule.notSent();
+            retryOrFail(true, "server_left");
             return;
         }
-        send(known.get(), why);
+        send(server.get(), why);
     }
 
     private void send(PoolServer server, String why) {
         long nowNanos = System.nanoTime();
         state = State.SENT;
-        if (rule.attempts() == 0) {
-            context.retries(service).first(nowNanos);
+        if (retryRule.attempts() == 0) {
+            context.retryBudget(service).recordAttempt(nowNanos);
         }
-        rule.sent();
-        current =
+        retryRule.sent();
+        currentAttempt =
                 new ServerAttempt(
                         run,
                         server,
@@ -298,25 +306,25 @@
                                         route.id(),
                                         rank(),
                                         server.id(),
-                                        rule.attempts())
+                                        retryRule.attempts())
                         + " waited_ms=%d %s".formatted(request.ageMillis(nowNanos), why));
         context.pool(server.address())
                 .send(
                         toServer(server, nowNanos),
                         callHeaders.id(),
-                        route.mayRunAgain() ? ANY_AGE_MILLIS : FRESH_MILLIS,
-                        current,
-                        current.sending());
+                        route.mayRunAgain() ? UNLIMITED_IDLE_MILLIS : RUN_ONCE_MAX_IDLE_MILLIS,
+                        currentAttempt,
+                        currentAttempt.pendingSend());
     }
 
     private FullHttpRequest toServer(PoolServer server, long nowNanos) {
-        HeaderTranslator.ServerOrder order =
-                new HeaderTranslator.ServerOrder(
+        HeaderTranslator.ForwardingFields fields =
+                new HeaderTranslator.ForwardingFields(
                         server.id(),
                         workspaceConfig.map(WorkspaceConfig::workspace),
-                        Math.max(1, callerLeftMillis(nowNanos)),
+                        Math.max(1, callerRemainingMillis(nowNanos)),
                         streaming ? framer.lastId() : Optional.empty());
-        HttpHeaders headers = context.translator().toServer(request.headers(), order);
+        HttpHeaders headers = context.translator().toServer(request.headers(), fields);
         byte[] body = request.body().toBytes();
         if (body.length > 0 || request.method().equals(HttpMethod.POST)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -335,64 +343,72 @@
         if (state != State.PLACING || !refusedRun.equals(run)) {
             return;
         }
-        String word = reason.name().toLowerCase(Locale.ROOT);
+        String reasonCode = reason.name().toLowerCase(Locale.ROOT);
         if (reason == DispatchAction.Reason.QUOTA) {
-            giveUp(HttpResponseStatus.TOO_MANY_REQUESTS, word, retryAfterMillis);
+            fail(HttpResponseStatus.TOO_MANY_REQUESTS, reasonCode, retryAfterMillis);
             return;
         }
-        giveUpUnplaced(word, retryAfterMillis);
+        failUnplaced(reasonCode, retryAfterMillis);
     }
 
-    /** Ends a request that no server has at present. */
-    private void giveUpUnplaced(String reason, long retryAfterMillis) {
-        if (rule.mayHaveRun()) {
-            giveUp(HttpResponseStatus.BAD_GATEWAY, reason, -1);
+    /** Ends a request that is at no server. */
+    private void failUnplaced(String reason, long retryAfterMillis) {
+        if (retryRule.mayHaveRun()) {
+            fail(HttpResponseStatus.BAD_GATEWAY, reason, -1);
         } else {
-            giveUp(HttpResponseStatus.SERVICE_UNAVAILABLE, reason, retryAfterMillis);
+            fail(HttpResponseStatus.SERVICE_UNAVAILABLE, reason, retryAfterMillis);
         }
     }
 
     @Override
-    public void notRun(ServerAttempt which, RunReport.Outcome outcome, String detail) {
-        context.dispatcher().ended(which.run(), which.end(outcome));
-        excluded.add(which.server().id());
-        rule.provedNotRun();
-        again(true, outcome + ":" + detail);
+    public void notRun(ServerAttempt attempt, RunReport.Outcome outcome, String detail) {
+        context.dispatcher().ended(attempt.run(), attempt.end(outcome));
+        excluded.add(attempt.server().id());
+        retryRule.provedNotRun();
+        retryOrFail(true, outcome + ":" + detail);
     }
 
     @Override
-    public void noticed(ServerAttempt which, ResponseHeaders answer) {
-        if (answer.restMillis() > 0) {
+    public void noticed(ServerAttempt attempt, ResponseHeaders responseHeaders) {
+        if (responseHeaders.backoffMillis() > 0) {
             context.log(
                     "event=server_rests request=%s server=%s rest_ms=%d"
-                            .formatted(callHeaders.id(), which.server().id(), answer.restMillis()));
-        }
-        ServerNotices.News news = context.dispatcher().noticed(which.server(), answer);
-        if (news.leaves()) {
+                            .formatted(
+                                    callHeaders.id(),
+                                    attempt.server().id(),
+                                    responseHeaders.backoffMillis()));
+        }
+        ServerNotices.Update update =
+                context.dispatcher().noticed(attempt.server(), responseHeaders);
+        if (update.newlyLeaving()) {
             context.log(
                     "event=server_leaving request=%s server=%s"
-                            .formatted(callHeaders.id(), which.server().id()));
+                            .formatted(callHeaders.id(), attempt.server().id()));
         }
-        if (news.limit()) {
+        if (update.limitChanged()) {
             context.log(
                     "event=server_limit request=%s server=%s per_second=%s"
-                            .formatted(callHeaders.id(), which.server().id(), answer.limit()));
+                            .formatted(
+                                    callHeaders.id(),
+                                    attempt.server().id(),
+                                    responseHeaders.limit()));
         }
     }
 
     @Override
-    public void events(ServerAttempt which, HttpResponse head, byte[] events) {
-        if (!which.hasEvents() || state != State.SENT) {
+    public void events(ServerAttempt attempt, HttpResponse head, byte[] events) {
+        if (!attempt.hasEvents() || state != State.SENT) {
             return;
         }
-        beginStream(which, head);
-        caller.streamPart(events);
+        beginStream(attempt, head);
+        caller.writeStreamPart(events);
     }
 
-    private void beginStream(ServerAttempt which, HttpResponse head) {
-        if (which.run().equals(run) && !reported) {
-            reported = true;
-            context.dispatcher().first(run, Math.max(1, which.firstMillis()), which.limit());
+    private void beginStream(ServerAttempt attempt, HttpResponse head) {
+        if (attempt.run().equals(run) && !firstEventReported) {
+            firstEventReported = true;
+            context.dispatcher()
+                    .firstEvent(run, Math.max(1, attempt.firstMillis()), attempt.limit());
         }
         if (!streaming) {
             streaming = true;
@@ -402,11 +418,11 @@
     }
 
     @Override
-    public void streamEnded(ServerAttempt which, HttpResponse head, byte[] rest) {
-        beginStream(which, head);
-        context.dispatcher().ended(which.run(), which.end(RunReport.Outcome.ANSWERED));
+    public void streamEnded(ServerAttempt attempt, HttpResponse head, byte[] rest) {
+        beginStream(attempt, head);
+        context.dispatcher().ended(attempt.run(), attempt.end(RunReport.Outcome.ANSWERED));
         if (rest.length > 0) {
-            caller.streamPart(rest);
+            caller.writeStreamPart(rest);
         }
         finish(head.status().code(), "answered");
         caller.endStream();
@@ -414,95 +430,101 @@
 
     @Override
     public void answered(
-            ServerAttempt which, HttpResponse head, ResponseHeaders answer, Payload body) {
+            ServerAttempt attempt,
+            HttpResponse head,
+            ResponseHeaders responseHeaders,
+            Payload body) {
         int status = head.status().code();
         boolean fault = status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
         RunReport.Outcome outcome = fault ? RunReport.Outcome.FAILED : RunReport.Outcome.ANSWERED;
-        context.dispatcher().ended(which.run(), which.end(outcome));
-        rule.ran();
-        excluded.add(which.server().id());
+        context.dispatcher().ended(attempt.run(), attempt.end(outcome));
+        retryRule.ran();
+        excluded.add(attempt.server().id());
         if (fault && mayRetry(false)) {
-            again(false, "status=" + status);
+            retryOrFail(false, "status=" + status);
             return;
         }
         if (streaming) {
-            breakOff("status=" + status);
+            abort("status=" + status);
             return;
         }
-        if (!answer.signed() && isPromise(status)) {
-            giveUp(HttpResponseStatus.BAD_GATEWAY, "unproved_" + status, -1);
+        if (!responseHeaders.signed() && impliesNotRun(status)) {
+            fail(HttpResponseStatus.BAD_GATEWAY, "unproved_" + status, -1);
             return;
         }
         finish(status, "answered");
-        caller.answer(head.status(), context.translator().toCaller(head.headers()), body.toBytes());
+        caller.respond(
+                head.status(), context.translator().toCaller(head.headers()), body.toBytes());
     }
 
-    /** Returns whether a status tells the caller that its request has not run. */
-    private static boolean isPromise(int status) {
+    /** Returns whether a status implies to the caller that its request has not run. */
+    private static boolean impliesNotRun(int status) {
         return status == 408 || status == 421 || status == 429 || status == 503;
     }
 
     @Override
-    public void broken(ServerAttempt which, RunReport.Outcome outcome, String detail) {
-        context.dispatcher().ended(which.run(), which.end(outcome));
-        rule.ran();
-        excluded.add(which.server().id());
+    public void broken(ServerAttempt attempt, RunReport.Outcome outcome, String detail) {
+        context.dispatcher().ended(attempt.run(), attempt.end(outcome));
+        retryRule.ran();
+        excluded.add(attempt.server().id());
         framer.dropRest();
-        again(false, outcome + ":" + detail);
+        retryOrFail(false, outcome + ":" + detail);
     }
 
     private boolean mayRetry(boolean proved) {
-        long leftMillis = leftMillis(System.nanoTime());
+        long remainingMillis = remainingMillis(System.nanoTime());
         boolean resumes = !streaming || framer.lastId().isPresent();
-        return resumes && rule.mayRetry(proved, leftMillis);
+        return resumes && retryRule.mayRetry(proved, remainingMillis);
     }
 
-    /** Sends the request to another server, if that is allowed, or gives it up. */
-    private void again(boolean proved, String reason) {
+    /** Sends the request to another server if that is allowed, else ends it. */
+    private void retryOrFail(boolean proved, String reason) {
         context.log(
                 "event=failed_try request=%s run=%s server=%s proved=%s try=%d reason=\"%s\""
                         .formatted(
                                 callHeaders.id(),
                                 run,
-                                current == null ? "none" : current.server().id(),
+                                currentAttempt == null ? "none" : currentAttempt.server().id(),
                                 proved,
-                                rule.attempts(),
+                                retryRule.attempts(),
                                 reason));
         long nowNanos = System.nanoTime();
-        if (isForAnotherHost(nowNanos)) {
-            giveUpUnplaced(LEAVING, 0);
+        if (mustLeaveToAnotherHost(nowNanos)) {
+            failUnplaced(LEAVING, 0);
             return;
         }
         boolean allowed =
-                mayRetry(proved) && context.retries(service).take(context.fixedRetries(), nowNanos);
+                mayRetry(proved)
+                        && context.retryBudget(service)
+                                .tryTake(context.fixedRetryShare(), nowNanos);
         if (allowed) {
-            reported = false;
+            firstEventReported = false;
             place(Optional.empty());
             return;
         }
         if (streaming) {
-            breakOff(reason);
+            abort(reason);
             return;
         }
-        giveUpUnplaced(reason, context.retryAfterMillis(leftMillis(nowNanos)));
+        failUnplaced(reason, context.retryAfterMillis(remainingMillis(nowNanos)));
     }
 
-    /** Ends a stream that has begun and can't be completed. */
-    private void breakOff(String reason) {
+    /** Aborts a stream that has begun and can't be completed. */
+    private void abort(String reason) {
         finish(0, "broken_off:" + reason);
-        caller.breakOff();
+        caller.abort();
     }
 
-    /** Ends a request with an answer of this system's own. */
-    private void giveUp(HttpResponseStatus status, String reason, long retryAfterMillis) {
+    /** Ends a request with a response of this host's own. */
+    private void fail(HttpResponseStatus status, String reason, long retryAfterMillis) {
         if (streaming) {
-            breakOff(reason);
+            abort(reason);
             return;
         }
         finish(status.code(), reason);
         HttpHeaders headers = DefaultHttpHeadersFactory.headersFactory().newHeaders();
-        context.translator().markOwn(headers, callHeaders.id(), retryAfterMillis);
-        caller.answer(status, headers, new byte[0]);
+        context.translator().markLocalResponse(headers, callHeaders.id(), retryAfterMillis);
+        caller.respond(status, headers, new byte[0]);
     }
 
     private void finish(int status, String outcome) {
@@ -521,40 +543,42 @@
                                         outcome,
                                         totalMillis)
                         + " events=%d tries=%d"
-                                .formatted(framer.events(), rule == null ? 0 : rule.attempts()));
+                                .formatted(
+                                        framer.events(),
+                                        retryRule == null ? 0 : retryRule.attempts()));
     }
 
-    /** The caller's connection is gone. */
-    void callerLeft() {
+    /** Ends the request because its caller disconnected. */
+    void callerDisconnected() {
         if (state == State.DONE) {
             return;
         }
-        letGo(RunReport.Outcome.CANCELLED);
+        abandonAttempt(RunReport.Outcome.CANCELLED);
         finish(0, "caller_left");
     }
 
-    /** Ends what is under way, wherever it is. */
-    private void letGo(RunReport.Outcome outcome) {
+    /** Withdraws the pending placement or cancels the running attempt. */
+    private void abandonAttempt(RunReport.Outcome outcome) {
         if (state == State.PLACING) {
             context.dispatcher().withdraw(run);
         } else if (state == State.SENT) {
-            current.cancel();
-            context.dispatcher().ended(run, current.end(outcome));
+            currentAttempt.cancel();
+            context.dispatcher().ended(run, currentAttempt.end(outcome));
         }
     }
 
     void callerWritable(boolean writable) {
         if (state == State.SENT) {
-            current.sending().setReading(writable);
+            currentAttempt.pendingSend().setReading(writable);
         }
     }
 
-    /** Ends the request when its time is over, and leaves a server that is silent. */
+    /** Ends the request at its deadline, and abandons a silent server. */
     void tick(long nowNanos) {
         switch (state) {
             case WAITING_FOR_CONFIG -> {
                 if (request.ageMillis(nowNanos) > CONFIG_WAIT_MILLIS) {
-                    giveUp(
+                    fail(
                             HttpResponseStatus.SERVICE_UNAVAILABLE,
                             "no_config",
                             NO_CONFIG_RETRY_MILLIS);
@@ -562,39 +586,42 @@
             }
             case PLACING -> {
                 if (nowNanos >= endNanos) {
-                    letGo(RunReport.Outcome.CANCELLED);
-                    giveUpUnplaced("time_over", 0);
-                } else if (isForAnotherHost(nowNanos)) {
-                    handBack();
+                    abandonAttempt(RunReport.Outcome.CANCELLED);
+                    failUnplaced("time_over", 0);
+                } else if (mustLeaveToAnotherHost(nowNanos)) {
+                    returnToCaller();
                 }
             }
             case SENT -> {
                 if (nowNanos >= endNanos) {
-                    timeOver();
-                } else if (rule.isSilent(current, nowNanos) && mayRetry(false)) {
-                    leaveSilent();
+                    timeOut();
+                } else if (retryRule.isSilent(currentAttempt, nowNanos) && mayRetry(false)) {
+                    abandonSilentServer();
                 }
             }
             case DONE -> {}
         }
     }
 
-    /** Returns whether a request that no server has had is better served by another host. */
-    private boolean isForAnotherHost(long nowNanos) {
-        return !rule.mayHaveRun()
+    /** Returns whether this host is stopping and must leave a request that never ran to another. */
+    private boolean mustLeaveToAnotherHost(long nowNanos) {
+        return !retryRule.mayHaveRun()
                 && !streaming
-                && !context.leaving().takes(callerLeftMillis(nowNanos), nowNanos);
+                && !context.shutdownPolicy().accepts(callerRemainingMillis(nowNanos), nowNanos);
     }
 
-    private void timeOver() {
-        letGo(current.hasEvents() ? RunReport.Outcome.CANCELLED : RunReport.Outcome.TIMED_OUT);
-        rule.ran();
-        giveUp(HttpResponseStatus.GATEWAY_TIMEOUT, "time_over", -1);
+    private void timeOut() {
+        abandonAttempt(
+                currentAttempt.hasEvents()
+                        ? RunReport.Outcome.CANCELLED
+                        : RunReport.Outcome.TIMED_OUT);
+        retryRule.ran();
+        fail(HttpResponseStatus.GATEWAY_TIMEOUT, "time_over", -1);
     }
 
-    /** Goes on at another server. */
-    private void leaveSilent() {
-        current.cancel();
-        broken(current, RunReport.Outcome.TIMED_OUT, "silent");
+    /** Abandons a silent server and continues at another one. */
+    private void abandonSilentServer() {
+        currentAttempt.cancel();
+        broken(currentAttempt, RunReport.Outcome.TIMED_OUT, "silent");
     }
 }
--- a/src/main/java/org/orioleshed/gateway/FleetView.java
+++ b/src/main/java/org/orioleshed/gateway/FleetView.java
@@ -20,17 +20,17 @@
 import org.orioleshed.peer.MessageKind;
 import org.orioleshed.peer.PeerPort;
 
-/** This host's view of the other hosts, and who of them is the primary of the pools. */
+/** This host's view of the other hosts, and which of them is the primary of the pools. */
 final class FleetView {
-    /** A host that vanished may be cut off and go on using quotas; it counts this long. */
-    private static final long QUOTA_MEMORY_NANOS = 15_000_000_000L;
+    /** A dead host may only be cut off and still use quotas, so it counts this long. */
+    private static final long QUOTA_RETENTION_NANOS = 15_000_000_000L;
 
     private static final int WATCHERS_PER_DOMAIN = 2;
 
-    /** A start takes about a second; hosts that are killed together are back within some. */
-    private static final long TOGETHER_MILLIS = 4_000;
+    /** A start takes about a second; hosts that are killed together restart within a few. */
+    private static final long COMMON_START_MILLIS = 4_000;
 
-    private static final long START_NANOS = 8_000_000_000L;
+    private static final long RECENT_START_NANOS = 8_000_000_000L;
 
     private static final MembershipOptions OPTIONS =
             new MembershipOptions(300, 150, 2_000, 100, 3, 5_000, 3, 150, 5_000, 30_000);
@@ -42,13 +42,13 @@
     private final MembershipCodec codec = new MembershipCodec();
     private final PeerPort peers;
     private final Listener listener;
-    private final Map<HostId, Long> vanishedNanos = new HashMap<>();
+    private final Map<HostId, Long> diedNanos = new HashMap<>();
     private List<Member> members = List.of();
     private boolean leaving;
     private int registered;
     private long registeredNanos;
 
-    /** Hears of changes, on the data thread. */
+    /** Receives changes, on the data thread. */
     interface Listener {
         void fleetChanged();
 
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Makes the view of a host that knows itself only.
+     * Creates a view that contains only this host.
      *
      * @param clock the monotonic clock, in nanoseconds
      */
@@ -84,7 +84,7 @@
         apply(membership.on(clock.getAsLong(), new MembershipEvent.Seeded(seeds)));
     }
 
-    /** Returns the id of the host at {@code address}: its IP number. */
+    /** Returns the id of the host at {@code address}: its IP address. */
     static HostId hostId(InetSocketAddress address) {
         return new HostId(address.getAddress().getHostAddress());
     }
@@ -113,7 +113,7 @@
                 case MembershipAction.Locate locate -> peers.know(locate.host(), locate.address());
                 case MembershipAction.Died died -> {
                     changed = true;
-                    vanishedNanos.put(died.host(), clock.getAsLong());
+                    diedNanos.put(died.host(), clock.getAsLong());
                     listener.hostDied(died.host());
                 }
                 case MembershipAction.ViewChanged view -> changed = true;
@@ -121,22 +121,22 @@
         }
         if (changed) {
             members = membership.members();
-            members.forEach(member -> vanishedNanos.remove(member.id()));
+            members.forEach(member -> diedNanos.remove(member.id()));
             listener.fleetChanged();
         }
     }
 
-    /** Returns whether this host is about to stop. */
+    /** Returns whether this host is stopping. */
     boolean isLeaving() {
         return leaving;
     }
 
-    /** Returns the hosts that answer and are not about to stop, this one included. */
+    /** Returns the hosts that are alive and not stopping, including this one. */
     List<Member> live() {
         return members.stream().filter(FleetView::isLive).toList();
     }
 
-    /** Returns the other hosts that answer and are not about to stop. */
+    /** Returns the other hosts that are alive and not stopping. */
     List<HostId> others() {
         return live().stream().map(Member::id).filter(id -> !id.equals(self.id())).toList();
     }
@@ -147,16 +147,17 @@
 
     /**
      * Returns whether this host is one of the two of its failure domain that watch the store for
-     * the others, so that calls on the store do not grow with the fleet.
+     * the others, so that store calls do not grow with the fleet.
      */
     boolean watchesStore() {
-        List<HostId> near =
+        List<HostId> sameDomain =
                 members.stream()
                         .filter(member -> member.id().equals(self.id()) || isLive(member))
                         .filter(member -> member.domain().equals(self.domain()))
                         .map(Member::id)
                         .toList();
-        return Rendezvous.ranked(near, "store-watcher").indexOf(self.id()) < WATCHERS_PER_DOMAIN;
+        return Rendezvous.ranked(sameDomain, "store-watcher").indexOf(self.id())
+                < WATCHERS_PER_DOMAIN;
     }
 
     /** Returns the primary: the host that has been up longest. */
@@ -166,7 +167,7 @@
                 .min(Comparator.comparingLong(Member::incarnation).thenComparing(Member::id));
     }
 
-    /** Returns whether {@code host} said in its present incarnation that it is about to stop. */
+    /** Returns whether {@code host} is stopping, or has been replaced by another incarnation. */
     boolean isLeaving(Member host) {
         return members.stream()
                 .filter(member -> member.id().equals(host.id()))
@@ -174,30 +175,30 @@
     }
 
     /**
-     * Returns whether all hosts that are seen started with this one, lately: then none of them used
-     * quotas while they were down.
+     * Returns whether this host started recently and all visible hosts started at about the same
+     * time. Then none of them used quotas while they were down.
      */
     boolean startedTogether() {
-        return clock.getAsLong() - startNanos < START_NANOS
+        return clock.getAsLong() - startNanos < RECENT_START_NANOS
                 && members.stream()
                         .allMatch(
                                 member ->
                                         Math.abs(member.incarnation() - self.incarnation())
-                                                < TOGETHER_MILLIS);
+                                                < COMMON_START_MILLIS);
     }
 
-    /** Takes the number of hosts, this one included, of which something outside tells. */
+    /** Takes the number of hosts from a source other than membership, including this one. */
     void registered(int count) {
         registered = count;
         registeredNanos = clock.getAsLong();
     }
 
-    /** Returns how many hosts may be using quotas, as far as can be told. */
-    int known() {
+    /** Returns the number of hosts that may be using quotas, including dead ones for a while. */
+    int quotaUserCount() {
         long nowNanos = clock.getAsLong();
-        vanishedNanos.values().removeIf(since -> nowNanos - since > QUOTA_MEMORY_NANOS);
-        boolean fresh = nowNanos - registeredNanos < QUOTA_MEMORY_NANOS;
-        int seen = Math.max(1, members.size() + vanishedNanos.size());
-        return fresh ? Math.max(seen, registered) : seen;
+        diedNanos.values().removeIf(since -> nowNanos - since > QUOTA_RETENTION_NANOS);
+        boolean fresh = nowNanos - registeredNanos < QUOTA_RETENTION_NANOS;
+        int visible = Math.max(1, members.size() + diedNanos.size());
+        return fresh ? Math.max(visible, registered) : visible;
     }
 }
--- a/src/main/java/org/orioleshed/gateway/Followers.java
+++ b/src/main/java/org/orioleshed/gateway/Followers.java
@@ -5,31 +5,31 @@
 import org.orioleshed.model.HostId;
 
 /**
- * The hosts that look to this one as the primary. Each lends it its part of all quotas, and lends
- * it to one host only, so the parts that two primaries give out add up to no more than the whole.
+ * The hosts that follow this one as the primary. Each follower lends its part of all quotas to one
+ * host only, so the parts granted by two concurrent primaries add up to no more than the whole.
  */
 final class Followers {
-    /** A host says at this interval whom it follows. */
-    static final long TELL_NANOS = 250_000_000L;
+    /** The interval of follow messages. */
+    static final long FOLLOW_INTERVAL_NANOS = 250_000_000L;
 
-    /** Two words in a row may be lost or late. */
-    private static final long LAPSE_NANOS = 3 * TELL_NANOS;
+    /** Tolerates two consecutive follow messages that are lost or late. */
+    private static final long EXPIRY_NANOS = 3 * FOLLOW_INTERVAL_NANOS;
 
-    private final Map<HostId, Long> heardNanos = new HashMap<>();
+    private final Map<HostId, Long> lastFollowNanos = new HashMap<>();
 
-    /** A host follows this one. */
-    void heard(HostId host, long nowNanos) {
-        heardNanos.put(host, nowNanos);
+    /** Takes a follow message, or a request that serves as one. */
+    void refresh(HostId host, long nowNanos) {
+        lastFollowNanos.put(host, nowNanos);
     }
 
-    /** A host is gone. */
-    void gone(HostId host) {
-        heardNanos.remove(host);
+    /** Removes a host that died. */
+    void remove(HostId host) {
+        lastFollowNanos.remove(host);
     }
 
-    /** Returns how many follow. */
+    /** Returns the number of followers. */
     int count(long nowNanos) {
-        heardNanos.values().removeIf(heard -> nowNanos - heard > LAPSE_NANOS);
-        return heardNanos.size();
+        lastFollowNanos.values().removeIf(last -> nowNanos - last > EXPIRY_NANOS);
+        return lastFollowNanos.size();
     }
 }
--- a/src/main/java/org/orioleshed/gateway/Gateway.java
+++ b/src/main/java/org/orioleshed/gateway/Gateway.java
@@ -45,28 +45,30 @@
 import org.orioleshed.peer.PeerLimits;
 import org.orioleshed.peer.PeerNetwork;
 
-/** One entry host's data path. Owns the data thread, on which all of its state lives. */
+/** The data path of one entry host. All state is confined to its data thread. */
 public final class Gateway implements RequestAcceptor, GatewayContext, FleetView.Listener {
-    /** While a request waits for its place, which the primary may not give in time. */
+    /**
+     * The tick interval while a request waits for a slot, since the primary's grant may be overdue.
+     */
     private static final long PLACING_TICK_MILLIS = 20;
 
-    /** While requests are at servers. */
+    /** The tick interval while requests are at servers. */
     private static final long BUSY_TICK_MILLIS = 50;
 
     private static final long IDLE_TICK_MILLIS = 100;
 
-    /** A tick that is later than this tells of a host that got no processor. */
-    private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** A tick later than this shows that the host got no processor time. */
+    private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** What waited unread while the host was held up is read within this time. */
+    /** Input that waited unread during a stall is read within this time. */
     private static final long CATCH_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** The loop reads all that waits before it runs what is due this much later. */
-    private static final long SOON_MILLIS = 5;
+    /** The event loop reads all pending input before it runs a task with this delay. */
+    private static final long PENDING_READS_MILLIS = 5;
 
     private static final long SLOW_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(IDLE_TICK_MILLIS);
 
-    /** A connection within a region takes a few milliseconds; a lost packet costs a second. */
+    /** Connecting within a region takes a few milliseconds; a lost packet would cost a second. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int BACKLOG = 1_024;
@@ -89,8 +91,8 @@
     private final Dispatcher dispatcher;
     private final CatalogPropagation propagation;
     private final Bootstrap serverBootstrap;
-    private final Map<InetSocketAddress, ServerPool> pools = new HashMap<>();
-    private final Map<ServiceId, RetryWindow> retryWindows = new HashMap<>();
+    private final Map<InetSocketAddress, ServerConnectionPool> pools = new HashMap<>();
+    private final Map<ServiceId, RetryBudget> retryBudgets = new HashMap<>();
     private final Set<Exchange> exchanges = new HashSet<>();
     private final Set<CallerConnection> callers = new HashSet<>();
     private final Histogram firstEventMillis;
@@ -100,20 +102,24 @@
     private final CatalogWatcher watcher;
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
     private volatile boolean alone = true;
-    private final LeavingRule leaving;
-    private boolean keptClosed;
-    private Channel front;
+    private final ShutdownPolicy shutdownPolicy;
+    private boolean keptAliveClosed;
+    private Channel callerChannel;
     private long nextRun;
     private final Ticker ticker = new Ticker(loop, this::tick, this::pauseMillis);
     private long tickedNanos = System.nanoTime();
-    private long lateNanos = tickedNanos - CATCH_UP_NANOS;
+    private long stalledNanos = tickedNanos - CATCH_UP_NANOS;
     private long slowTickNanos;
 
     /**
-     * Opens the address for peers.
+     * Creates a gateway and opens its peer listener.
      *
-     * @param watcher keeps the configuration and the servers; is started with the gateway
-     * @param incarnation grows with each start of the host
+     * @param options the settings
+     * @param translator translates header fields
+     * @param watcher watches the configuration and the servers; started with the gateway
+     * @param log receives log lines
+     * @param random the source of random choices
+     * @param incarnation a number that grows with each start of the host
      */
     public Gateway(
             GatewayOptions options,
@@ -128,7 +134,7 @@
         this.log = log;
         this.random = random;
         this.self = FleetView.hostId(options.peer());
-        this.leaving = new LeavingRule(options.graceMillis());
+        this.shutdownPolicy = new ShutdownPolicy(options.graceMillis());
         this.nextRun = incarnation << RUN_BITS;
         this.firstEventMillis = histogram("first_event_millis");
         this.answerMillis = histogram("answer_millis");
@@ -161,7 +167,7 @@
                         options.rolloutPolicy(),
                         System::nanoTime,
                         log::add);
-        dispatcher.whenRequested(ticker::wake);
+        dispatcher.onRequestSent(ticker::reschedule);
         this.propagation =
                 new CatalogPropagation(
                         member,
@@ -186,34 +192,34 @@
                                 METRICS_WINDOW_SECONDS, TimeUnit.SECONDS)));
     }
 
-    /** Returns the registry for the metrics of others in this process. */
+    /** Returns the metric registry, to which other parts of this process may add. */
     public MetricRegistry metrics() {
         return metrics;
     }
 
-    /** Opens the address for callers and begins to serve. */
+    /** Opens the remaining listeners and begins to serve. */
     public void start() {
         listen(options.ready(), new StatusServer(path -> ready()));
         listen(options.metrics(), new StatusServer(this::metricsPage));
-        front = listen(options.callers(), frontHandler());
+        callerChannel = listen(options.callers(), callerHandler());
         loop.execute(
                 () -> {
-                    fleet.registered(options.leastHosts());
+                    fleet.registered(options.minHosts());
                     fleet.seed(options.seeds());
                     fleetChanged();
-                    ticker.wake();
+                    ticker.reschedule();
                 });
-        watcher.start(newer -> loop.execute(() -> take(newer)));
+        watcher.start(newer -> loop.execute(() -> catalogChanged(newer)));
     }
 
-    /** Takes what records outcomes of rollouts; to be called before the start. */
+    /** Sets the recorder of rollout outcomes; call before {@link #start}. */
     public void recorder(RolloutRecorder recorder) {
         dispatcher.recorder(recorder::record);
     }
 
-    /** The store holds an outcome of a rollout; may be called from any thread. */
+    /** Takes the outcome of a rollout as recorded in the store; may be called from any thread. */
     public void recorded(RolloutOrder order, RolloutOutcome outcome) {
-        loop.execute(() -> dispatcher.recorded(order, outcome));
+        loop.execute(() -> dispatcher.rolloutRecorded(order, outcome));
     }
 
     /** Returns whether this host sees no other; may be called from any thread. */
@@ -221,7 +227,7 @@
         return alone;
     }
 
-    /** Takes peer addresses to try, beside those known. */
+    /** Adds peer addresses to the configured seeds; may be called from any thread. */
     public void seed(List<InetSocketAddress> addresses) {
         List<InetSocketAddress> all = new ArrayList<>(options.seeds());
         all.addAll(addresses);
@@ -246,7 +252,7 @@
                 .channel();
     }
 
-    private ChannelHandler frontHandler() {
+    private ChannelHandler callerHandler() {
         return new ChannelInitializer<SocketChannel>() {
             @Override
             protected void initChannel(SocketChannel channel) {
@@ -259,7 +265,7 @@
     }
 
     private StatusServer.Reply ready() {
-        boolean ready = !leaving.begun() && snapshot.usable().isPresent();
+        boolean ready = !shutdownPolicy.begun() && snapshot.usable().isPresent();
         return ready
                 ? new StatusServer.Reply(HttpResponseStatus.OK, "ready\n")
                 : new StatusServer.Reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready\n");
@@ -278,7 +284,7 @@
                 case MEMBERSHIP -> fleet.received(from, body);
                 case DISPATCH -> {
                     dispatcher.received(from, body);
-                    ticker.wake();
+                    ticker.reschedule();
                 }
                 case CATALOG -> propagation.received(from, body);
                 case ROUTING, REQUEST, SETTINGS, MOVE -> {}
@@ -292,30 +298,30 @@
         }
     }
 
-    private void take(CatalogSnapshot newer) {
+    private void catalogChanged(CatalogSnapshot newer) {
         snapshot = newer;
-        dispatcher.changed(newer);
+        dispatcher.catalogChanged(newer);
         newer.usable()
                 .ifPresent(
                         catalog ->
                                 List.copyOf(exchanges)
                                         .forEach(exchange -> exchange.configured(catalog)));
-        propagation.changed(newer);
+        propagation.catalogChanged(newer);
     }
 
     private void tick() {
         try {
             tickNow();
         } catch (RuntimeException e) {
-            // A task that throws is not run again, and this one keeps all promises about time.
+            // Deadlines and timeouts depend on this task; a failure must not end it.
             failed("tick", e);
         }
     }
 
     private void tickNow() {
         long nowNanos = System.nanoTime();
-        if (nowNanos - tickedNanos > LATE_NANOS) {
-            lateNanos = nowNanos;
+        if (nowNanos - tickedNanos > STALL_NANOS) {
+            stalledNanos = nowNanos;
         }
         tickedNanos = nowNanos;
         List.copyOf(exchanges).forEach(exchange -> exchange.tick(nowNanos));
@@ -325,25 +331,25 @@
             slowTickNanos = nowNanos;
             fleet.tick();
             List.copyOf(callers).forEach(caller -> caller.checkIdle(nowNanos, limits()));
-            pools.values().forEach(pool -> pool.closeOld(nowNanos));
+            pools.values().forEach(pool -> pool.closeExpired(nowNanos));
         }
-        if (leaving.begun()) {
-            leave(nowNanos);
+        if (shutdownPolicy.begun()) {
+            continueStop(nowNanos);
         }
     }
 
     private long pauseMillis() {
-        if (dispatcher.isPlacing() || leaving.begun()) {
+        if (dispatcher.isPlacing() || shutdownPolicy.begun()) {
             return PLACING_TICK_MILLIS;
         }
         return exchanges.isEmpty() ? IDLE_TICK_MILLIS : BUSY_TICK_MILLIS;
     }
 
-    /** Stops gracefully: finishes what runs, within the grace period; returns at the end. */
+    /** Stops gracefully: finishes running requests within the grace period, then returns. */
     public void stop() {
-        // The grace period counts from here, also where the data thread hears of it late.
-        long toldNanos = System.nanoTime();
-        loop.execute(() -> beginToLeave(toldNanos));
+        // The grace period counts from here, even if the data thread runs the task late.
+        long stopNanos = System.nanoTime();
+        loop.execute(() -> beginStop(stopNanos));
         try {
             var unused = stopped.await(options.graceMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -351,53 +357,53 @@
         }
     }
 
-    private void beginToLeave(long toldNanos) {
-        if (leaving.begun()) {
+    private void beginStop(long stopNanos) {
+        if (shutdownPolicy.begun()) {
             return;
         }
-        leaving.begin(toldNanos);
+        shutdownPolicy.begin(stopNanos);
         log.add(
                 "event=leaving running=%d connections=%d"
                         .formatted(exchanges.size(), callers.size()));
         fleet.leave();
-        ticker.wake();
+        ticker.reschedule();
     }
 
-    private void leave(long nowNanos) {
-        boolean over = leaving.isOver(nowNanos);
-        if (leaving.isStillSent(nowNanos) && !over) {
+    private void continueStop(long nowNanos) {
+        boolean over = shutdownPolicy.mustEndAll(nowNanos);
+        if (shutdownPolicy.balancerMayRoute(nowNanos) && !over) {
             return;
         }
-        closeKept();
+        closeKeptAlive();
         if (over) {
             endAll();
         }
-        boolean idle = exchanges.isEmpty() && callers.isEmpty();
-        if (idle || leaving.isLast(nowNanos)) {
+        boolean allClosed = exchanges.isEmpty() && callers.isEmpty();
+        if (allClosed || shutdownPolicy.isFinalDeadline(nowNanos)) {
             end(nowNanos);
         }
     }
 
-    /** Gives all that is left its final answer, and closes when that is written. */
+    /** Ends all remaining requests with a final response, and closes their connections. */
     private void endAll() {
-        // Those that wait go first: the place of one that ends must not go to them.
-        List<Exchange> left = new ArrayList<>(exchanges);
-        left.sort(Comparator.comparing(Exchange::isSent));
-        for (Exchange exchange : left) {
+        // Waiting requests end first, so that the slot of one that ends is not granted to them.
+        List<Exchange> remaining = new ArrayList<>(exchanges);
+        remaining.sort(Comparator.comparing(Exchange::isSent));
+        for (Exchange exchange : remaining) {
             try {
-                exchange.hostEnds();
+                exchange.hostStopping();
             } catch (RuntimeException e) {
                 failed("end", e);
             }
         }
-        List.copyOf(callers).forEach(CallerConnection::closeSoon);
+        List.copyOf(callers).forEach(CallerConnection::closeWhenIdle);
     }
 
-    /** Closes connections that callers keep; those that come later are closed by their answer. */
-    private void closeKept() {
-        if (!keptClosed) {
-            keptClosed = true;
-            List.copyOf(callers).forEach(CallerConnection::closeSoon);
+    /** Closes kept-alive connections; later ones are closed by their response. */
+    private void closeKeptAlive() {
+        if (!keptAliveClosed) {
+            keptAliveClosed = true;
+            List.copyOf(callers).forEach(CallerConnection::closeWhenIdle);
         }
     }
 
@@ -405,8 +411,8 @@
         if (stopped.getCount() == 0) {
             return;
         }
-        front.close();
-        log.add("event=stopped after_ms=" + leaving.sinceMillis(nowNanos));
+        callerChannel.close();
+        log.add("event=stopped after_ms=" + shutdownPolicy.sinceMillis(nowNanos));
         stopped.countDown();
     }
 
@@ -417,7 +423,10 @@
         dispatcher.fleetChanged();
         log.add(
                 "event=fleet live=%d known=%d home=%s"
-                        .formatted(fleet.live().size(), fleet.known(), dispatcher.primaryName()));
+                        .formatted(
+                                fleet.live().size(),
+                                fleet.quotaUserCount(),
+                                dispatcher.primaryName()));
     }
 
     @Override
@@ -442,13 +451,13 @@
     }
 
     @Override
-    public LeavingRule leaving() {
-        return leaving;
+    public ShutdownPolicy shutdownPolicy() {
+        return shutdownPolicy;
     }
 
     @Override
     public boolean isLeaving() {
-        return leaving.begun();
+        return shutdownPolicy.begun();
     }
 
     @Override
@@ -458,19 +467,19 @@
     }
 
     @Override
-    public void failed(String whom, Throwable cause) {
+    public void failed(String context, Throwable cause) {
         metrics.counter("faults").inc();
         StackTraceElement[] frames = cause.getStackTrace();
         log.add(
-                "event=fault whom=%s error=\"%s\" at=%s"
+                "event=fault context=%s error=\"%s\" at=%s"
                         .formatted(
-                                whom,
+                                context,
                                 cause,
                                 frames.length == 0 ? "unknown" : frames[0].toString()));
     }
 
     @Override
-    public void refused(int status, String reason) {
+    public void rejected(int status, String reason) {
         metrics.counter("answers." + status).inc();
         log.add("event=refused_unread status=%d reason=%s".formatted(status, reason));
     }
@@ -506,20 +515,20 @@
     }
 
     @Override
-    public ServerPool pool(InetSocketAddress address) {
+    public ServerConnectionPool pool(InetSocketAddress address) {
         return pools.computeIfAbsent(
-                address, key -> new ServerPool(serverBootstrap, translator, address));
+                address, key -> new ServerConnectionPool(serverBootstrap, translator, address));
     }
 
     @Override
-    public RetryWindow retries(ServiceId service) {
-        return retryWindows.computeIfAbsent(
-                service, key -> new RetryWindow(options.retryRatio(), options.retryWindowMillis()));
+    public RetryBudget retryBudget(ServiceId service) {
+        return retryBudgets.computeIfAbsent(
+                service, key -> new RetryBudget(options.retryRatio(), options.retryWindowMillis()));
     }
 
     @Override
-    public double fixedRetries() {
-        return options.retrySlack() / fleet.known();
+    public double fixedRetryShare() {
+        return options.retrySlack() / fleet.quotaUserCount();
     }
 
     @Override
@@ -530,18 +539,18 @@
     @Override
     public void started(Exchange exchange) {
         exchanges.add(exchange);
-        ticker.wake();
+        ticker.reschedule();
     }
 
     @Override
-    public boolean isLate() {
+    public boolean wasStalled() {
         long nowNanos = System.nanoTime();
-        return nowNanos - tickedNanos > LATE_NANOS || nowNanos - lateNanos < CATCH_UP_NANOS;
+        return nowNanos - tickedNanos > STALL_NANOS || nowNanos - stalledNanos < CATCH_UP_NANOS;
     }
 
     @Override
-    public void soon(Runnable task) {
-        var unused = loop.schedule(task, SOON_MILLIS, TimeUnit.MILLISECONDS);
+    public void runAfterPendingReads(Runnable task) {
+        var unused = loop.schedule(task, PENDING_READS_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
--- a/src/main/java/org/orioleshed/gateway/GatewayContext.java
+++ b/src/main/java/org/orioleshed/gateway/GatewayContext.java
@@ -7,7 +7,7 @@
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.ServiceId;
 
-/** What an exchange needs of the gateway; all calls are made on the data thread. */
+/** The gateway as seen by an exchange; all methods are called on the data thread. */
 interface GatewayContext {
     CatalogSnapshot snapshot();
 
@@ -21,37 +21,37 @@
 
     RunKey nextRun();
 
-    /** Returns the connections to a server's address. */
-    ServerPool pool(InetSocketAddress address);
+    /** Returns the connection pool of a server's address. */
+    ServerConnectionPool pool(InetSocketAddress address);
 
-    /** Returns the budget for second sends to a service. */
-    RetryWindow retries(ServiceId service);
+    /** Returns the retry budget of a service. */
+    RetryBudget retryBudget(ServiceId service);
 
-    /** Returns this host's part of the fixed number of second sends. */
-    double fixedRetries();
+    /** Returns this host's share of the fixed number of retries. */
+    double fixedRetryShare();
 
     /**
-     * Returns when a caller whose request could not be sent should come back, in milliseconds.
+     * Returns when a caller whose request could not be sent should retry, in milliseconds.
      *
-     * @param leftMillis the time that it has left
+     * @param leftMillis the time left until the caller's deadline, in milliseconds
      */
     long retryAfterMillis(long leftMillis);
 
-    /** Returns what is taken while this host is about to stop. */
-    LeavingRule leaving();
+    /** Returns the policy for requests while this host is stopping. */
+    ShutdownPolicy shutdownPolicy();
 
     void started(Exchange exchange);
 
-    /** Returns whether this host was held up, so that what it reads now may have waited long. */
-    boolean isLate();
+    /** Returns whether this host stalled, so that input read now may have waited long. */
+    boolean wasStalled();
 
-    /** Runs a task after what waits unread on all connections. */
-    void soon(Runnable task);
+    /** Runs a task after the pending input of all connections is read. */
+    void runAfterPendingReads(Runnable task);
 
-    /** Notes an end; {@code status} is 0 where the caller got no answer. */
+    /** Records the end of an exchange; {@code status} is 0 if the caller got no response. */
     void finished(Exchange exchange, int status, long totalMillis);
 
-    /** Notes a stream's first event. */
+    /** Records the time to a stream's first event. */
     void firstEvent(long millis);
 
     void log(String line);
--- a/src/main/java/org/orioleshed/gateway/GatewayOptions.java
+++ b/src/main/java/org/orioleshed/gateway/GatewayOptions.java
@@ -7,21 +7,22 @@
 import org.orioleshed.model.FailureDomain;
 
 /**
- * What a gateway is told at its start.
+ * The settings of a gateway, fixed at its start.
  *
  * @param domain the host's failure domain
- * @param callers where it listens for callers
- * @param ready where it says whether it takes new connections
- * @param metrics where it serves metrics
- * @param peer where it listens for other hosts
+ * @param callers the listen address for callers
+ * @param ready the listen address of the readiness endpoint
+ * @param metrics the listen address of the metrics endpoint
+ * @param peer the listen address for other hosts
  * @param seeds other hosts' peer addresses, some of which may be stale
- * @param leastHosts how many hosts there are at least, this one included; positive
- * @param retryRatio second sends for each first send, over all hosts
- * @param retryWindowMillis the window in which they count, in milliseconds
- * @param retrySlack second sends allowed beside that, over all hosts
+ * @param minHosts the minimum number of hosts, including this one; positive
+ * @param retryRatio retries per first attempt, over all hosts
+ * @param retryWindowMillis the window of the retry budget, in milliseconds; positive
+ * @param retrySlack retries per window allowed beyond the ratio, over all hosts
  * @param quotaSlack what workspaces may use beyond their quotas
- * @param rolloutPolicy what a bad version may cost
- * @param graceMillis the time from the word to stop to the end of the process, in milliseconds
+ * @param rolloutPolicy the limits on the damage of a bad version
+ * @param graceMillis the time from the stop signal to the end of the process, in milliseconds;
+ *     positive
  */
 public record GatewayOptions(
         FailureDomain domain,
@@ -30,14 +31,18 @@
         InetSocketAddress metrics,
         InetSocketAddress peer,
         List<InetSocketAddress> seeds,
-        int leastHosts,
+        int minHosts,
         double retryRatio,
         long retryWindowMillis,
         double retrySlack,
         Quotas.Slack quotaSlack,
         RolloutPolicy rolloutPolicy,
         long graceMillis) {
-    /** Copies the list. */
+    /**
+     * Copies the seeds.
+     *
+     * @throws IllegalArgumentException if the retry window or the grace period is not positive
+     */
     public GatewayOptions {
         seeds = List.copyOf(seeds);
         if (retryWindowMillis <= 0 || graceMillis <= 0) {
--- a/src/main/java/org/orioleshed/gateway/HostRegistry.java
+++ b/src/main/java/org/orioleshed/gateway/HostRegistry.java
@@ -11,22 +11,25 @@
 import org.orioleshed.store.Store;
 
 /**
- * Tells the other hosts through the store where this one is, and finds them there, since the seeds
- * of the settings may all be gone. Membership does the rest.
+ * Registers this host's peer address in the store and discovers other hosts there, since all seeds
+ * of the settings may be stale. Membership takes over from the discovered addresses.
  */
 public final class HostRegistry {
-    /** The product's own part of the store. */
+    /** The key prefix of host registrations, in the part of the store owned by this product. */
     private static final String PREFIX = "orioleshed/hosts/";
 
-    /** Longer than most outages of the store, so that hosts that start then find the others. */
+    /** Outlasts most store outages, so that hosts that start after one find the others. */
     private static final long LEASE_MILLIS = 60_000;
 
-    private static final long RENEW_MILLIS = 15_000;
+    private static final long RENEWAL_INTERVAL_MILLIS = 15_000;
 
-    /** A host that sees no other looks for some at this interval. */
-    private static final long LOOK_MILLIS = 2_000;
+    /**
+     * The interval at which a host that sees no other lists the registrations, and at which a
+     * failed registration is retried.
+     */
+    private static final long RETRY_INTERVAL_MILLIS = 2_000;
 
-    private static final long CALL_MILLIS = 1_500;
+    private static final long CALL_TIMEOUT_MILLIS = 1_500;
 
     private final Store store;
     private final InetSocketAddress self;
@@ -35,14 +38,17 @@
     private final Consumer<List<InetSocketAddress>> found;
     private final Consumer<String> log;
     private long leaseId;
-    private boolean written;
+    private boolean registered;
 
     /**
-     * Makes one that does nothing yet.
+     * Creates a registry that is not started.
      *
+     * @param store the store that holds the registrations
      * @param self this host's peer address
-     * @param alone whether this host sees no other; called on the executor's thread
-     * @param found takes other hosts' peer addresses
+     * @param executor runs all work of the registry
+     * @param alone returns whether this host sees no other; called on the executor's thread
+     * @param found receives other hosts' peer addresses, on the executor's thread
+     * @param log receives log lines
      */
     public HostRegistry(
             Store store,
@@ -59,34 +65,35 @@
         this.log = log;
     }
 
-    /** Starts to register, renew and look. */
+    /** Starts to register, renew and discover. */
     public void start() {
         executor.execute(this::renew);
-        executor.execute(this::lookIfAlone);
+        executor.execute(this::discoverIfAlone);
     }
 
     private void renew() {
         if (leaseId == 0) {
-            store.grantLease(LEASE_MILLIS, CALL_MILLIS).thenAcceptAsync(this::granted, executor);
+            store.grantLease(LEASE_MILLIS, CALL_TIMEOUT_MILLIS)
+                    .thenAcceptAsync(this::granted, executor);
         } else {
-            store.keepAlive(leaseId, CALL_MILLIS).thenAcceptAsync(this::kept, executor);
+            store.keepAlive(leaseId, CALL_TIMEOUT_MILLIS).thenAcceptAsync(this::renewed, executor);
         }
     }
 
     private void granted(Store.Result result) {
         if (result instanceof Store.Result.Lease lease) {
             leaseId = lease.leaseId();
-            written = false;
+            registered = false;
             write(0);
             return;
         }
         failed("lease", result);
     }
 
-    private void kept(Store.Result result) {
+    private void renewed(Store.Result result) {
         if (result instanceof Store.Result.Lease) {
-            if (written) {
-                again(RENEW_MILLIS);
+            if (registered) {
+                scheduleRenewal(RENEWAL_INTERVAL_MILLIS);
             } else {
                 write(0);
             }
@@ -97,16 +104,16 @@
     }
 
     private void write(long revision) {
-        store.swap(key(), revision, Payload.of(text(self)), leaseId, CALL_MILLIS)
+        store.swap(key(), revision, Payload.of(format(self)), leaseId, CALL_TIMEOUT_MILLIS)
                 .thenAcceptAsync(this::swapped, executor);
     }
 
     private void swapped(Store.Result result) {
         switch (result) {
             case Store.Result.Swapped swapped -> {
-                written = true;
+                registered = true;
                 log.accept("event=registered key=%s".formatted(key()));
-                again(RENEW_MILLIS);
+                scheduleRenewal(RENEWAL_INTERVAL_MILLIS);
             }
             case Store.Result.Conflict conflict ->
                     write(conflict.present().map(Store.Entry::revision).orElse(0L));
@@ -117,30 +124,32 @@
         }
     }
 
-    private void failed(String what, Store.Result result) {
-        log.accept("event=not_registered step=%s reason=\"%s\"".formatted(what, result));
-        again(LOOK_MILLIS);
+    private void failed(String step, Store.Result result) {
+        log.accept("event=not_registered step=%s reason=\"%s\"".formatted(step, result));
+        scheduleRenewal(RETRY_INTERVAL_MILLIS);
     }
 
-    private void again(long millis) {
+    private void scheduleRenewal(long millis) {
         var unused = executor.schedule(this::renew, millis, TimeUnit.MILLISECONDS);
     }
 
-    private void lookIfAlone() {
+    private void discoverIfAlone() {
         if (alone.getAsBoolean()) {
-            store.list(PREFIX, CALL_MILLIS).thenAcceptAsync(this::listed, executor);
+            store.list(PREFIX, CALL_TIMEOUT_MILLIS).thenAcceptAsync(this::listed, executor);
         }
-        var unused = executor.schedule(this::lookIfAlone, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        var unused =
+                executor.schedule(
+                        this::discoverIfAlone, RETRY_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void listed(Store.Result result) {
         if (!(result instanceof Store.Result.Entries entries)) {
-            log.accept("event=hosts_unknown reason=\"%s\"".formatted(result));
+            log.accept("event=host_listing_failed reason=\"%s\"".formatted(result));
             return;
         }
         List<InetSocketAddress> others = new ArrayList<>();
         for (Store.Entry entry : entries.entries()) {
-            InetSocketAddress address = address(entry.value().text());
+            InetSocketAddress address = parse(entry.value().text());
             if (address != null && !address.equals(self)) {
                 others.add(address);
             }
@@ -153,12 +162,12 @@
         return PREFIX + self.getAddress().getHostAddress();
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Returns the address in an entry; null where another program wrote something else. */
-    private static InetSocketAddress address(String text) {
+    /** Parses the address of an entry; returns null if another program wrote something else. */
+    private static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
             return new InetSocketAddress(
--- a/src/main/java/org/orioleshed/gateway/LogRing.java
+++ b/src/main/java/org/orioleshed/gateway/LogRing.java
@@ -9,23 +9,27 @@
 import org.jctools.queues.atomic.MpscAtomicArrayQueue;
 
 /**
- * Writes lines on a thread of its own. When the ring is full, lines are dropped and counted; no
- * caller ever waits.
+ * Writes log lines on a separate thread. When the ring is full, lines are dropped and counted;
+ * callers never block.
  */
 public final class LogRing implements AutoCloseable {
-    /** Some seconds of lines at a host's greatest load. */
-    private static final int LINES = 8_192;
+    /** A few seconds of lines at a host's maximum load. */
+    private static final int CAPACITY = 8_192;
 
-    /** Lines are written together, since each write is a system call. */
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /** Lines are written in batches, since each write is a system call. */
+    private static final long WRITE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    private final MpscAtomicArrayQueue<String> ring = new MpscAtomicArrayQueue<>(LINES);
+    private final MpscAtomicArrayQueue<String> ring = new MpscAtomicArrayQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
     private final OutputStream out;
     private final Thread thread;
     private volatile boolean closed;
 
-    /** Starts the thread. */
+    /**
+     * Creates a log and starts its thread.
+     *
+     * @param out receives the lines in UTF-8
+     */
     public LogRing(OutputStream out) {
         this.out = out;
         this.thread = new Thread(this::run, "log");
@@ -33,14 +37,14 @@
         thread.start();
     }
 
-    /** Takes a line of key=value pairs, or drops and counts it. */
+    /** Adds a line of key=value pairs, or drops and counts it if the ring is full. */
     public void add(String line) {
         if (!ring.offer(line)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Returns the lines dropped so far. */
+    /** Returns the number of lines dropped so far. */
     public long dropped() {
         return dropped.get();
     }
@@ -48,7 +52,7 @@
     private void run() {
         long reported = 0;
         while (!closed) {
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(WRITE_INTERVAL_NANOS);
             reported = writeAll(reported);
         }
         writeAll(reported);
@@ -75,12 +79,12 @@
             out.write(text.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            // Nobody reads the log any more; requests are served all the same, and the lines count.
+            // The log's reader is gone; requests are still served, and the loss is counted.
             dropped.incrementAndGet();
         }
     }
 
-    /** Writes what waits and ends the thread. */
+    /** Writes the pending lines and stops the thread. */
     @Override
     public void close() {
         closed = true;
--- a/src/main/java/org/orioleshed/gateway/MetricsText.java
+++ b/src/main/java/org/orioleshed/gateway/MetricsText.java
@@ -8,22 +8,22 @@
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
 
-/** Writes the metrics in Prometheus' text format. */
+/** Formats metrics in the Prometheus text format. */
 public final class MetricsText {
     private final CollectorRegistry registry = new CollectorRegistry();
 
-    /** Writes the metrics of a registry. */
+    /** Creates a formatter for the metrics of a registry. */
     public MetricsText(MetricRegistry metrics) {
         registry.register(new DropwizardExports(metrics));
     }
 
-    /** Returns all metrics at this moment. */
+    /** Returns the current values of all metrics. */
     public String write() {
         StringWriter text = new StringWriter();
         try {
             TextFormat.write004(text, registry.metricFamilySamples());
         } catch (IOException e) {
-            throw new UncheckedIOException("a string can't fail", e);
+            throw new UncheckedIOException("unexpected failure of a StringWriter", e);
         }
         return text.toString();
     }
--- a/src/main/java/org/orioleshed/gateway/PrimaryLink.java
+++ b/src/main/java/org/orioleshed/gateway/PrimaryLink.java
@@ -5,16 +5,16 @@
 import org.orioleshed.membership.Member;
 import org.orioleshed.model.HostId;
 
-/** Whom this host looks to as the primary of the pools, and whether that answers. */
+/** The primary of the pools that this host follows, and whether it responds. */
 final class PrimaryLink {
-    /** A primary that did not answer gets requests again after this time. */
-    private static final long PAUSE_NANOS = 400_000_000L;
+    /** A primary that did not respond gets requests again after this time. */
+    private static final long RETRY_DELAY_NANOS = 400_000_000L;
 
-    /** What waits at a primary that does not answer others is placed elsewhere after this time. */
+    /** Requests queued at a primary that responds to nothing are placed locally after this time. */
     private static final long LOST_NANOS = 300_000_000L;
 
-    /** A primary that answered this lately is there, whatever others say. */
-    private static final long HEARD_NANOS = 500_000_000L;
+    /** A primary that responded within this time counts as alive, whatever membership reports. */
+    private static final long RESPONSIVE_NANOS = 500_000_000L;
 
     private final HostId self;
     private final FleetView fleet;
@@ -23,8 +23,8 @@
     private boolean silent;
     private long silentSinceNanos;
     private long retryNanos;
-    private long heardNanos;
-    private long followedNanos;
+    private long respondedNanos;
+    private long messageSentNanos;
 
     PrimaryLink(HostId self, FleetView fleet, Consumer<String> log) {
         this.self = self;
@@ -32,12 +32,12 @@
         this.log = log;
     }
 
-    /** Returns the primary; empty while none is known. */
+    /** Returns the primary's id; empty while there is none. */
     Optional<HostId> id() {
         return primary.map(Member::id);
     }
 
-    /** Returns one word on who is the primary, for the log. */
+    /** Returns the primary's name for the log; "none" while there is no primary. */
     String name() {
         return id().map(HostId::value).orElse("none");
     }
@@ -51,23 +51,27 @@
         return primary.isPresent() && !isSelf() && nowNanos >= retryNanos;
     }
 
-    /** Returns whether the primary has answered nobody for so long that no grant will come. */
+    /** Returns whether the primary has been silent for so long that no grant will come. */
     boolean isLost(long nowNanos) {
         return silent && nowNanos - silentSinceNanos > LOST_NANOS;
     }
 
-    /** This host sent the primary a request, which also shows that it is followed. */
-    void requested(long nowNanos) {
-        followedNanos = nowNanos;
+    /**
+     * Records the sending of a request or follow message to the primary; either shows that this
+     * host follows it.
+     */
+    void messageSent(long nowNanos) {
+        messageSentNanos = nowNanos;
     }
 
-    /** Returns whether it is time to tell the primary that this host follows it. */
-    boolean isTellDue(long nowNanos) {
-        return acceptsRequests(nowNanos) && nowNanos - followedNanos >= Followers.TELL_NANOS;
+    /** Returns whether a follow message to the primary is due. */
+    boolean isFollowDue(long nowNanos) {
+        return acceptsRequests(nowNanos)
+                && nowNanos - messageSentNanos >= Followers.FOLLOW_INTERVAL_NANOS;
     }
 
-    /** Takes an answer of a host, which may be the primary. */
-    void answered(HostId from, long nowNanos) {
+    /** Records a response from a host, which may be the primary. */
+    void responded(HostId from, long nowNanos) {
         if (!id().equals(Optional.of(from))) {
             return;
         }
@@ -75,17 +79,17 @@
             silent = false;
             log.accept("event=home_back home=" + from);
         }
-        heardNanos = nowNanos;
+        respondedNanos = nowNanos;
         retryNanos = nowNanos;
     }
 
     /**
-     * The primary did not answer in time.
+     * Marks the primary as silent: it did not respond in time.
      *
-     * @return whether that is new
+     * @return whether it was not yet marked as silent
      */
-    boolean noteSilence(long nowNanos) {
-        retryNanos = nowNanos + PAUSE_NANOS;
+    boolean markSilent(long nowNanos) {
+        retryNanos = nowNanos + RETRY_DELAY_NANOS;
         if (silent) {
             return false;
         }
@@ -96,19 +100,19 @@
     }
 
     /**
-     * Chooses the primary anew after the view changed.
+     * Chooses the primary again after a change of the membership view.
      *
-     * @return whether it is another one, or another start of it
+     * @return whether it is another host, or another incarnation of the same host
      */
     boolean choose(long nowNanos) {
         Optional<Member> candidate = fleet.primary();
-        if (keeps(candidate, nowNanos) || isSame(candidate)) {
+        if (keepsPrimary(candidate, nowNanos) || isSame(candidate)) {
             return false;
         }
         primary = candidate;
         silent = false;
         retryNanos = nowNanos;
-        followedNanos = nowNanos - Followers.TELL_NANOS;
+        messageSentNanos = nowNanos - Followers.FOLLOW_INTERVAL_NANOS;
         return true;
     }
 
@@ -118,15 +122,16 @@
     }
 
     /**
-     * Returns whether the present primary stays although the view no longer names it: a rumour that
-     * it is gone counts for less than its answers, unless a host that has been up longer is back.
+     * Returns whether to keep the current primary although membership names another host: its
+     * recent responses outweigh a membership report that it died, unless a host that has been up
+     * longer is back.
      */
-    private boolean keeps(Optional<Member> candidate, long nowNanos) {
+    private boolean keepsPrimary(Optional<Member> candidate, long nowNanos) {
         if (primary.isEmpty() || candidate.isEmpty() || isSelf() || silent) {
             return false;
         }
         boolean younger = candidate.get().incarnation() > primary.get().incarnation();
-        boolean answers = nowNanos - heardNanos < HEARD_NANOS;
-        return younger && answers && !fleet.isLeaving(primary.get());
+        boolean responsive = nowNanos - respondedNanos < RESPONSIVE_NANOS;
+        return younger && responsive && !fleet.isLeaving(primary.get());
     }
 }
--- a/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
+++ b/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
@@ -4,41 +4,44 @@
 import org.orioleshed.dispatch.DispatchEvent;
 
 /**
- * Decides whether what a primary that leaves has left of quotas counts for this host: once, and
- * only while it has just become the primary. The word may come before this host knows that it is
- * the primary, late, or twice.
+ * Decides whether the quota credit that a leaving primary handed over applies to this host: once,
+ * and only if this host has just become the primary. The message may arrive before this host is the
+ * primary, late, or twice.
  */
 final class QuotaHandOver {
-    /** All hosts hear of a primary that leaves within this time. */
-    private static final long FRESH_NANOS = 1_000_000_000L;
+    /** All hosts receive the notice of a leaving primary within this time. */
+    private static final long VALIDITY_NANOS = 1_000_000_000L;
 
-    private Optional<DispatchEvent.QuotasHanded> handed = Optional.empty();
-    private long handedNanos;
-    private long begunNanos;
+    private Optional<DispatchEvent.QuotasHanded> received = Optional.empty();
+    private long receivedNanos;
+    private long primarySinceNanos;
     private boolean taken = true;
 
-    /** This host has become the primary. */
-    void begin(long nowNanos) {
-        begunNanos = nowNanos;
+    /** Records that this host has become the primary. */
+    void becamePrimary(long nowNanos) {
+        primarySinceNanos = nowNanos;
         taken = false;
     }
 
-    /** A primary before this one has handed over. */
-    void received(DispatchEvent.QuotasHanded newHanded, long nowNanos) {
-        handed = Optional.of(newHanded);
-        handedNanos = nowNanos;
+    /** Takes the quota credit of a previous primary. */
+    void received(DispatchEvent.QuotasHanded handed, long nowNanos) {
+        received = Optional.of(handed);
+        receivedNanos = nowNanos;
     }
 
-    /** Returns what this host, which is the primary, goes on with; empty where nothing counts. */
+    /**
+     * Returns the quota credit that this host, as the primary, takes over; empty if none applies.
+     */
     Optional<DispatchEvent.QuotasHanded> take(long nowNanos) {
-        boolean fresh =
-                nowNanos - handedNanos <= FRESH_NANOS && nowNanos - begunNanos <= FRESH_NANOS;
-        if (taken || !fresh || handed.isEmpty()) {
+        boolean valid =
+                nowNanos - receivedNanos <= VALIDITY_NANOS
+                        && nowNanos - primarySinceNanos <= VALIDITY_NANOS;
+        if (taken || !valid || received.isEmpty()) {
             return Optional.empty();
         }
         taken = true;
-        Optional<DispatchEvent.QuotasHanded> result = handed;
-        handed = Optional.empty();
+        Optional<DispatchEvent.QuotasHanded> result = received;
+        received = Optional.empty();
         return result;
     }
 }
--- a/src/main/java/org/orioleshed/gateway/RequestAcceptor.java
+++ b/src/main/java/org/orioleshed/gateway/RequestAcceptor.java
@@ -2,24 +2,24 @@
 
 import org.orioleshed.catalog.CallerLimits;
 
-/** What callers' connections need of the gateway. */
+/** The gateway as seen by callers' connections. */
 interface RequestAcceptor {
     void opened(CallerConnection connection);
 
     void closed(CallerConnection connection);
 
-    /** Returns what callers may send at present. */
+    /** Returns the current limits on callers' requests and connections. */
     CallerLimits limits();
 
-    /** Returns whether this host is about to stop. */
+    /** Returns whether this host is stopping. */
     boolean isLeaving();
 
-    /** Makes the exchange for a request that was read whole. */
+    /** Creates the exchange for a request that was read whole. */
     Exchange exchange(CallerConnection connection, CallerRequest request);
 
-    /** Notes a fault of this program while it served {@code whom}. */
-    void failed(String whom, Throwable cause);
+    /** Records an internal fault; {@code context} names the work in which it occurred. */
+    void failed(String context, Throwable cause);
 
-    /** Notes a request that was refused before it was read whole. */
-    void refused(int status, String reason);
+    /** Records a request that was rejected before it was read whole. */
+    void rejected(int status, String reason);
 }
--- a/src/main/java/org/orioleshed/gateway/ResponseHeaders.java
+++ b/src/main/java/org/orioleshed/gateway/ResponseHeaders.java
@@ -3,23 +3,23 @@
 import org.orioleshed.dispatch.StatedLimit;
 
 /**
- * What a server's header fields say of its answer.
+ * The values read from the header fields of a server's response.
  *
- * @param id the id of the request that it answers; empty where it states none
- * @param signed whether the server vouches for the answer
+ * @param id the id of the request to which the server responds; empty if absent
+ * @param signed whether the response bears the server's signature
  * @param notRun whether the server states that it did not run the request
- * @param keepMillis how long the server keeps the idle connection, in milliseconds; negative where
- *     it does not say
- * @param leaving whether the server states that it is about to leave
- * @param restMillis how long the server wants nothing from this host, in milliseconds; 0 where it
- *     states nothing of the kind
- * @param limit how many requests the server takes from all hosts together
+ * @param keepAliveMillis how long the server keeps an idle connection open, in milliseconds;
+ *     negative if not stated
+ * @param leaving whether the server states that it is leaving
+ * @param backoffMillis how long this host must send the server nothing, in milliseconds; 0 if not
+ *     stated
+ * @param limit the request rate that the server accepts from all hosts together
  */
 public record ResponseHeaders(
         String id,
         boolean signed,
         boolean notRun,
-        long keepMillis,
+        long keepAliveMillis,
         boolean leaving,
-        long restMillis,
+        long backoffMillis,
         StatedLimit limit) {}
--- a/src/main/java/org/orioleshed/gateway/RetryRule.java
+++ b/src/main/java/org/orioleshed/gateway/RetryRule.java
@@ -3,51 +3,52 @@
 import org.orioleshed.catalog.CallRoute;
 
 /**
- * Decides whether a request may be sent to another server. What may have run is sent again only
- * where its route allows that, and to no more servers than it allows; what provably has not run may
- * always be sent again, a few times.
+ * Decides whether a request may be sent to another server. A request that may have run is sent
+ * again only if its route allows that, and to no more servers than it allows. A request that
+ * provably has not run may always be sent again, a limited number of times.
  */
 final class RetryRule {
-    /** Attempts that provably did not run the request, beside those that may have. */
-    private static final int MAX_PROVED_ATTEMPTS = 3;
+    /** Attempts that provably did not run the request, not counting those that may have. */
+    private static final int MAX_NOT_RUN_ATTEMPTS = 3;
 
-    /** With less time left than this, no server could answer. */
+    /** With less time left than this, no server could respond. */
     private static final long MIN_ATTEMPT_MILLIS = 30;
 
-    /** A server that is silent for this many targets, or usual pauses, is given up for another. */
+    /** A server that sends no first event for this many latency targets is abandoned. */
     private static final double SILENT_TARGETS = 1.5;
 
+    /** A server that pauses between events for this many usual gaps is abandoned. */
     private static final double SILENT_GAPS = 2.5;
 
-    /** A shorter silence is usual for a server under load. */
-    private static final long LEAST_SILENCE_MILLIS = 700;
+    /** A shorter silence is normal for a server under load. */
+    private static final long MIN_SILENCE_MILLIS = 700;
 
     private final CallRoute route;
-    private int runs;
-    private int provedAttempts;
+    private int possibleRuns;
+    private int notRunAttempts;
     private boolean mayHaveRun;
 
     RetryRule(CallRoute route) {
         this.route = route;
     }
 
-    /** The request was sent. */
+    /** Records that the request was sent. */
     void sent() {
-        runs++;
+        possibleRuns++;
     }
 
-    /** The server that was chosen is not there any more; nothing was sent. */
+    /** Records that the chosen server is no longer usable and nothing was sent. */
     void notSent() {
-        provedAttempts++;
+        notRunAttempts++;
     }
 
-    /** The request that was sent has provably not run. */
+    /** Records that the request that was sent provably did not run. */
     void provedNotRun() {
-        runs--;
-        provedAttempts++;
+        possibleRuns--;
+        notRunAttempts++;
     }
 
-    /** The request that was sent has run, or may have. */
+    /** Records that the request that was sent ran, or may have run. */
     void ran() {
         mayHaveRun = true;
     }
@@ -57,31 +58,31 @@
     }
 
     int attempts() {
-        return runs + provedAttempts;
+        return possibleRuns + notRunAttempts;
     }
 
     /**
      * Returns whether the request may be sent to another server.
      *
-     * @param proved whether the last attempt provably did not run it
-     * @param leftMillis the time that its caller still waits, in milliseconds
+     * @param proved whether the last attempt provably did not run the request
+     * @param leftMillis the time left for the request, in milliseconds
      */
     boolean mayRetry(boolean proved, long leftMillis) {
         if (leftMillis < MIN_ATTEMPT_MILLIS) {
             return false;
         }
         if (proved) {
-            return provedAttempts <= MAX_PROVED_ATTEMPTS;
+            return notRunAttempts <= MAX_NOT_RUN_ATTEMPTS;
         }
-        return route.mayRunAgain() && runs < route.attempts();
+        return route.mayRunAgain() && possibleRuns < route.attempts();
     }
 
-    /** Returns whether a server has said nothing for longer than one under load does. */
-    boolean isSilent(ServerAttempt which, long nowNanos) {
+    /** Returns whether a server has been silent for longer than is normal under load. */
+    boolean isSilent(ServerAttempt attempt, long nowNanos) {
         double usualMillis =
-                which.hasEvents()
+                attempt.hasEvents()
                         ? SILENT_GAPS * route.gapMillis()
                         : SILENT_TARGETS * route.targetMillis();
-        return which.silentMillis(nowNanos) > Math.max(LEAST_SILENCE_MILLIS, usualMillis);
+        return attempt.silentMillis(nowNanos) > Math.max(MIN_SILENCE_MILLIS, usualMillis);
     }
 }
--- a/src/main/java/org/orioleshed/gateway/RolloutRecorder.java
+++ b/src/main/java/org/orioleshed/gateway/RolloutRecorder.java
@@ -15,24 +15,28 @@
 import org.orioleshed.store.Store;
 
 /**
- * Records the outcomes of rollouts in the store, by compare-and-swap after a read, so that there is
- * one outcome whatever happens to hosts. An outcome that another host recorded is taken over.
+ * Records the outcomes of rollouts in the store by compare-and-swap after a read, so that each
+ * rollout has one outcome even if hosts fail. An outcome that another host recorded is adopted.
  */
 public final class RolloutRecorder {
-    private static final long CALL_MILLIS = 800;
-    private static final long RETRY_MILLIS = 200;
+    private static final long CALL_TIMEOUT_MILLIS = 800;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final Store store;
     private final CatalogDecoder decoder;
     private final ScheduledExecutorService executor;
     private final BiConsumer<RolloutOrder, RolloutOutcome> recorded;
     private final Consumer<String> log;
-    private final Map<RolloutOrder, RolloutOutcome> wanted = new HashMap<>();
+    private final Map<RolloutOrder, RolloutOutcome> pending = new HashMap<>();
 
     /**
-     * Makes one.
+     * Creates a recorder.
      *
-     * @param recorded takes what the store holds, on the executor's thread
+     * @param store the store that holds the outcomes
+     * @param decoder encodes and decodes outcomes
+     * @param executor runs all work of the recorder
+     * @param recorded receives the outcomes that the store holds, on the executor's thread
+     * @param log receives log lines
      */
     public RolloutRecorder(
             Store store,
@@ -47,11 +51,11 @@
         this.log = log;
     }
 
-    /** Records an outcome unless a final one stands; may be called from any thread. */
+    /** Records an outcome unless a final one is recorded; may be called from any thread. */
     public void record(RolloutOrder order, RolloutOutcome outcome) {
         executor.execute(
                 () -> {
-                    RolloutOutcome before = wanted.put(order, outcome);
+                    RolloutOutcome before = pending.put(order, outcome);
                     if (before == null) {
                         read(order);
                     }
@@ -59,13 +63,13 @@
     }
 
     private void read(RolloutOrder order) {
-        store.get(decoder.outcomeKey(order.service()), CALL_MILLIS)
-                .thenAcceptAsync(result -> wasRead(order, result), executor);
+        store.get(decoder.outcomeKey(order.service()), CALL_TIMEOUT_MILLIS)
+                .thenAcceptAsync(result -> handleRead(order, result), executor);
     }
 
-    private void wasRead(RolloutOrder order, Store.Result result) {
+    private void handleRead(RolloutOrder order, Store.Result result) {
         if (!(result instanceof Store.Result.Entries entries)) {
-            again(order, result);
+            retry(order, result);
             return;
         }
         if (entries.entries().isEmpty()) {
@@ -78,9 +82,9 @@
                 present.isPresent()
                         && entry.revision() > order.revision()
                         && (present.get() != RolloutOutcome.RUNNING
-                                || present.get() == wanted.get(order));
+                                || present.get() == pending.get(order));
         if (stands) {
-            done(order, present.get());
+            complete(order, present.get());
         } else {
             write(order, entry.revision());
         }
@@ -98,32 +102,33 @@
     }
 
     private void write(RolloutOrder order, long revision) {
-        RolloutOutcome outcome = wanted.get(order);
+        RolloutOutcome outcome = pending.get(order);
         Payload value = Payload.of(decoder.encodeOutcome(order, outcome));
-        store.swap(decoder.outcomeKey(order.service()), revision, value, 0, CALL_MILLIS)
-                .thenAcceptAsync(result -> wasWritten(order, outcome, result), executor);
+        store.swap(decoder.outcomeKey(order.service()), revision, value, 0, CALL_TIMEOUT_MILLIS)
+                .thenAcceptAsync(result -> handleWrite(order, outcome, result), executor);
     }
 
-    private void wasWritten(RolloutOrder order, RolloutOutcome outcome, Store.Result result) {
+    private void handleWrite(RolloutOrder order, RolloutOutcome outcome, Store.Result result) {
         if (result instanceof Store.Result.Swapped) {
-            done(order, outcome);
+            complete(order, outcome);
         } else {
-            again(order, result);
+            retry(order, result);
         }
     }
 
-    private void done(RolloutOrder order, RolloutOutcome outcome) {
+    private void complete(RolloutOrder order, RolloutOutcome outcome) {
         log.accept("event=move_recorded order=%s outcome=%s".formatted(order, outcome));
-        RolloutOutcome now = wanted.remove(order);
+        RolloutOutcome latest = pending.remove(order);
         recorded.accept(order, outcome);
-        if (now != outcome && outcome == RolloutOutcome.RUNNING) {
-            record(order, now);
+        if (latest != outcome && outcome == RolloutOutcome.RUNNING) {
+            record(order, latest);
         }
     }
 
-    /** Reads again: a lost answer is settled so, and a conflict, too. */
-    private void again(RolloutOrder order, Store.Result result) {
+    /** Reads again after a delay, which settles a lost response or a conflict. */
+    private void retry(RolloutOrder order, Store.Result result) {
         log.accept("event=move_not_recorded order=%s reason=\"%s\"".formatted(order, result));
-        var unused = executor.schedule(() -> read(order), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        var unused =
+                executor.schedule(() -> read(order), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/org/orioleshed/gateway/ServerAttempt.java
+++ b/src/main/java/org/orioleshed/gateway/ServerAttempt.java
@@ -12,24 +12,24 @@
 import org.orioleshed.model.Payload;
 
 /**
- * One attempt of a request at one server. Reads the server's answer and tells its {@link Listener}
- * what came of it, once.
+ * One attempt of a request at one server. Reads the server's response and reports the outcome to
+ * its {@link Listener} once.
  */
 final class ServerAttempt implements ServerCall {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** An answer of a plain call is held whole up to this size. */
-    private static final int MAX_ANSWER_BYTES = 16 << 20;
+    /** The maximum size of a buffered response to a plain call. */
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
 
-    /** What a part of an answer counts beside its content: parts of a byte each must end, too. */
-    private static final int PART_BYTES = 64;
+    /** Counted per part in addition to its content, to bound endless streams of tiny parts. */
+    private static final int PART_OVERHEAD_BYTES = 64;
 
     private static final int MAX_EVENT_BYTES = 1 << 20;
 
-    /** More of the body of a refusal is not read; its connection is closed instead. */
-    private static final int MAX_REFUSAL_BYTES = 64 << 10;
+    /** Beyond this size of a rejection's body, the connection is closed instead of read. */
+    private static final int MAX_REJECTION_BYTES = 64 << 10;
 
-    private enum Reading {
+    private enum BodyMode {
         WHOLE,
         EVENTS,
         NOT_RUN
@@ -40,49 +40,51 @@
     private final boolean wantsEvents;
     private final EventFramer framer;
     private final Listener listener;
-    private final ServerPool.Sending sending = new ServerPool.Sending();
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+    private final ServerConnectionPool.PendingSend pendingSend =
+            new ServerConnectionPool.PendingSend();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final long sentNanos;
     private final int eventsBefore;
     private long lastProgressNanos;
     private long firstMillis;
-    private Reading reading = Reading.WHOLE;
+    private BodyMode bodyMode = BodyMode.WHOLE;
     private HttpResponse head;
     private ResponseHeaders responseHeaders;
-    private long answerBytes;
+    private long bufferedBytes;
     private long skippedBytes;
-    private boolean over;
+    private boolean finished;
 
     /** Receives the outcome of an attempt, on the data thread. */
     interface Listener {
-        /** Whole events of a stream; {@code head} is the answer's. */
-        void events(ServerAttempt which, HttpResponse head, byte[] events);
+        /** Takes complete events of a stream; {@code head} is the head of the response. */
+        void events(ServerAttempt attempt, HttpResponse head, byte[] events);
 
-        /** What an answer says of its server. */
-        void noticed(ServerAttempt which, ResponseHeaders responseHeaders);
+        /** Takes the server state stated in the header fields of a response. */
+        void noticed(ServerAttempt attempt, ResponseHeaders responseHeaders);
 
-        /** The stream is complete. */
-        void streamEnded(ServerAttempt which, HttpResponse head, byte[] rest);
+        /** Called when the stream is complete. */
+        void streamEnded(ServerAttempt attempt, HttpResponse head, byte[] rest);
 
-        /** A whole answer. */
+        /** Takes a whole response. */
         void answered(
-                ServerAttempt which,
+                ServerAttempt attempt,
                 HttpResponse head,
                 ResponseHeaders responseHeaders,
                 Payload body);
 
-        /** The server provably did not run the request. */
-        void notRun(ServerAttempt which, RunReport.Outcome outcome, String detail);
+        /** Called when the server provably did not run the request. */
+        void notRun(ServerAttempt attempt, RunReport.Outcome outcome, String detail);
 
-        /** The request may have run, and there is no whole answer. */
-        void broken(ServerAttempt which, RunReport.Outcome outcome, String detail);
+        /** Called when the request may have run but no complete response arrived. */
+        void broken(ServerAttempt attempt, RunReport.Outcome outcome, String detail);
     }
 
     /**
-     * Makes an attempt.
+     * Creates an attempt.
      *
-     * @param wantsEvents whether a success is passed on event by event
-     * @param framer cuts the events; outlives the attempt, as another one may go on
+     * @param wantsEvents whether a successful response is passed on event by event
+     * @param framer splits the stream into events; shared with later attempts, which may resume the
+     *     stream
      */
     ServerAttempt(
             RunKey run,
@@ -109,36 +111,38 @@
         return server;
     }
 
-    ServerPool.Sending sending() {
-        return sending;
+    ServerConnectionPool.PendingSend pendingSend() {
+        return pendingSend;
     }
 
     boolean hasEvents() {
         return firstMillis > 0;
     }
 
-    /** Returns the time to the first event, in milliseconds; 0 while none came. */
+    /** Returns the time to the first event, in milliseconds; 0 before the first event. */
     long firstMillis() {
         return firstMillis;
     }
 
-    /** Returns what the answer says of how many requests its server takes. */
+    /** Returns the request rate limit that the server stated in its response. */
     StatedLimit limit() {
         return responseHeaders == null ? StatedLimit.UNKNOWN : responseHeaders.limit();
     }
 
-    /** Returns how long no whole event, or no part of a plain answer, has come, in milliseconds. */
+    /**
+     * Returns the time since the last complete event or part of a plain response, in milliseconds.
+     */
     long silentMillis(long nowNanos) {
         return (nowNanos - lastProgressNanos) / NANOS_PER_MILLI;
     }
 
-    /** Ends the attempt at once, also at the server; the listener hears nothing more. */
+    /** Ends the attempt at once by closing the connection; the listener is not called any more. */
     void cancel() {
-        over = true;
-        sending.cancel();
+        finished = true;
+        pendingSend.cancel();
     }
 
-    /** Returns how the run ended, for those who learn from it. */
+    /** Returns the report of the ended run, for the schedulers. */
     RunReport end(RunReport.Outcome outcome) {
         long totalMillis = (System.nanoTime() - sentNanos) / NANOS_PER_MILLI;
         StatedLimit limit = hasEvents() ? StatedLimit.UNKNOWN : limit();
@@ -148,28 +152,28 @@
 
     @Override
     public void unreachable(String detail) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.notRun(this, RunReport.Outcome.UNREACHABLE, detail);
         }
     }
 
     @Override
-    public void noticed(ResponseHeaders answered) {
-        listener.noticed(this, answered);
+    public void noticed(ResponseHeaders headers) {
+        listener.noticed(this, headers);
     }
 
     @Override
-    public void head(HttpResponse response, ResponseHeaders answered) {
+    public void head(HttpResponse response, ResponseHeaders headers) {
         head = response;
-        responseHeaders = answered;
+        responseHeaders = headers;
         boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
-        if (answered.notRun() || isMisdirected()) {
-            reading = Reading.NOT_RUN;
-        } else if (success && answered.signed() && wantsEvents) {
-            reading = Reading.EVENTS;
+        if (headers.notRun() || isMisdirected()) {
+            bodyMode = BodyMode.NOT_RUN;
+        } else if (success && headers.signed() && wantsEvents) {
+            bodyMode = BodyMode.EVENTS;
         } else {
-            reading = Reading.WHOLE;
+            bodyMode = BodyMode.WHOLE;
         }
     }
 
@@ -179,46 +183,46 @@
 
     @Override
     public void content(ByteBuf bytes) {
-        if (over) {
+        if (finished) {
             return;
         }
-        switch (reading) {
+        switch (bodyMode) {
             case NOT_RUN -> skip(bytes);
-            case EVENTS -> pass(framer.feed(bytes));
-            case WHOLE -> keep(bytes);
+            case EVENTS -> passOn(framer.feed(bytes));
+            case WHOLE -> buffer(bytes);
         }
     }
 
-    /** The body of a refusal says nothing; one without end ends with its connection. */
+    /** Skips the body of a rejection; closes the connection if the body is too long. */
     private void skip(ByteBuf bytes) {
         skippedBytes += bytes.readableBytes();
-        if (skippedBytes > MAX_REFUSAL_BYTES) {
-            sending.cancel();
+        if (skippedBytes > MAX_REJECTION_BYTES) {
+            pendingSend.cancel();
             end();
         }
     }
 
-    private void keep(ByteBuf bytes) {
-        answerBytes += bytes.readableBytes() + PART_BYTES;
-        if (answerBytes > MAX_ANSWER_BYTES) {
-            breakOff("answer_too_long");
+    private void buffer(ByteBuf bytes) {
+        bufferedBytes += bytes.readableBytes() + PART_OVERHEAD_BYTES;
+        if (bufferedBytes > MAX_RESPONSE_BYTES) {
+            abort("answer_too_long");
             return;
         }
         lastProgressNanos = System.nanoTime();
         byte[] copy = new byte[bytes.readableBytes()];
         bytes.readBytes(copy);
-        whole.writeBytes(copy);
+        body.writeBytes(copy);
     }
 
-    /** Gives up an answer that never ends, by closing its connection. */
-    private void breakOff(String detail) {
+    /** Aborts a response that is too long by closing its connection. */
+    private void abort(String detail) {
         cancel();
         listener.broken(this, RunReport.Outcome.BROKEN, detail);
     }
 
-    private void pass(byte[] events) {
+    private void passOn(byte[] events) {
         if (framer.pendingBytes() > MAX_EVENT_BYTES) {
-            breakOff("event_too_long");
+            abort("event_too_long");
             return;
         }
         if (events.length == 0) {
@@ -233,11 +237,11 @@
 
     @Override
     public void end() {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
-        switch (reading) {
+        finished = true;
+        switch (bodyMode) {
             case NOT_RUN -> {
                 RunReport.Outcome outcome =
                         isMisdirected()
@@ -245,7 +249,7 @@
                                 : RunReport.Outcome.REJECTED;
                 listener.notRun(this, outcome, "status=" + head.status().code());
             }
-            case EVENTS -> listener.streamEnded(this, head, framer.rest());
+            case EVENTS -> listener.streamEnded(this, head, framer.takeRest());
             case WHOLE -> endWhole();
         }
     }
@@ -256,13 +260,13 @@
             listener.broken(this, RunReport.Outcome.BROKEN, "unsigned");
             return;
         }
-        listener.answered(this, head, responseHeaders, Payload.of(whole.toByteArray()));
+        listener.answered(this, head, responseHeaders, Payload.of(body.toByteArray()));
     }
 
     @Override
     public void broken(String detail) {
-        if (!over) {
-            over = true;
+        if (!finished) {
+            finished = true;
             listener.broken(this, RunReport.Outcome.BROKEN, detail);
         }
     }
--- a/src/main/java/org/orioleshed/gateway/ServerCall.java
+++ b/src/main/java/org/orioleshed/gateway/ServerCall.java
@@ -3,23 +3,23 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Hears what comes of a request that is sent to a server; called on the data thread. */
+/** Receives the response to a request that is sent to a server; called on the data thread. */
 interface ServerCall {
-    /** No connection came about; nothing was sent. */
+    /** Called when no connection could be opened; nothing was sent. */
     void unreachable(String detail);
 
-    /** What any answer on the connection says of its server, whichever request it answers. */
+    /** Takes the server state stated in any response on the connection, also to other requests. */
     void noticed(ResponseHeaders responseHeaders);
 
-    /** The head of the answer. */
+    /** Takes the head of the response. */
     void head(HttpResponse response, ResponseHeaders responseHeaders);
 
-    /** A part of the answer's body; the buffer is the caller's of this method. */
+    /** Takes a part of the body; the buffer remains owned by the caller of this method. */
     void content(ByteBuf bytes);
 
-    /** The answer is complete. */
+    /** Called when the response is complete. */
     void end();
 
-    /** The answer, if any, will not be completed; the request may have run. */
+    /** Called when no complete response will arrive; the request may have run. */
     void broken(String detail);
 }
--- a/src/main/java/org/orioleshed/gateway/ServerConnection.java
+++ b/src/main/java/org/orioleshed/gateway/ServerConnection.java
@@ -13,35 +13,36 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 
-/** One connection to a server; carries one request at a time. */
+/** A connection to a server that carries one request at a time. */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
-    private enum Reading {
-        NOTHING,
+    private enum State {
+        IDLE,
         HEAD,
         BODY,
-        /** The body of an answer to another request. */
+        /** The body of a response to another request. */
         STRAY_BODY
     }
 
-    private final ServerPool pool;
+    private final ServerConnectionPool pool;
     private final HeaderTranslator translator;
-    private final AnswerLimit limit;
+    private final ResponseHeadLimit limit;
     private Channel channel;
     private ServerCall call;
-    private String id;
-    private Reading reading = Reading.NOTHING;
+    private String requestId;
+    private State state = State.IDLE;
     private boolean written;
     private boolean failed;
     private boolean reusable;
-    private int calls;
-    private long keepMillis;
+    private int callCount;
+    private long keepAliveMillis;
 
     /**
-     * Makes one for a channel that is not open yet.
+     * Creates a connection whose channel is not open yet.
      *
-     * @param limit counts the channel's bytes before they are decoded
+     * @param limit limits the channel's bytes before they are decoded
      */
-    ServerConnection(ServerPool pool, HeaderTranslator translator, AnswerLimit limit) {
+    ServerConnection(
+            ServerConnectionPool pool, HeaderTranslator translator, ResponseHeadLimit limit) {
         this.pool = pool;
         this.translator = translator;
         this.limit = limit;
@@ -52,13 +53,13 @@
         channel = context.channel();
     }
 
-    /** Sends a request; {@code requestId} is the id that its answer must bear. */
-    void send(FullHttpRequest request, String requestId, ServerCall newCall) {
+    /** Sends a request; {@code newRequestId} is the id expected in its response. */
+    void send(FullHttpRequest request, String newRequestId, ServerCall newCall) {
         call = newCall;
-        calls++;
-        limit.begin();
-        id = requestId;
-        reading = Reading.HEAD;
+        callCount++;
+        limit.requestSent();
+        requestId = newRequestId;
+        state = State.HEAD;
         reusable = true;
         written = false;
         channel.writeAndFlush(request)
@@ -66,7 +67,7 @@
                         done -> {
                             written = done.isSuccess();
                             if (!done.isSuccess()) {
-                                lose("write: " + done.cause().getMessage());
+                                fail("write: " + done.cause().getMessage());
                             }
                         });
     }
@@ -77,8 +78,8 @@
         channel.close();
     }
 
-    void setReading(boolean wanted) {
-        channel.config().setAutoRead(wanted);
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     boolean isOpen() {
@@ -93,50 +94,50 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         HttpObject part = (HttpObject) message;
         try {
-            take(part);
+            receive(part);
         } finally {
             ReferenceCountUtil.release(part);
         }
     }
 
-    private void take(HttpObject part) {
+    private void receive(HttpObject part) {
         if (call == null) {
             channel.close();
             return;
         }
         if (part.decoderResult().isFailure()) {
-            lose("bytes that are no answer");
+            fail("malformed response");
             return;
         }
         if (part instanceof HttpResponse response) {
-            takeHead(response);
+            receiveHead(response);
         }
         if (part instanceof HttpContent content && call != null) {
-            takeContent(content);
+            receiveContent(content);
         }
     }
 
-    private void takeHead(HttpResponse response) {
+    private void receiveHead(HttpResponse response) {
         if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             return;
         }
         ResponseHeaders responseHeaders =
-                translator.readAnswer(response.status().code(), response.headers());
+                translator.readResponse(response.status().code(), response.headers());
         if (!response.status().equals(HttpResponseStatus.MISDIRECTED_REQUEST)) {
             call.noticed(responseHeaders);
         }
-        if (!responseHeaders.id().isEmpty() && !responseHeaders.id().equals(id)) {
-            reading = Reading.STRAY_BODY;
+        if (!responseHeaders.id().isEmpty() && !responseHeaders.id().equals(requestId)) {
+            state = State.STRAY_BODY;
             reusable = false;
             return;
         }
-        if (responseHeaders.id().isEmpty() && calls > 1) {
-            lose("an answer without an id on a connection that was in use before");
+        if (responseHeaders.id().isEmpty() && callCount > 1) {
+            fail("response without a request id on a reused connection");
             return;
         }
-        limit.answered();
-        reading = Reading.BODY;
-        keepMillis = responseHeaders.keepMillis();
+        limit.headReceived();
+        state = State.BODY;
+        keepAliveMillis = responseHeaders.keepAliveMillis();
         reusable &= HttpUtil.isKeepAlive(response) && written;
         reusable &=
                 HttpUtil.isContentLengthSet(response)
@@ -144,57 +145,57 @@
         call.head(response, responseHeaders);
     }
 
-    private void takeContent(HttpContent content) {
-        if (reading == Reading.BODY && content.content().isReadable()) {
+    private void receiveContent(HttpContent content) {
+        if (state == State.BODY && content.content().isReadable()) {
             call.content(content.content());
         }
         if (!(content instanceof LastHttpContent) || call == null) {
             return;
         }
-        if (reading == Reading.STRAY_BODY) {
-            reading = Reading.HEAD;
-        } else if (reading == Reading.BODY) {
+        if (state == State.STRAY_BODY) {
+            state = State.HEAD;
+        } else if (state == State.BODY) {
             complete();
         }
     }
 
     private void complete() {
         if (failed) {
-            lose("reset");
+            fail("reset");
             return;
         }
         ServerCall done = call;
         call = null;
-        reading = Reading.NOTHING;
+        state = State.IDLE;
         if (reusable) {
             channel.config().setAutoRead(true);
-            pool.giveBack(this, keepMillis);
+            pool.release(this, keepAliveMillis);
         } else {
             channel.close();
         }
         done.end();
     }
 
-    private void lose(String detail) {
+    private void fail(String detail) {
         failed = true;
-        ServerCall lost = call;
+        ServerCall failedCall = call;
         call = null;
         if (channel != null) {
             channel.close();
         }
-        if (lost != null) {
-            lost.broken(detail);
+        if (failedCall != null) {
+            failedCall.broken(detail);
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        lose(String.valueOf(cause.getMessage()));
+        fail(String.valueOf(cause.getMessage()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        pool.forget(this);
-        lose("closed");
+        pool.remove(this);
+        fail("closed");
     }
 }
--- a/src/main/java/org/orioleshed/gateway/ServerPool.java
+++ b/src/main/java/org/orioleshed/gateway/ServerConnectionPool.java
@@ -11,17 +11,17 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The idle connections to one server's address. */
-final class ServerPool {
+/** The pool of idle connections to one server's address. */
+final class ServerConnectionPool {
     private static final int MAX_LINE_BYTES = 16_384;
     private static final int MAX_HEADER_BYTES = 65_536;
     private static final int MAX_PART_BYTES = 16_384;
 
-    /** Servers state in whole seconds how long they keep an idle connection; close well before. */
-    private static final long KEEP_MARGIN_MILLIS = 1_000;
+    /** Servers state the keep-alive time in whole seconds; connections are closed well before. */
+    private static final long KEEP_ALIVE_MARGIN_MILLIS = 1_000;
 
-    /** Where a server does not say how long it keeps an idle connection. */
-    private static final long USUAL_KEEP_MILLIS = 4_000;
+    /** The keep-alive time of servers that state none. */
+    private static final long DEFAULT_KEEP_ALIVE_MILLIS = 4_000;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -30,9 +30,10 @@
     private final InetSocketAddress address;
     private final Deque<Idle> idle = new ArrayDeque<>();
 
-    private record Idle(ServerConnection connection, long sinceNanos, long untilNanos) {}
+    private record Idle(ServerConnection connection, long sinceNanos, long expiryNanos) {}
 
-    ServerPool(Bootstrap bootstrap, HeaderTranslator translator, InetSocketAddress address) {
+    ServerConnectionPool(
+            Bootstrap bootstrap, HeaderTranslator translator, InetSocketAddress address) {
         this.bootstrap = bootstrap;
         this.translator = translator;
         this.address = address;
@@ -43,29 +44,29 @@
     }
 
     /**
-     * Sends a request.
+     * Sends a request on an idle connection, or on a new one.
      *
-     * @param maxIdleMillis how long a connection may have been idle to be used for it
-     * @param sending what cancels it, whatever its state
+     * @param maxIdleMillis the maximum idle time of a connection to reuse, in milliseconds
+     * @param pendingSend the handle that cancels the request in any state
      */
     void send(
             FullHttpRequest request,
             String id,
             long maxIdleMillis,
             ServerCall call,
-            Sending sending) {
-        ServerConnection free = takeIdle(maxIdleMillis);
-        if (free != null) {
-            sending.connection = free;
-            free.send(request, id, call);
+            PendingSend pendingSend) {
+        ServerConnection reused = takeIdle(maxIdleMillis);
+        if (reused != null) {
+            pendingSend.connection = reused;
+            reused.send(request, id, call);
             return;
         }
-        connect(request, id, call, sending);
+        connect(request, id, call, pendingSend);
     }
 
     private ServerConnection takeIdle(long maxIdleMillis) {
         long nowNanos = System.nanoTime();
-        closeOld(nowNanos);
+        closeExpired(nowNanos);
         Idle last = idle.peekLast();
         if (last == null || nowNanos - last.sinceNanos > maxIdleMillis * NANOS_PER_MILLI) {
             return null;
@@ -74,8 +75,9 @@
         return last.connection;
     }
 
-    private void connect(FullHttpRequest request, String id, ServerCall call, Sending sending) {
-        AnswerLimit limit = new AnswerLimit();
+    private void connect(
+            FullHttpRequest request, String id, ServerCall call, PendingSend pendingSend) {
+        ResponseHeadLimit limit = new ResponseHeadLimit();
         ServerConnection connection = new ServerConnection(this, translator, limit);
         ChannelFuture future =
                 bootstrap
@@ -89,7 +91,7 @@
                                 })
                         .option(ChannelOption.TCP_NODELAY, true)
                         .connect(address);
-        future.addListener(done -> connected(future, request, id, call, sending, connection));
+        future.addListener(done -> connected(future, request, id, call, pendingSend, connection));
     }
 
     private static HttpClientCodec codec() {
@@ -101,9 +103,9 @@
             FullHttpRequest request,
             String id,
             ServerCall call,
-            Sending sending,
+            PendingSend pendingSend,
             ServerConnection connection) {
-        if (sending.cancelled) {
+        if (pendingSend.cancelled) {
             request.release();
             future.channel().close();
             return;
@@ -113,26 +115,28 @@
             call.unreachable(String.valueOf(future.cause().getMessage()));
             return;
         }
-        sending.connection = connection;
+        pendingSend.connection = connection;
         connection.send(request, id, call);
     }
 
-    void giveBack(ServerConnection connection, long keepMillis) {
+    void release(ServerConnection connection, long keepAliveMillis) {
         long nowNanos = System.nanoTime();
         long usableMillis =
-                keepMillis < 0 ? USUAL_KEEP_MILLIS : Math.max(0, keepMillis - KEEP_MARGIN_MILLIS);
+                keepAliveMillis < 0
+                        ? DEFAULT_KEEP_ALIVE_MILLIS
+                        : Math.max(0, keepAliveMillis - KEEP_ALIVE_MARGIN_MILLIS);
         idle.addLast(new Idle(connection, nowNanos, nowNanos + usableMillis * NANOS_PER_MILLI));
     }
 
-    void forget(ServerConnection connection) {
+    void remove(ServerConnection connection) {
         idle.removeIf(entry -> entry.connection == connection);
     }
 
-    /** Closes connections that the server may close by itself soon. */
-    void closeOld(long nowNanos) {
+    /** Closes connections that the server may soon close itself. */
+    void closeExpired(long nowNanos) {
         while (!idle.isEmpty()) {
             Idle first = idle.peekFirst();
-            if (first.untilNanos > nowNanos && first.connection.isOpen()) {
+            if (first.expiryNanos > nowNanos && first.connection.isOpen()) {
                 return;
             }
             idle.pollFirst();
@@ -146,12 +150,12 @@
         }
     }
 
-    /** A request on its way. */
-    static final class Sending {
+    /** The handle of a request being sent. */
+    static final class PendingSend {
         private ServerConnection connection;
         private boolean cancelled;
 
-        /** Ends it at once, also at the server. */
+        /** Ends the request at once by closing its connection. */
         void cancel() {
             cancelled = true;
             if (connection != null) {
@@ -159,9 +163,9 @@
             }
         }
 
-        void setReading(boolean wanted) {
+        void setReading(boolean enabled) {
             if (connection != null) {
-                connection.setReading(wanted);
+                connection.setReading(enabled);
             }
         }
     }
