--- a/src/main/java/org/orioleshed/gateway/ServerNotices.java
+++ b/src/main/java/org/orioleshed/gateway/ServerNotices.java
@@ -14,18 +14,18 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * What servers told this host in their answers: that they leave, until when they want nothing from
- * it, and how many requests they take from all hosts together. Answers the load pattern of servers
- * that say so before the store does, or while it is away.
+ * The state that servers stated in their responses to this host: that they are leaving, until when
+ * this host must send them nothing, and which request rate they accept from all hosts together.
+ * Servers may state this before the store does, or while the store is unavailable.
  */
 final class ServerNotices {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A server that wants to be left alone for longer is not believed beyond this. */
-    private static final long MAX_REST_MILLIS = 600_000;
+    /** The maximum backoff that a server may request. */
+    private static final long MAX_BACKOFF_MILLIS = 600_000;
 
-    /** A server whose limit still holds is heard of within this time, however few it takes. */
-    private static final long LIMIT_MEMORY_NANOS = 30_000 * NANOS_PER_MILLI;
+    /** A limit in force is stated again within this time, however low the accepted rate is. */
+    private static final long LIMIT_RETENTION_NANOS = 30_000 * NANOS_PER_MILLI;
 
     private static final int MAX_NOTICES = 4_096;
 
@@ -34,21 +34,21 @@
     private static final class Notice {
         private PoolServer server;
         private boolean leaving;
-        private long restUntilNanos;
+        private long backoffUntilNanos;
         private StatedLimit limit = StatedLimit.NONE;
         private long limitNanos;
 
         Notice(PoolServer server, long nowNanos) {
             this.server = server;
-            this.restUntilNanos = nowNanos;
+            this.backoffUntilNanos = nowNanos;
         }
 
         boolean isInForce(long nowNanos) {
-            return leaving || restUntilNanos - nowNanos > 0;
+            return leaving || backoffUntilNanos - nowNanos > 0;
         }
 
-        Optional<DispatchEvent.ServerLimited> limited(long nowNanos) {
-            boolean recent = nowNanos - limitNanos < LIMIT_MEMORY_NANOS;
+        Optional<DispatchEvent.ServerLimited> recentLimit(long nowNanos) {
+            boolean recent = nowNanos - limitNanos < LIMIT_RETENTION_NANOS;
             return recent && limit instanceof StatedLimit.Rate rate
                     ? Optional.of(
                             new DispatchEvent.ServerLimited(
@@ -56,8 +56,8 @@
                     : Optional.empty();
         }
 
-        /** Takes the limit that an answer states; returns whether it is another than before. */
-        boolean takeLimit(StatedLimit stated, long nowNanos) {
+        /** Updates the limit from a response; returns whether it changed. */
+        boolean updateLimit(StatedLimit stated, long nowNanos) {
             limitNanos = nowNanos;
             if (stated instanceof StatedLimit.Unknown || stated.equals(limit)) {
                 return false;
@@ -68,21 +68,21 @@
     }
 
     /**
-     * What is new to this host in an answer.
+     * The changes that a response brought.
      *
-     * @param leaves whether the server says for the first time that it leaves
-     * @param limit whether the server's limit is another one than before
+     * @param newlyLeaving whether the server states for the first time that it is leaving
+     * @param limitChanged whether the server's limit changed
      */
-    record News(boolean leaves, boolean limit) {
-        private static final News NOTHING = new News(false, false);
+    record Update(boolean newlyLeaving, boolean limitChanged) {
+        private static final Update NONE = new Update(false, false);
     }
 
-    /** Takes what an answer said, and returns what is new in it. */
-    News note(PoolServer server, ResponseHeaders responseHeaders, long nowNanos) {
+    /** Takes the server state stated in a response, and returns what is new in it. */
+    Update record(PoolServer server, ResponseHeaders responseHeaders, long nowNanos) {
         Notice notice = notices.get(server.id());
         if (notice == null || !notice.server.sameStart(server)) {
-            if (saysNothing(responseHeaders)) {
-                return News.NOTHING;
+            if (statesNothing(responseHeaders)) {
+                return Update.NONE;
             }
             notice = new Notice(server, nowNanos);
             notices.put(server.id(), notice);
@@ -90,28 +90,28 @@
                 notices.remove(notices.keySet().iterator().next());
             }
         }
-        long restMillis = Math.clamp(responseHeaders.restMillis(), 0, MAX_REST_MILLIS);
-        long untilNanos = nowNanos + restMillis * NANOS_PER_MILLI;
-        if (untilNanos - notice.restUntilNanos > 0) {
-            notice.restUntilNanos = untilNanos;
+        long backoffMillis = Math.clamp(responseHeaders.backoffMillis(), 0, MAX_BACKOFF_MILLIS);
+        long untilNanos = nowNanos + backoffMillis * NANOS_PER_MILLI;
+        if (untilNanos - notice.backoffUntilNanos > 0) {
+            notice.backoffUntilNanos = untilNanos;
         }
-        boolean leaves = responseHeaders.leaving() && !notice.leaving;
+        boolean newlyLeaving = responseHeaders.leaving() && !notice.leaving;
         notice.leaving |= responseHeaders.leaving();
-        return new News(leaves, notice.takeLimit(responseHeaders.limit(), nowNanos));
+        return new Update(newlyLeaving, notice.updateLimit(responseHeaders.limit(), nowNanos));
     }
 
-    private static boolean saysNothing(ResponseHeaders responseHeaders) {
+    private static boolean statesNothing(ResponseHeaders responseHeaders) {
         boolean limited = responseHeaders.limit() instanceof StatedLimit.Rate;
-        return !responseHeaders.leaving() && responseHeaders.restMillis() <= 0 && !limited;
+        return !responseHeaders.leaving() && responseHeaders.backoffMillis() <= 0 && !limited;
     }
 
-    /** Returns whether a start of a server is to get nothing from this host now. */
+    /** Returns whether this host must send nothing to this incarnation of a server now. */
     boolean avoids(PoolServer server, long nowNanos) {
         Notice notice = notices.get(server.id());
         return notice != null && notice.server.sameStart(server) && notice.isInForce(nowNanos);
     }
 
-    /** Returns the servers that are to get nothing from this host now. */
+    /** Returns the servers to which this host must send nothing now. */
     Set<ServerId> avoided(long nowNanos) {
         if (notices.isEmpty()) {
             return Set.of();
@@ -126,7 +126,7 @@
         return result;
     }
 
-    /** Returns the starts of servers that said that they leave. */
+    /** Returns the server incarnations that stated that they are leaving. */
     Collection<PoolServer> leaving() {
         return notices.values().stream()
                 .filter(notice -> notice.leaving)
@@ -134,35 +134,35 @@
                 .toList();
     }
 
-    /** Returns how many requests servers said of late that they take. */
+    /** Returns the request rate limits that servers stated recently. */
     List<DispatchEvent.ServerLimited> limits(long nowNanos) {
         return notices.values().stream()
-                .flatMap(notice -> notice.limited(nowNanos).stream())
+                .flatMap(notice -> notice.recentLimit(nowNanos).stream())
                 .toList();
     }
 
-    private static boolean isOther(PoolServer server, Map<ServerId, PoolServer> present) {
-        PoolServer now = present.get(server.id());
-        return now != null && !server.sameStart(now);
+    private static boolean hasRestarted(PoolServer server, Map<ServerId, PoolServer> present) {
+        PoolServer current = present.get(server.id());
+        return current != null && !server.sameStart(current);
     }
 
     /**
-     * The servers in force changed. A notice ends when its server has started anew, or takes back
-     * in its entry that it leaves; it outlasts an entry that is away.
+     * Takes a change of the servers in force. A notice ends when its server has restarted, or when
+     * its entry no longer says that it is draining; it outlasts the removal of the entry.
      */
-    void changed(Collection<PoolServer> servers) {
+    void serversChanged(Collection<PoolServer> servers) {
         if (notices.isEmpty()) {
             return;
         }
         Map<ServerId, PoolServer> present = new HashMap<>();
         servers.forEach(server -> present.put(server.id(), server));
-        notices.values().removeIf(notice -> isOther(notice.server, present));
+        notices.values().removeIf(notice -> hasRestarted(notice.server, present));
         for (Notice notice : notices.values()) {
-            PoolServer now = present.getOrDefault(notice.server.id(), notice.server);
-            if (notice.server.draining() && !now.draining()) {
+            PoolServer current = present.getOrDefault(notice.server.id(), notice.server);
+            if (notice.server.draining() && !current.draining()) {
                 notice.leaving = false;
             }
-            notice.server = now;
+            notice.server = current;
         }
     }
 }
--- a/src/main/java/org/orioleshed/gateway/Signals.java
+++ b/src/main/java/org/orioleshed/gateway/Signals.java
@@ -3,16 +3,18 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Takes signals of the operating system. The JDK's class for it is not part of its API, so it is
- * reached by name; without it a signal has its usual effect.
+ * Handles signals of the operating system. The JDK's signal class is not part of its API, so it is
+ * accessed by reflection. Without that class, signals keep their default effect.
  */
 public final class Signals {
     private Signals() {}
 
     /**
-     * Runs {@code action} at each signal {@code name}, such as HUP.
+     * Runs an action at each signal of a name.
      *
-     * @throws IllegalStateException when this runtime takes no such signal
+     * @param name the name of the signal without the prefix SIG, such as HUP
+     * @param action the action to run
+     * @throws IllegalStateException if this runtime does not support handling the signal
      */
     public static void handle(String name, Runnable action) {
         try {
@@ -22,14 +24,14 @@
                     Proxy.newProxyInstance(
                             Signals.class.getClassLoader(),
                             new Class<?>[] {handler},
-                            (self, method, arguments) -> {
+                            (proxied, method, arguments) -> {
                                 action.run();
                                 return null;
                             });
-            Object made = signal.getConstructor(String.class).newInstance(name);
-            signal.getMethod("handle", signal, handler).invoke(null, made, proxy);
+            Object instance = signal.getConstructor(String.class).newInstance(name);
+            signal.getMethod("handle", signal, handler).invoke(null, instance, proxy);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("no handler for signal " + name, e);
+            throw new IllegalStateException("cannot handle signal " + name, e);
         }
     }
 }
--- a/src/main/java/org/orioleshed/gateway/StatusServer.java
+++ b/src/main/java/org/orioleshed/gateway/StatusServer.java
@@ -17,14 +17,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Function;
 
-/** Answers questions for a short text: whether the host is ready, or its metrics. */
+/** An HTTP endpoint that serves short texts, such as readiness or metrics. */
 final class StatusServer extends ChannelInitializer<SocketChannel> {
     private final Function<String, Reply> replies;
 
-    /** An answer. */
+    /** A response. */
     record Reply(HttpResponseStatus status, String text) {}
 
-    /** Makes one that answers a path by {@code replies}. */
+    /** Creates an endpoint; {@code replies} maps the path of a request to a reply. */
     StatusServer(Function<String, Reply> replies) {
         this.replies = replies;
     }
@@ -47,11 +47,11 @@
                 path = request.uri();
             }
             if (part instanceof LastHttpContent) {
-                answer(context);
+                respond(context);
             }
         }
 
-        private void answer(ChannelHandlerContext context) {
+        private void respond(ChannelHandlerContext context) {
             Reply reply = replies.apply(path);
             ByteBuf body = Unpooled.wrappedBuffer(reply.text().getBytes(StandardCharsets.UTF_8));
             DefaultFullHttpResponse response =
--- a/src/main/java/org/orioleshed/gateway/StrictRequestDecoder.java
+++ b/src/main/java/org/orioleshed/gateway/StrictRequestDecoder.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
-/** Refuses requests whose length is stated twice, which could hide another request. */
+/** Rejects requests with both Content-Length and a transfer coding (request smuggling). */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     private static final int MAX_PART_BYTES = 16_384;
 
@@ -18,6 +18,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("length stated with a transfer coding");
+        throw new IllegalArgumentException(
+                "Content-Length and Transfer-Encoding must not both be present");
     }
 }
--- a/src/main/java/org/orioleshed/gateway/Ticker.java
+++ b/src/main/java/org/orioleshed/gateway/Ticker.java
@@ -6,8 +6,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs a task on an event loop again and again, after pauses that the work at hand decides:
- * hundreds of hosts that wake for nothing cost more than their requests do.
+ * Runs a task repeatedly on an event loop, with pauses that depend on the pending work. The timers
+ * of hundreds of idle hosts would cost more processor time than their requests.
  */
 final class Ticker {
     private final EventExecutor loop;
@@ -17,10 +17,10 @@
     private long dueNanos;
 
     /**
-     * Makes one that rests.
+     * Creates a ticker that is not scheduled.
      *
-     * @param loop runs the task; all methods are called on it
-     * @param pauseMillis the pause that the work at hand allows, in milliseconds
+     * @param loop the event loop that runs the task; all methods must be called on it
+     * @param pauseMillis returns the pause that the pending work allows, in milliseconds
      */
     Ticker(EventExecutor loop, Runnable task, LongSupplier pauseMillis) {
         this.loop = loop;
@@ -28,18 +28,18 @@
         this.pauseMillis = pauseMillis;
     }
 
-    /** Sees to it that the task runs within the pause that the work at hand allows now. */
-    void wake() {
-        long wantedNanos =
+    /** Schedules the task to run within the pause that the pending work allows now. */
+    void reschedule() {
+        long latestNanos =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(pauseMillis.getAsLong());
-        if (next != null && dueNanos - wantedNanos <= 0) {
+        if (next != null && dueNanos - latestNanos <= 0) {
             return;
         }
         if (next != null) {
             next.cancel(false);
         }
-        dueNanos = wantedNanos;
-        next = loop.schedule(this::run, wantedNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+        dueNanos = latestNanos;
+        next = loop.schedule(this::run, latestNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
     }
 
     private void run() {
@@ -47,7 +47,7 @@
         try {
             task.run();
         } finally {
-            wake();
+            reschedule();
         }
     }
 }
--- a/src/main/java/org/orioleshed/gateway/package-info.java
+++ b/src/main/java/org/orioleshed/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** The data path: callers in front, backend servers behind, and the peers that share the work. */
+/** The data path between callers and backend servers, shared with peer hosts. */
 package org.orioleshed.gateway;
--- a/src/test/java/org/orioleshed/gateway/DispatcherTest.java
+++ b/src/test/java/org/orioleshed/gateway/DispatcherTest.java
@@ -9,35 +9,37 @@
 import org.orioleshed.dispatch.RunReport;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Dispatcher}: who places a host's requests, whatever happens to the primary. */
+/**
+ * Tests of {@link Dispatcher}: placement of a host's requests while the primary fails or changes.
+ */
 public class DispatcherTest {
     private static final RunReport DONE = new RunReport(RunReport.Outcome.ANSWERED, 5, 50, 200);
 
     private final SteppedHosts hosts = SteppedHosts.two(2);
 
     @Test
-    public void theHostUpLongestIsThePrimaryOfBoth() {
+    public void bothHostsChooseTheHostUpLongestAsPrimary() {
         assertEquals(hosts.get(0).dispatcher.primaryName(), "10.0.0.1");
         assertEquals(hosts.get(1).dispatcher.primaryName(), "10.0.0.1");
     }
 
     @Test
-    public void thePrimaryKeepsTheServersPlacesOverBothHosts() {
+    public void thePrimaryCountsSlotsOverBothHosts() {
         SteppedHosts two = SteppedHosts.two(2);
         two.get(0).request(1);
         two.get(1).request(2);
         two.deliver();
         two.get(1).request(3);
         two.deliver();
-        assertEquals(two.get(0).told, List.of("1 x by=self"));
-        assertEquals(two.get(1).told, List.of("2 x by=home"));
+        assertEquals(two.get(0).outcomes, List.of("1 x by=self"));
+        assertEquals(two.get(1).outcomes, List.of("2 x by=home"));
         two.get(0).dispatcher.ended(two.get(0).key(1), DONE);
         two.deliver();
-        assertEquals(two.get(1).told, List.of("2 x by=home", "3 x by=home"));
+        assertEquals(two.get(1).outcomes, List.of("2 x by=home", "3 x by=home"));
     }
 
     @Test
-    public void theNextPrimaryGoesOnWithWhatOneThatLeavesHadLeftOfQuotas() {
+    public void theNextPrimaryTakesOverTheRemainingQuotaOfALeavingOne() {
         SteppedHosts two = SteppedHosts.two(8);
         two.put("op/config", "2/1000");
         two.run(8_000);
@@ -48,11 +50,11 @@
             two.get(1).request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
         two.deliver();
-        two.get(1).told.forEach(told -> assertTrue(told.endsWith("by=self"), told));
+        two.get(1).outcomes.forEach(outcome -> assertTrue(outcome.endsWith("by=self"), outcome));
     }
 
     @Test
-    public void quotasUsedUpBeforeAPrimaryLeavesAreNotThereAgain() {
+    public void usedQuotaIsNotRestoredWhenAPrimaryLeaves() {
         SteppedHosts two = SteppedHosts.two(8);
         two.put("op/config", "2/1000");
         two.run(8_000);
@@ -62,66 +64,67 @@
         two.run(100);
         two.get(1).request(3, Optional.of(PlainDecoder.WORKSPACE), 700);
         two.deliver();
-        assertEquals(two.get(1).told, List.of("3 QUOTA"));
+        assertEquals(two.get(1).outcomes, List.of("3 QUOTA"));
     }
 
     @Test
-    public void aSilentPrimaryIsDoneWithoutAfterAMoment() {
+    public void aHostPlacesLocallyWhileThePrimaryIsSilent() {
         SteppedHosts two = SteppedHosts.two(2);
-        two.cutOff(1);
+        two.partition(1);
         two.get(1).request(1);
         two.run(40);
-        assertEquals(two.get(1).told, List.of());
+        assertEquals(two.get(1).outcomes, List.of());
         two.run(60);
-        assertEquals(two.get(1).told, List.of("1 x by=own"));
+        assertEquals(two.get(1).outcomes, List.of("1 x by=own"));
         two.get(1).request(2);
-        assertEquals(two.get(1).told.getLast(), "2 x by=own");
+        assertEquals(two.get(1).outcomes.getLast(), "2 x by=own");
     }
 
     @Test
-    public void afterACutThePrimaryGetsRequestsAgain() {
+    public void thePrimaryReceivesRequestsAgainAfterAPartition() {
         SteppedHosts two = SteppedHosts.two(2);
-        two.cutOff(1);
+        two.partition(1);
         two.get(1).request(1);
         two.run(6_000);
-        two.cutOff(0);
+        two.partition(0);
         two.run(6_000);
         two.get(1).dispatcher.ended(two.get(1).key(1), DONE);
         two.deliver();
         two.get(1).request(2);
         two.deliver();
-        assertEquals(two.get(1).told.getLast(), "2 x by=home");
+        assertEquals(two.get(1).outcomes.getLast(), "2 x by=home");
     }
 
     @Test
-    public void whatWaitsAtAPrimaryThatDiesIsPlacedByTheNext() {
+    public void requestsQueuedAtADeadPrimaryArePlacedByTheNext() {
         SteppedHosts two = SteppedHosts.two(1);
         two.get(0).request(1);
         two.get(1).request(2);
         two.deliver();
-        assertEquals(two.get(1).told, List.of());
+        assertEquals(two.get(1).outcomes, List.of());
         two.kill(0);
         two.run(5_000);
         assertEquals(two.get(1).dispatcher.primaryName(), "10.0.0.2");
-        assertTrue(two.get(1).told.getFirst().startsWith("2 x"), two.get(1).told.toString());
+        assertTrue(
+                two.get(1).outcomes.getFirst().startsWith("2 x"), two.get(1).outcomes.toString());
     }
 
     @Test
-    public void aGrantThatIsLostIsGivenAgain() {
+    public void aLostGrantIsSentAgain() {
         SteppedHosts two = SteppedHosts.two(1);
         two.get(0).request(1);
         two.get(1).request(2);
         two.deliver();
-        two.weather(1, 0, 0);
+        two.setFaults(1, 0, 0);
         two.get(0).dispatcher.ended(two.get(0).key(1), DONE);
         two.deliver();
-        two.weather(0, 0, 0);
+        two.setFaults(0, 0, 0);
         two.run(600);
-        assertEquals(two.get(1).told, List.of("2 x by=home"));
+        assertEquals(two.get(1).outcomes, List.of("2 x by=home"));
     }
 
     @Test
-    public void whoWaitsAtAPrimaryThatHeldItsHostForDeadIsServedAfterAll() {
+    public void requestsOfAHostWronglyDeclaredDeadAreServed() {
         SteppedHosts two = SteppedHosts.two(1);
         two.get(0).request(1);
         two.get(1).request(2);
@@ -129,22 +132,22 @@
         two.get(0).dispatcher.hostDied(two.get(1).id);
         two.get(0).dispatcher.ended(two.get(0).key(1), DONE);
         two.run(600);
-        assertEquals(two.get(1).told, List.of("2 x by=home"));
+        assertEquals(two.get(1).outcomes, List.of("2 x by=home"));
     }
 
     @Test
-    public void aRequestThatWasWithdrawnHoldsNoPlace() {
+    public void aWithdrawnRequestHoldsNoSlot() {
         SteppedHosts two = SteppedHosts.two(1);
         two.get(1).request(1);
         two.get(1).withdraw(1);
         two.deliver();
         two.get(1).request(2);
         two.deliver();
-        assertEquals(two.get(1).told, List.of("2 x by=home"));
+        assertEquals(two.get(1).outcomes, List.of("2 x by=home"));
     }
 
     @Test
-    public void aNewPrimaryRecordsWhatRunsAlready() {
+    public void aNewPrimaryCountsRunsInProgress() {
         SteppedHosts two = SteppedHosts.two(1);
         two.get(1).request(1);
         two.deliver();
@@ -152,19 +155,21 @@
         two.run(5_000);
         two.get(1).request(2);
         two.run(200);
-        assertEquals(two.get(1).told, List.of("1 x by=home"));
+        assertEquals(two.get(1).outcomes, List.of("1 x by=home"));
         two.get(1).dispatcher.ended(two.get(1).key(1), DONE);
-        assertEquals(two.get(1).told, List.of("1 x by=home", "2 x by=self"));
+        assertEquals(two.get(1).outcomes, List.of("1 x by=home", "2 x by=self"));
     }
 
-    /** Quotas are full after a common start; the first primary has given them out when it dies. */
+    /**
+     * Quotas are full after a common start; the first primary grants them in full before it dies.
+     */
     @Test
-    public void quotasAreNotFullAgainWhenAPrimaryDiesSoonAfterACommonStart() {
+    public void quotasAreNotRefilledWhenAPrimaryDiesSoonAfterACommonStart() {
         SteppedHosts five = new SteppedHosts(5, 1_000, 1);
         five.put("op/config", "2/1000");
         five.put("servers/x", "open");
         five.run(1_000);
-        requestMuch(five.get(1), 0);
+        requestBurst(five.get(1), 0);
         five.deliver();
         five.kill(0);
         while (!five.get(1).dispatcher.primaryName().equals("10.0.0.2")) {
@@ -172,13 +177,13 @@
         }
         five.run(300);
         long before = units(five);
-        requestMuch(five.get(1), 100);
+        requestBurst(five.get(1), 100);
         five.deliver();
         double burst = 1_000 * 1.04 + 400;
         assertTrue(units(five) - before < 0.5 * burst, "units " + (units(five) - before));
     }
 
-    private static void requestMuch(SteppedHost host, int from) {
+    private static void requestBurst(SteppedHost host, int from) {
         for (int i = from; i < from + 40; i++) {
             host.request(i, Optional.of(PlainDecoder.WORKSPACE), 100);
         }
@@ -189,7 +194,7 @@
     }
 
     @Test
-    public void theBurstThatAPrimaryGaveOutIsNotGivenOutAgainWhenItDies() {
+    public void aBurstIsNotGrantedAgainWhenThePrimaryDies() {
         SteppedHosts two = SteppedHosts.two(1_000);
         two.put("op/config", "2/1000");
         two.run(6_000);
@@ -205,14 +210,17 @@
         long units = two.sent().stream().mapToLong(SteppedHost.Sent::units).sum();
         double burst = 1_000 * 1.1;
         double tolerated = 1_000;
-        double filledMeanwhile = 1_000 * 0.2;
+        double refilled = 1_000 * 0.2;
         assertTrue(units > burst, "units " + units);
-        assertTrue(units <= burst + tolerated + filledMeanwhile, "units " + units);
+        assertTrue(units <= burst + tolerated + refilled, "units " + units);
     }
 
-    /** A host told the next primary of its run before that could be reached, and was primary. */
+    /**
+     * A host reports its run while the next primary is unreachable and does not yet act as the
+     * primary; the run must be reported again.
+     */
     @Test
-    public void aPrimaryThatStartsReceivesTheRunsUnderWay() {
+    public void aStartingPrimaryReceivesTheRunsInProgress() {
         SteppedHosts three = new SteppedHosts(3, 1, 1);
         three.put("op/config", "1");
         three.put("servers/x", "open");
@@ -220,18 +228,18 @@
         three.run(3_000);
         three.get(1).request(1);
         three.deliver();
-        three.cutOff(2);
+        three.partition(2);
         three.get(0).leave();
         three.run(100);
         assertEquals(three.get(1).dispatcher.primaryName(), "10.0.0.3");
-        three.cutOff(0);
+        three.partition(0);
         three.run(2_000);
         assertEquals(three.get(2).dispatcher.primaryName(), "10.0.0.3");
         three.get(2).request(2);
         three.run(100);
-        assertEquals(three.get(2).told, List.of());
+        assertEquals(three.get(2).outcomes, List.of());
         three.get(1).dispatcher.ended(three.get(1).key(1), DONE);
         three.deliver();
-        assertEquals(three.get(2).told, List.of("2 x by=self"));
+        assertEquals(three.get(2).outcomes, List.of("2 x by=self"));
     }
 }
--- a/src/test/java/org/orioleshed/gateway/EventFramerTest.java
+++ b/src/test/java/org/orioleshed/gateway/EventFramerTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link EventFramer}. */
+/** Tests of {@link EventFramer}: callers must receive complete events only. */
 public class EventFramerTest {
     private final EventFramer framer = new EventFramer();
 
@@ -23,27 +23,27 @@
     }
 
     @Test(dataProvider = "lineEnds")
-    public void passesWholeEventsOnlyWhereverTheyAreCut(String end) {
+    public void passesOnlyCompleteEventsForAnySplit(String end) {
         String stream = "id: 1%sdata: a%s%sid: 2%sdata: b%s%s".replace("%s", end);
-        EventFramer each = new EventFramer();
+        EventFramer byteFramer = new EventFramer();
         StringBuilder passed = new StringBuilder();
         for (byte next : stream.getBytes(StandardCharsets.UTF_8)) {
-            byte[] events = each.feed(Unpooled.wrappedBuffer(new byte[] {next}));
+            byte[] events = byteFramer.feed(Unpooled.wrappedBuffer(new byte[] {next}));
             passed.append(new String(events, StandardCharsets.UTF_8));
         }
         assertEquals(passed.toString(), stream);
-        assertEquals(each.events(), 2);
-        assertEquals(each.lastId(), Optional.of("2"));
+        assertEquals(byteFramer.events(), 2);
+        assertEquals(byteFramer.lastId(), Optional.of("2"));
     }
 
     @Test
-    public void holdsBackTheEventThatIsNotComplete() {
+    public void holdsBackAnIncompleteEvent() {
         assertEquals(feed("id: 7\ndata: a\n\nid: 8\nda"), "id: 7\ndata: a\n\n");
         assertEquals(framer.lastId(), Optional.of("7"));
     }
 
     @Test
-    public void forgetsTheCutEventBeforeAnotherServerGoesOn() {
+    public void dropsTheIncompleteEventBeforeAnotherServerResumes() {
         assertEquals(feed("id: 7\ndata: a\n\nid: 8\nda"), "id: 7\ndata: a\n\n");
         framer.dropRest();
         assertEquals(feed("id: 8\ndata: b\n\n"), "id: 8\ndata: b\n\n");
@@ -51,8 +51,8 @@
     }
 
     @Test
-    public void givesTheRestOfAStreamThatEndedWithoutAnEmptyLine() {
+    public void flushesTheRestOfAStreamThatEndsWithoutAnEmptyLine() {
         assertEquals(feed("data: a\n\ndata: end\n"), "data: a\n\n");
-        assertEquals(new String(framer.rest(), StandardCharsets.UTF_8), "data: end\n");
+        assertEquals(new String(framer.takeRest(), StandardCharsets.UTF_8), "data: end\n");
     }
 }
--- a/src/test/java/org/orioleshed/gateway/HostRegistryTest.java
+++ b/src/test/java/org/orioleshed/gateway/HostRegistryTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link HostRegistry}. */
+/** Tests of {@link HostRegistry}: registration, and discovery when the seeds are stale. */
 public class HostRegistryTest {
     private static final InetSocketAddress A = new InetSocketAddress("10.0.0.1", 7600);
     private static final InetSocketAddress B = new InetSocketAddress("10.0.0.2", 7600);
@@ -40,9 +40,9 @@
     }
 
     private void await(String line) {
-        long end = System.nanoTime() + 20_000_000_000L;
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
         while (log.stream().noneMatch(it -> it.contains(line))) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("no line with " + line + " in " + log);
             }
             Thread.onSpinWait();
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void aLoneHostFindsTheOthersAndPassesOverWhatIsNoAddress() {
+    public void aLoneHostFindsOthersAndSkipsMalformedAddresses() {
         store.put("orioleshed/hosts/odd", "no address");
         start(A);
         await("registered key=orioleshed/hosts/10.0.0.1");
@@ -60,7 +60,7 @@
     }
 
     @Test
-    public void aLostAnswerDoesNotKeepItFromRegistering() {
+    public void registersAfterALostResponse() {
         store.loseAnswers(1);
         start(A);
         await("registered key=orioleshed/hosts/10.0.0.1");
--- a/src/test/java/org/orioleshed/gateway/HostsTest.java
+++ b/src/test/java/org/orioleshed/gateway/HostsTest.java
@@ -18,45 +18,47 @@
 import org.testng.annotations.Test;
 
 /**
- * Properties of several hosts' decisions while messages are lost, repeated and reordered, hosts
- * die, the network parts and the store is away. Each number of a sequence is one step. What a host
- * itself must never do (choose a server that it knows is leaving, answer a request twice, take an
- * older revision) is checked in {@link SteppedHost} at once.
+ * Tests invariants over several hosts while messages are lost, repeated and reordered, hosts die,
+ * the network is partitioned and the store is unavailable. Each test runs a random sequence of
+ * steps. Invariants of a single host (it never chooses a server whose draining it has observed,
+ * never responds to a request twice, and never adopts an older revision) are checked in {@link
+ * SteppedHost} as they occur.
  */
 public class HostsTest {
     private static final int HOSTS = 5;
     private static final int SEEDS = 200;
     private static final int STEPS = 400;
-    private static final int KINDS = 100;
-    private static final double MOST_REQUESTS = 0.5;
+    private static final int STEP_KINDS = 100;
+
+    /** The maximum fraction of steps that are requests in addition to the drawn kinds. */
+    private static final double MAX_REQUEST_PART = 0.5;
+
     private static final int SERVERS = 4;
     private static final int SLOTS = 8;
-    private static final int MOST_AT_ONCE = 6;
+    private static final int MAX_BURST = 6;
     private static final long RUN_MILLIS = 300;
-    private static final double PER_SECOND = 1_000;
-    private static final long UNITS = 100;
+    private static final double QUOTA_UNITS_PER_SECOND = 1_000;
+    private static final long UNITS_PER_REQUEST = 100;
 
     private static final double TOLERATED_PART = 0.1;
     private static final double TOLERATED_UNITS = 1_000;
 
-    /** The operators count a quota in windows of this length. */
+    /** The window in which operators check a quota. */
     private static final long WINDOW_NANOS = 8_000_000_000L;
 
-    /** Requests a second that a server names. */
-    private static final double[] LIMITS = {0.3, 1.3, 4.2, 12};
+    /** The request rate limits that a server states. */
+    private static final double[] LIMITS_PER_SECOND = {0.3, 1.3, 4.2, 12};
 
-    /** The operators count what goes to a server in windows of this length. */
+    /** The window in which operators check a server's request rate. */
     private static final long LIMIT_WINDOW_NANOS = 4_000_000_000L;
 
-    /** Longer than a request waits. */
-    private static final long LAST_MILLIS = 12_000;
+    /** Longer than the time limit of a request. */
+    private static final long SETTLE_MILLIS = 12_000;
 
     private long number;
     private long version;
 
-    /**
-     * Returns seeds, and for each the part of the steps that are requests whatever else is drawn.
-     */
+    /** Returns the seeds of the sequences. */
     @DataProvider
     public static Object[][] seeds() {
         return IntStream.rangeClosed(1, SEEDS)
@@ -65,68 +67,71 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void promisesHoldUnderFaults(long seed) {
+    public void invariantsHoldUnderFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double requests = random.nextDouble(MOST_REQUESTS);
+        double requestPart = random.nextDouble(MAX_REQUEST_PART);
         SteppedHosts all = start(seed);
         for (int i = 0; i < STEPS; i++) {
-            int kind = random.nextDouble() < requests ? 0 : random.nextInt(KINDS);
+            int kind = random.nextDouble() < requestPart ? 0 : random.nextInt(STEP_KINDS);
             step(all, kind, random.nextInt(1 << 20));
         }
         heal(all);
-        all.run(LAST_MILLIS);
+        all.run(SETTLE_MILLIS);
         checkQuota(all.sent());
         checkOnce(all.sent());
         checkAllAnswered(all);
         checkAgreement(all);
     }
 
-    /** Restarts of hosts, one after the other or together, each with a word before. */
+    /** Hosts restart one after the other or together, each after it announced that it leaves. */
     @Test(dataProvider = "seeds")
-    public void promisesHoldWhileHostsLeave(long seed) {
+    public void invariantsHoldWhileHostsLeave(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SteppedHosts all = start(seed);
         for (int i = 0; i < STEPS; i++) {
-            int kind = random.nextInt(KINDS);
-            int dice = random.nextInt(1 << 20);
+            int kind = random.nextInt(STEP_KINDS);
+            int draw = random.nextInt(1 << 20);
             if (kind < 20) {
-                leaveOrEnd(all, dice % HOSTS);
+                leaveOrKill(all, draw % HOSTS);
             } else {
-                step(all, kind, dice);
+                step(all, kind, draw);
             }
         }
         heal(all);
-        all.run(LAST_MILLIS);
+        all.run(SETTLE_MILLIS);
         checkQuota(all.sent());
         checkOnce(all.sent());
         checkAllAnswered(all);
     }
 
-    /** A server names a limit while hosts die, the network parts and messages are lost. */
+    /**
+     * A server states a limit while hosts die, the network is partitioned and messages are lost.
+     */
     @Test(dataProvider = "seeds")
-    public void noServerGetsMoreThanTheLimitThatItNamedUnderFaults(long seed) {
+    public void noServerReceivesMoreThanItsStatedLimitUnderFaults(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        double perSecond = LIMITS[(int) (seed % LIMITS.length)];
+        double perSecond = LIMITS_PER_SECOND[(int) (seed % LIMITS_PER_SECOND.length)];
         SteppedHosts all = start(seed);
-        all.limit("servers/0", perSecond);
+        all.setLimit("servers/0", perSecond);
         for (int i = 0; i < STEPS; i++) {
-            int kind = random.nextBoolean() ? 0 : random.nextInt(KINDS);
+            int kind = random.nextBoolean() ? 0 : random.nextInt(STEP_KINDS);
             step(all, kind, random.nextInt(1 << 20));
         }
         heal(all);
-        all.run(LAST_MILLIS);
+        all.run(SETTLE_MILLIS);
         checkLimit(all.sent(), perSecond);
         checkAllAnswered(all);
     }
 
     /**
-     * Over all hosts that know of the limit, no more goes to its server than operators tolerate.
+     * Checks that the hosts that have seen the limit together send the server no more than
+     * operators tolerate.
      */
     private static void checkLimit(List<Sent> sent, double perSecond) {
         double allowed = 1.5 * perSecond * LIMIT_WINDOW_NANOS / 1e9 + 5;
         List<Sent> counted =
                 sent.stream()
-                        .filter(Sent::limitKnown)
+                        .filter(Sent::limitSeen)
                         .filter(one -> one.server().value().equals("servers/0"))
                         .toList();
         int first = 0;
@@ -142,12 +147,12 @@
                                         last - first + 1,
                                         allowed,
                                         atNanos / 1_000_000,
-                                        givers(counted.subList(first, last + 1))));
+                                        countsBySource(counted.subList(first, last + 1))));
             }
         }
     }
 
-    private static void leaveOrEnd(SteppedHosts all, int number) {
+    private static void leaveOrKill(SteppedHosts all, int number) {
         SteppedHost host = all.get(number);
         if (host.dead) {
             all.restart(number);
@@ -172,14 +177,14 @@
 
     private void configure(SteppedHosts all) {
         version++;
-        all.put("op/config", version + "/" + PER_SECOND);
+        all.put("op/config", version + "/" + QUOTA_UNITS_PER_SECOND);
     }
 
-    private void step(SteppedHosts all, int kind, int dice) {
-        int chosen = dice % HOSTS;
-        int rest = dice / HOSTS;
+    private void step(SteppedHosts all, int kind, int draw) {
+        int chosen = draw % HOSTS;
+        int rest = draw / HOSTS;
         if (kind < 60) {
-            request(all, chosen, 1 + rest % MOST_AT_ONCE);
+            request(all, chosen, 1 + rest % MAX_BURST);
         } else if (kind < 78) {
             all.run(new int[] {20, 20, 60, 200, 600, 1_500}[rest % 6]);
         } else if (kind < 84) {
@@ -187,13 +192,13 @@
         } else if (kind < 86) {
             configure(all);
         } else if (kind < 91) {
-            all.cutOff(rest % 2 * (1 + rest / 2 % (HOSTS - 1)));
+            all.partition(rest % 2 * (1 + rest / 2 % (HOSTS - 1)));
         } else if (kind < 95) {
-            all.weather(rest % 4 * 0.1, rest / 4 % 3 * 0.1, rest / 12 % 5 * 15L);
+            all.setFaults(rest % 4 * 0.1, rest / 4 % 3 * 0.1, rest / 12 % 5 * 15L);
         } else if (kind < 98) {
             killOrStart(all, chosen);
         } else {
-            all.get(chosen).storeAway = !all.get(chosen).storeAway;
+            all.get(chosen).storeUnavailable = !all.get(chosen).storeUnavailable;
         }
     }
 
@@ -204,7 +209,7 @@
         }
         target.runFor(RUN_MILLIS);
         for (int i = 0; i < count; i++) {
-            target.request(++number, Optional.of(PlainDecoder.WORKSPACE), UNITS);
+            target.request(++number, Optional.of(PlainDecoder.WORKSPACE), UNITS_PER_REQUEST);
         }
     }
 
@@ -225,19 +230,19 @@
     }
 
     private static void heal(SteppedHosts all) {
-        all.cutOff(0);
-        all.weather(0, 0, 0);
+        all.partition(0);
+        all.setFaults(0, 0, 0);
         for (int i = 0; i < HOSTS; i++) {
-            all.get(i).storeAway = false;
+            all.get(i).storeUnavailable = false;
             if (all.get(i).dead) {
                 all.restart(i);
             }
         }
     }
 
-    /** Over all hosts, no more units go to servers in a window than operators tolerate. */
+    /** Checks that all hosts together use no more units in a window than operators tolerate. */
     private static void checkQuota(List<Sent> sent) {
-        double perWindow = PER_SECOND * WINDOW_NANOS / 1e9 + PER_SECOND;
+        double perWindow = QUOTA_UNITS_PER_SECOND * WINDOW_NANOS / 1e9 + QUOTA_UNITS_PER_SECOND;
         double allowed = perWindow * (1 + TOLERATED_PART) + TOLERATED_UNITS;
         long units = 0;
         int first = 0;
@@ -253,12 +258,13 @@
                                         units,
                                         allowed,
                                         last.atNanos() / 1_000_000,
-                                        givers(sent.subList(first, sent.indexOf(last) + 1))));
+                                        countsBySource(
+                                                sent.subList(first, sent.indexOf(last) + 1))));
             }
         }
     }
 
-    private static Map<String, Long> givers(List<Sent> sent) {
+    private static Map<String, Long> countsBySource(List<Sent> sent) {
         return sent.stream()
                 .collect(
                         Collectors.groupingBy(
@@ -284,20 +290,20 @@
         }
     }
 
-    /** All hosts end with what the store holds. */
+    /** Checks that all hosts converge to the servers in the store. */
     private static void checkAgreement(SteppedHosts all) {
-        Set<String> right =
+        Set<String> expected =
                 all.entries().stream()
                         .filter(entry -> !entry.key().startsWith("op/"))
                         .map(entry -> entry.key() + entry.value().equals(open()))
                         .collect(Collectors.toSet());
         for (SteppedHost host : all.hosts) {
-            Set<String> known =
+            Set<String> actual =
                     host.snapshot().servers().stream()
                             .map(HostsTest::describe)
                             .collect(Collectors.toSet());
-            if (!known.equals(right)) {
-                throw new AssertionError(host.id + " knows " + known + ", not " + right);
+            if (!actual.equals(expected)) {
+                throw new AssertionError(host.id + " has " + actual + ", not " + expected);
             }
         }
     }
--- a/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
+++ b/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
@@ -8,16 +8,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of when a hand-over of quotas counts. */
+/** Tests of {@link QuotaHandOver}: when quota credit from a leaving primary is taken over. */
 public class QuotaHandOverTest {
-    private static final long SECOND_NANOS = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final DispatchEvent.QuotasHanded HANDED =
             new DispatchEvent.QuotasHanded(Map.of(new WorkspaceId("w"), 0.5));
 
     @DataProvider
     Object[][] moments() {
         return new Object[][] {
-            // the word comes, this host becomes the primary, it looks; whether the word counts
+            // message received, this host becomes the primary, credit requested, whether it is
+            // valid
             {0.0, 0.1, 0.1, true},
             {0.2, 0.1, 0.2, true},
             {0.0, 1.1, 1.1, false},
@@ -26,18 +27,18 @@
     }
 
     @Test(dataProvider = "moments")
-    public void countsAtABeginningOnly(
-            double handedSeconds, double begunSeconds, double nowSeconds, boolean counts) {
+    public void isTakenOnlyAtTheStartAsPrimary(
+            double handedSeconds, double primarySeconds, double nowSeconds, boolean valid) {
         QuotaHandOver handOver = new QuotaHandOver();
         handOver.received(HANDED, nanos(handedSeconds));
-        handOver.begin(nanos(begunSeconds));
-        assertEquals(handOver.take(nanos(nowSeconds)).isPresent(), counts);
+        handOver.becamePrimary(nanos(primarySeconds));
+        assertEquals(handOver.take(nanos(nowSeconds)).isPresent(), valid);
     }
 
     @Test
-    public void countsOnce() {
+    public void isTakenOnce() {
         QuotaHandOver handOver = new QuotaHandOver();
-        handOver.begin(nanos(0));
+        handOver.becamePrimary(nanos(0));
         handOver.received(HANDED, nanos(0.1));
         assertEquals(handOver.take(nanos(0.1)).orElseThrow(), HANDED);
         handOver.received(HANDED, nanos(0.2));
@@ -45,6 +46,6 @@
     }
 
     private static long nanos(double seconds) {
-        return (long) (5 * SECOND_NANOS + seconds * SECOND_NANOS);
+        return (long) (5 * NANOS_PER_SECOND + seconds * NANOS_PER_SECOND);
     }
 }
--- a/src/test/java/org/orioleshed/gateway/RetryRuleTest.java
+++ b/src/test/java/org/orioleshed/gateway/RetryRuleTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RetryRule}. */
+/** Tests of {@link RetryRule}: a request must not run twice unless its route allows it. */
 public class RetryRuleTest {
     private static RetryRule rule(Repeatability repeatability, boolean resumable, int attempts) {
         return new RetryRule(
@@ -43,7 +43,7 @@
     }
 
     @Test(dataProvider = "routes")
-    public void whatMayHaveRunIsSentAgainOnlyWhereTheRouteAllowsIt(
+    public void retriesAPossibleRunOnlyIfTheRouteAllowsIt(
             Repeatability repeatability, boolean resumable, int attempts, boolean expected) {
         RetryRule rule = rule(repeatability, resumable, attempts);
         rule.sent();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void neverOnMoreServersThanAttempts() {
+    public void neverExceedsTheAttemptsOfTheRoute() {
         RetryRule rule = rule(Repeatability.IDEMPOTENT, false, 2);
         rule.sent();
         rule.ran();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void whatProvablyHasNotRunMayBeSentAgainAFewTimes() {
+    public void retriesProvablyNotRunRequestsALimitedNumberOfTimes() {
         RetryRule rule = rule(Repeatability.ONCE, false, 1);
         int sends = 0;
         do {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void withoutTimeNothingIsSentAgain() {
+    public void doesNotRetryWithTooLittleTimeLeft() {
         RetryRule rule = rule(Repeatability.IDEMPOTENT, false, 2);
         rule.sent();
         assertFalse(rule.mayRetry(false, 20));
--- a/src/test/java/org/orioleshed/gateway/RolloutRecorderTest.java
+++ b/src/test/java/org/orioleshed/gateway/RolloutRecorderTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RolloutRecorder}. */
+/** Tests of {@link RolloutRecorder}: each rollout has one recorded outcome despite store faults. */
 public class RolloutRecorderTest {
     private static final RolloutOrder ORDER =
             new RolloutOrder(PlainDecoder.SERVICE, new VersionId("v2"), 12_000, 0);
@@ -52,9 +52,9 @@
     }
 
     private void awaitRecorded(int count) {
-        long end = System.nanoTime() + 20_000_000_000L;
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
         while (recorded.size() < count) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("recorded only " + recorded);
             }
             Thread.onSpinWait();
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void aFinalOutcomeOfAnotherHostStands() {
+    public void keepsAFinalOutcomeOfAnotherHost() {
         store.put(KEY, "TAKEN_BACK");
         recorder.record(ORDER, RolloutOutcome.COMPLETED);
         awaitRecorded(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    public void aLostAnswerIsSettledByReading() {
+    public void readsAgainAfterALostResponse() {
         store.loseAnswers(1);
         recorder.record(ORDER, RolloutOutcome.COMPLETED);
         awaitRecorded(1);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void aStoreThatIsAwayIsTriedAgain() {
+    public void retriesWhileTheStoreIsUnavailable() {
         store.setAway(true);
         recorder.record(ORDER, RolloutOutcome.TAKEN_BACK);
         store.setAway(false);
--- a/src/test/java/org/orioleshed/gateway/LimitMemoryTest.java
+++ b/src/test/java/org/orioleshed/gateway/ServerLimitRetentionTest.java
@@ -14,8 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what a host remembers of servers' limits, for primaries that begin. */
-public class LimitMemoryTest {
+/**
+ * Tests of {@link ServerNotices}: how long a host keeps servers' limits to report to a new primary.
+ */
+public class ServerLimitRetentionTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final StatedLimit.Rate ONE = new StatedLimit.Rate(1);
     private static final DispatchEvent.ServerLimited REPORTED =
@@ -35,9 +37,9 @@
                 startMillis);
     }
 
-    private void answer(StatedLimit limit, long second) {
+    private void respond(StatedLimit limit, long second) {
         ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, limit);
-        var unused = notices.note(server(1), responseHeaders, second * NANOS_PER_SECOND);
+        var unused = notices.record(server(1), responseHeaders, second * NANOS_PER_SECOND);
     }
 
     private List<DispatchEvent.ServerLimited> reported(long second) {
@@ -49,32 +51,34 @@
         return new Object[][] {{1L, true}, {20L, true}, {40L, false}};
     }
 
-    /** Others may have heard since that the server names none any more. */
+    /**
+     * An old limit is not reported, as other hosts may have seen since that the server has none.
+     */
     @Test(dataProvider = "ages")
-    public void aLimitIsReportedForAWhile(long ageSeconds, boolean isReported) {
+    public void aLimitIsReportedUntilItExpires(long ageSeconds, boolean isReported) {
         ServerNotices fresh = new ServerNotices();
         ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, ONE);
-        var unused = fresh.note(server(1), responseHeaders, 5 * NANOS_PER_SECOND);
+        var unused = fresh.record(server(1), responseHeaders, 5 * NANOS_PER_SECOND);
         assertEquals(
                 fresh.limits((5 + ageSeconds) * NANOS_PER_SECOND),
                 isReported ? List.of(REPORTED) : List.of());
     }
 
     @Test
-    public void theLastAnswerCounts() {
-        answer(ONE, 5);
-        answer(ONE, 30);
+    public void theLastStatedLimitIsReported() {
+        respond(ONE, 5);
+        respond(ONE, 30);
         assertEquals(reported(50), List.of(REPORTED));
-        answer(StatedLimit.UNKNOWN, 51);
+        respond(StatedLimit.UNKNOWN, 51);
         assertEquals(reported(52), List.of(REPORTED));
-        answer(StatedLimit.NONE, 53);
+        respond(StatedLimit.NONE, 53);
         assertEquals(reported(54), List.of());
     }
 
     @Test
-    public void anotherStartHasNamedNone() {
-        answer(ONE, 5);
-        notices.changed(List.of(server(2)));
+    public void aRestartedServerHasNoLimit() {
+        respond(ONE, 5);
+        notices.serversChanged(List.of(server(2)));
         assertEquals(reported(6), List.of());
     }
 }
--- a/src/test/java/org/orioleshed/gateway/SteppedHost.java
+++ b/src/test/java/org/orioleshed/gateway/SteppedHost.java
@@ -31,16 +31,16 @@
 import org.orioleshed.peer.PeerPort;
 import org.orioleshed.store.Store;
 
-/** One host of {@link SteppedHosts}: all its decisions, and a note of what its requests get. */
+/** One host of {@link SteppedHosts}: its decision logic, and the outcomes of its requests. */
 final class SteppedHost implements PeerPort, FleetView.Listener, Dispatcher.PlacementListener {
     /**
-     * Of what the operators tolerate, as in the settings of the platform; the rest is for what
-     * hosts can't know.
+     * A part of what operators tolerate, as in the platform's settings; the rest covers use that
+     * hosts cannot observe.
      */
     private static final Quotas.Slack SLACK = new Quotas.Slack(0.04, 400);
 
-    /** Operators count what a host sends a server from this long after it saw the limit. */
-    private static final long LIMIT_SPREAD_NANOS = 500_000_000;
+    /** A host must comply with a server's limit from this long after it first saw the limit. */
+    private static final long LIMIT_PROPAGATION_NANOS = 500_000_000;
 
     private static final RunReport DONE = new RunReport(RunReport.Outcome.ANSWERED, 5, 50, 200);
 
@@ -51,25 +51,25 @@
     final Dispatcher dispatcher;
     final CatalogState catalog;
     final CatalogPropagation propagation;
-    final List<String> told = new ArrayList<>();
+    final List<String> outcomes = new ArrayList<>();
     final List<Sent> sent = new ArrayList<>();
     final Set<Long> open = new HashSet<>();
     boolean dead;
     boolean leaving;
-    boolean storeAway;
+    boolean storeUnavailable;
     private final SteppedHosts all;
     private final Map<RunKey, Long> endNanos = new HashMap<>();
     private final Map<RunKey, Long> units = new HashMap<>();
     private final Map<ServerId, Long> limitsSeenNanos = new HashMap<>();
     private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
-    private boolean wasAway;
+    private boolean wasUnavailable;
     private boolean listed;
     private long watched;
     private long runMillis;
 
-    /** A request that went to a server. */
+    /** A request that was sent to a server. */
     record Sent(
-            RunKey run, ServerId server, String by, long units, long atNanos, boolean limitKnown) {}
+            RunKey run, ServerId server, String by, long units, long atNanos, boolean limitSeen) {}
 
     SteppedHost(
             SteppedHosts all,
@@ -98,37 +98,37 @@
                         line -> {});
     }
 
-    /** Begins to serve. */
+    /** Joins the fleet and begins to serve. */
     void begin() {
         fleet.registered(all.hosts.size());
         fleet.seed(all.addresses());
         fleetChanged();
     }
 
-    /** Tells the others that it is about to stop. */
+    /** Announces to the other hosts that this one is leaving. */
     void leave() {
         leaving = true;
         fleet.leave();
     }
 
-    /** Has each request run for so long from now on; 0 for until it is ended by hand. */
+    /** Sets the run time of each later request; with 0, the test ends each run itself. */
     void runFor(long millis) {
         runMillis = millis;
     }
 
-    void step(boolean fleetToo) {
+    void step(boolean tickFleet) {
         readStore();
         dispatcher.tick();
         propagation.tick();
-        if (fleetToo) {
+        if (tickFleet) {
             fleet.tick();
         }
-        List<RunKey> over =
+        List<RunKey> finished =
                 endNanos.entrySet().stream()
                         .filter(entry -> entry.getValue() <= all.nowNanos())
                         .map(Map.Entry::getKey)
                         .toList();
-        over.forEach(run -> end(run, DONE));
+        finished.forEach(run -> end(run, DONE));
     }
 
     private void end(RunKey run, RunReport end) {
@@ -138,12 +138,12 @@
 
     private void readStore() {
         boolean changed = catalog.expire(all.nowNanos());
-        if (storeAway) {
-            wasAway = true;
-        } else if (!listed || wasAway) {
-            boolean settled = !wasAway;
+        if (storeUnavailable) {
+            wasUnavailable = true;
+        } else if (!listed || wasUnavailable) {
+            boolean settled = !wasUnavailable;
             listed = true;
-            wasAway = false;
+            wasUnavailable = false;
             watched = all.storeRevision();
             changed = true;
             list(settled);
@@ -151,7 +151,7 @@
             for (SteppedHosts.Event event : all.changedAfter(watched)) {
                 watched = event.revision();
                 changed = true;
-                take(event);
+                applyEvent(event);
             }
         }
         if (changed) {
@@ -171,7 +171,7 @@
         catalog.list(servers, all.storeRevision(), settled, all.nowNanos(), "store");
     }
 
-    private void take(SteppedHosts.Event event) {
+    private void applyEvent(SteppedHosts.Event event) {
         if (event.value().isEmpty()) {
             catalog.remove(event.key(), event.revision(), true, all.nowNanos(), "store");
             return;
@@ -194,11 +194,11 @@
         CatalogSnapshot newer = catalog.snapshot(true);
         if (newer.configRevision() < snapshot.configRevision()
                 || newer.entries().revision() < snapshot.entries().revision()) {
-            throw new AssertionError("revisions fell: " + snapshot + " " + newer);
+            throw new AssertionError("revisions must not decrease: " + snapshot + " " + newer);
         }
         snapshot = newer;
-        dispatcher.changed(newer);
-        propagation.changed(newer);
+        dispatcher.catalogChanged(newer);
+        propagation.catalogChanged(newer);
     }
 
     CatalogSnapshot snapshot() {
@@ -210,7 +210,8 @@
             case MEMBERSHIP -> fleet.received(from, body);
             case DISPATCH -> dispatcher.received(from, body);
             case CATALOG -> propagation.received(from, body);
-            case ROUTING, REQUEST, SETTINGS, MOVE -> throw new BadMessageException("not of ours");
+            case ROUTING, REQUEST, SETTINGS, MOVE ->
+                    throw new BadMessageException("unexpected message kind");
         }
     }
 
@@ -236,46 +237,46 @@
     @Override
     public void granted(RunKey run, ServerId server, String why) {
         String by = why.split(" ", 2)[0];
-        told.add(run.number() + " " + server.value().replace("servers/", "") + " " + by);
+        outcomes.add(run.number() + " " + server.value().replace("servers/", "") + " " + by);
         if (!open.remove(run.number())) {
             throw new AssertionError("granted twice: " + run);
         }
-        Optional<PoolServer> known = dispatcher.server(server);
-        boolean usable = known.isPresent() && !known.get().draining();
+        Optional<PoolServer> found = dispatcher.server(server);
+        boolean usable = found.isPresent() && !found.get().draining();
         if (!usable) {
             if (!by.equals("by=home")) {
-                throw new AssertionError("a leaving server was chosen here: " + server);
+                throw new AssertionError("this host chose a draining server: " + server);
             }
             dispatcher.ended(run, new RunReport(RunReport.Outcome.MISDIRECTED, 0, 0, 0));
             return;
         }
-        sent.add(new Sent(run, server, by, units.get(run), all.nowNanos(), knowsLimit(server)));
-        answer(run, known.get());
+        sent.add(new Sent(run, server, by, units.get(run), all.nowNanos(), hasSeenLimit(server)));
+        respond(run, found.get());
         if (runMillis > 0) {
             endNanos.put(run, all.nowNanos() + runMillis * 1_000_000);
         }
     }
 
-    private boolean knowsLimit(ServerId server) {
+    private boolean hasSeenLimit(ServerId server) {
         Long since = limitsSeenNanos.get(server);
-        return since != null && all.nowNanos() - since >= LIMIT_SPREAD_NANOS;
+        return since != null && all.nowNanos() - since >= LIMIT_PROPAGATION_NANOS;
     }
 
-    private void answer(RunKey run, PoolServer server) {
+    private void respond(RunKey run, PoolServer server) {
         StatedLimit limit = all.limitOf(server.id());
         if (limit instanceof StatedLimit.Rate) {
             limitsSeenNanos.putIfAbsent(server.id(), all.nowNanos());
         }
         ResponseHeaders responseHeaders = new ResponseHeaders("", true, false, -1, false, 0, limit);
         dispatcher.noticed(server, responseHeaders);
-        dispatcher.first(run, 20, limit);
+        dispatcher.firstEvent(run, 20, limit);
     }
 
     @Override
     public void refused(RunKey run, DispatchAction.Reason reason, long retryAfterMillis) {
-        told.add(run.number() + " " + reason);
+        outcomes.add(run.number() + " " + reason);
         if (!open.remove(run.number())) {
-            throw new AssertionError("answered twice: " + run);
+            throw new AssertionError("granted or refused twice: " + run);
         }
     }
 
@@ -283,8 +284,8 @@
         request(number, Optional.empty(), 0);
     }
 
-    /** Asks for a place for a request that uses a workspace's quota. */
-    void request(long number, Optional<WorkspaceId> workspace, long ofQuota) {
+    /** Requests a slot for a request that uses a workspace's quota. */
+    void request(long number, Optional<WorkspaceId> workspace, long quotaUnits) {
         PlacementRequest request =
                 new PlacementRequest(
                         PlainDecoder.SERVICE,
@@ -296,11 +297,11 @@
                         10_000,
                         100,
                         100,
-                        ofQuota,
+                        quotaUnits,
                         number,
                         Set.of());
         open.add(number);
-        units.put(key(number), ofQuota);
+        units.put(key(number), quotaUnits);
         dispatcher.place(key(number), request, this);
     }
 
--- a/src/test/java/org/orioleshed/gateway/SteppedHosts.java
+++ b/src/test/java/org/orioleshed/gateway/SteppedHosts.java
@@ -20,38 +20,39 @@
 import org.orioleshed.store.Store;
 
 /**
- * Hosts' views, catalogs and dispatchers over a network and a store in memory, on a stepped clock.
- * The network loses, repeats and reorders as it is told.
+ * Several hosts' views, catalogs and dispatchers over an in-memory network and store, on a stepped
+ * clock. The network loses, repeats and reorders messages as configured.
  */
 final class SteppedHosts {
     static final long STEP_NANOS = 20_000_000;
     private static final int FLEET_STEPS = 5;
 
     final List<SteppedHost> hosts = new ArrayList<>();
-    private final List<SteppedHost> retired = new ArrayList<>();
+    private final List<SteppedHost> replaced = new ArrayList<>();
     private final SplittableRandom random;
     private final PlainDecoder decoder;
-    private final List<Letter> letters = new ArrayList<>();
+    private final List<Envelope> envelopes = new ArrayList<>();
     private final Map<String, Store.Entry> store = new HashMap<>();
     private final List<Event> history = new ArrayList<>();
     private final Map<ServerId, Double> limits = new HashMap<>();
     private long nowNanos = 1_000_000_000L;
     private long incarnations = 1_000;
-    private int cutOff;
+    private int partition;
     private double lossPart;
     private double repeatPart;
-    private long mostDelayNanos;
+    private long maxDelayNanos;
     private int steps;
 
-    /** What a host hears of a change in the store; a value is empty where a key is removed. */
+    /** A change in the store, as a watch reports it; the value is empty if the key was removed. */
     record Event(String key, Optional<Payload> value, long revision) {}
 
-    private record Letter(HostId from, HostId to, MessageKind kind, Payload body, long dueNanos) {}
+    private record Envelope(
+            HostId from, HostId to, MessageKind kind, Payload body, long dueNanos) {}
 
     /**
-     * Starts hosts that know each other.
+     * Starts hosts that have each other's addresses.
      *
-     * @param slots what each server runs at once
+     * @param slots the number of slots of each server
      */
     SteppedHosts(int count, int slots, long seed) {
         random = new SplittableRandom(seed);
@@ -62,7 +63,7 @@
         hosts.forEach(SteppedHost::begin);
     }
 
-    /** Returns two hosts before one server, which have found each other. */
+    /** Returns two hosts with one server, after they have found each other. */
     static SteppedHosts two(int slots) {
         SteppedHosts two = new SteppedHosts(2, slots, 1);
         two.put("op/config", "1");
@@ -97,51 +98,53 @@
         return hosts.get(number);
     }
 
-    /** Returns all requests that went to servers, of hosts that are gone, too, in order of time. */
+    /**
+     * Returns all requests sent to servers, in order of time, including those of replaced hosts.
+     */
     List<SteppedHost.Sent> sent() {
-        return Stream.concat(retired.stream(), hosts.stream())
+        return Stream.concat(replaced.stream(), hosts.stream())
                 .flatMap(host -> host.sent.stream())
                 .sorted(Comparator.comparingLong(SteppedHost.Sent::atNanos))
                 .toList();
     }
 
-    /** Stops a host without a word. */
+    /** Kills a host without notice to the others. */
     void kill(int number) {
         get(number).dead = true;
     }
 
-    /** Starts a host anew, which knows nothing. */
+    /** Replaces a host by a new incarnation without state. */
     void restart(int number) {
-        retired.add(get(number));
-        SteppedHost fresh = host(number);
-        hosts.set(number, fresh);
-        fresh.begin();
+        replaced.add(get(number));
+        SteppedHost restarted = host(number);
+        hosts.set(number, restarted);
+        restarted.begin();
     }
 
-    /** Lets the hosts below a number, and the others, reach their like only; 0 ends that. */
-    void cutOff(int number) {
-        cutOff = number;
+    /** Partitions the network into the hosts below a number and the others; 0 heals it. */
+    void partition(int number) {
+        partition = number;
     }
 
     /**
-     * Sets what the network does to messages.
+     * Sets the network's message faults.
      *
-     * @param loss the part that is lost, from 0 to 1
-     * @param repeat the part that comes twice, from 0 to 1
-     * @param delayMillis the most that one takes, in milliseconds; they overtake each other
+     * @param loss the fraction of messages lost, from 0 to 1
+     * @param repeat the fraction of messages delivered twice, from 0 to 1
+     * @param delayMillis the maximum delay, in milliseconds; messages overtake each other
      */
-    void weather(double loss, double repeat, long delayMillis) {
+    void setFaults(double loss, double repeat, long delayMillis) {
         lossPart = loss;
         repeatPart = repeat;
-        mostDelayNanos = delayMillis * 1_000_000;
+        maxDelayNanos = delayMillis * 1_000_000;
     }
 
-    /** Has a server name how many requests a second it takes. */
-    void limit(String server, double perSecond) {
+    /** Sets the request rate limit that a server states. */
+    void setLimit(String server, double perSecond) {
         limits.put(new ServerId(server), perSecond);
     }
 
-    /** Returns what a server's answers say of how many requests it takes. */
+    /** Returns the limit that a server states in its responses. */
     StatedLimit limitOf(ServerId server) {
         Double perSecond = limits.get(server);
         return perSecond == null ? StatedLimit.NONE : new StatedLimit.Rate(perSecond);
@@ -166,7 +169,7 @@
         return List.copyOf(store.values());
     }
 
-    /** Returns what changed in the store after a revision. */
+    /** Returns the changes in the store after a revision. */
     List<Event> changedAfter(long revision) {
         return history.subList((int) revision, history.size());
     }
@@ -185,11 +188,11 @@
     }
 
     private void enqueue(HostId from, HostId to, MessageKind kind, byte[] body) {
-        long delayNanos = mostDelayNanos == 0 ? 0 : random.nextLong(mostDelayNanos);
-        letters.add(new Letter(from, to, kind, Payload.of(body), nowNanos + delayNanos));
+        long delayNanos = maxDelayNanos == 0 ? 0 : random.nextLong(maxDelayNanos);
+        envelopes.add(new Envelope(from, to, kind, Payload.of(body), nowNanos + delayNanos));
     }
 
-    /** Lets time pass and messages arrive. */
+    /** Advances the clock in steps and delivers messages. */
     void run(long millis) {
         long end = nowNanos + millis * 1_000_000;
         while (nowNanos < end) {
@@ -208,27 +211,27 @@
         deliver();
     }
 
-    /** Delivers what is due, and what that brings about at once. */
+    /** Delivers the due messages, and those sent in response without delay. */
     void deliver() {
-        for (Optional<Letter> next = next(); next.isPresent(); next = next()) {
-            letters.remove(next.get());
-            open(next.get());
+        for (Optional<Envelope> next = next(); next.isPresent(); next = next()) {
+            envelopes.remove(next.get());
+            receive(next.get());
         }
     }
 
-    private Optional<Letter> next() {
-        return letters.stream().filter(letter -> letter.dueNanos() <= nowNanos).findFirst();
+    private Optional<Envelope> next() {
+        return envelopes.stream().filter(envelope -> envelope.dueNanos() <= nowNanos).findFirst();
     }
 
-    private void open(Letter letter) {
-        SteppedHost to = byId(letter.to());
-        SteppedHost from = byId(letter.from());
-        boolean parted = (hosts.indexOf(to) < cutOff) != (hosts.indexOf(from) < cutOff);
-        if (parted || to.dead) {
+    private void receive(Envelope envelope) {
+        SteppedHost to = byId(envelope.to());
+        SteppedHost from = byId(envelope.from());
+        boolean partitioned = (hosts.indexOf(to) < partition) != (hosts.indexOf(from) < partition);
+        if (partitioned || to.dead) {
             return;
         }
         try {
-            to.received(letter.from(), letter.kind(), letter.body().toBytes());
+            to.received(envelope.from(), envelope.kind(), envelope.body().toBytes());
         } catch (BadMessageException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/org/orioleshed/platform/PlatformHeaderTranslatorTest.java
+++ b/src/test/java/org/orioleshed/platform/PlatformHeaderTranslatorTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.orioleshed.dispatch.StatedLimit;
 import org.orioleshed.gateway.CallHeaders;
-import org.orioleshed.gateway.HeaderTranslator.ServerOrder;
+import org.orioleshed.gateway.HeaderTranslator.ForwardingFields;
 import org.orioleshed.gateway.ResponseHeaders;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.WorkspaceId;
@@ -74,7 +74,7 @@
         HttpHeaders sent =
                 translator.toServer(
                         headers,
-                        new ServerOrder(
+                        new ForwardingFields(
                                 new ServerId("i-1"),
                                 Optional.of(new WorkspaceId("t")),
                                 700,
@@ -95,9 +95,9 @@
                         .set("X-Response-Signature", "s")
                         .set("Keep-Alive", "timeout=5, max=9");
         assertEquals(
-                translator.readAnswer(200, headers),
+                translator.readResponse(200, headers),
                 new ResponseHeaders("9c", true, false, 5_000, false, 0, StatedLimit.NONE));
-        assertTrue(translator.readAnswer(200, headers.set("X-Not-Executed", "1")).notRun());
+        assertTrue(translator.readResponse(200, headers.set("X-Not-Executed", "1")).notRun());
     }
 
     @DataProvider
@@ -120,13 +120,13 @@
     @Test(dataProvider = "limits")
     public void readsTheLimitOfAServerAndNothingThatIsNone(String stated, StatedLimit limit) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Server-Limit", stated);
-        assertEquals(translator.readAnswer(503, headers).limit(), limit);
+        assertEquals(translator.readResponse(503, headers).limit(), limit);
     }
 
     @Test
     public void ownAnswersBearNoSignatureAndSayWhenToComeBack() {
         HttpHeaders headers = new DefaultHttpHeaders();
-        translator.markOwn(headers, "9c", 350);
+        translator.markLocalResponse(headers, "9c", 350);
         assertEquals(headers.get("Retry-After"), "0.350");
         assertEquals(headers.get("X-Request-Id"), "9c");
         assertFalse(headers.contains("X-Response-Signature"));
