--- a/src/main/java/org/orioleshed/claim/ClaimCore.java
+++ b/src/main/java/org/orioleshed/claim/ClaimCore.java
@@ -152,7 +152,7 @@
     private Outcome toStored(Outcome outcome) {
         if (outcome instanceof Outcome.Answered answered
                 && answered.body().size() > limits.bodyBytes()) {
-            return new Outcome.InDoubt("the call ran, but its answer was too long to be stored");
+            return new Outcome.InDoubt("the call ran, but its answer was too long to keep");
         }
         return outcome;
     }
--- a/src/main/java/org/orioleshed/request/AcceptedRequests.java
+++ b/src/main/java/org/orioleshed/request/AcceptedRequests.java
@@ -304,7 +304,7 @@
 
     private static Outcome contentMismatch() {
         return new Outcome.Failed(
-                FailReason.REFUSED, "the idempotency key was already used with different content");
+                FailReason.REFUSED, "the idempotency key belongs to other content");
     }
 
     /**
--- a/src/main/java/org/orioleshed/request/KeyedRequest.java
+++ b/src/main/java/org/orioleshed/request/KeyedRequest.java
@@ -11,10 +11,9 @@
      * The detail for a caller whose deadline passed while other callers of the key still wait; the
      * request may still run, so "not run" would be wrong.
      */
-    static final String SHARED_KEY =
-            "the request is still pending for another caller with the same key";
+    static final String SHARED_KEY = "the same key still waits for another caller";
 
-    static final String HOST_STOPPED = "the host stopped before the run ended";
+    static final String HOST_STOPPED = "the host stopped before the run had ended";
 
     final Request request;
     final List<Caller> callers = new ArrayList<>();
--- a/src/main/java/org/orioleshed/request/ModelRequests.java
+++ b/src/main/java/org/orioleshed/request/ModelRequests.java
@@ -287,7 +287,7 @@
         Outcome outcome =
                 execution.provedNotRun()
                         ? notRun(NotRunReason.CALLER_GONE, 0)
-                        : new Outcome.Failed(FailReason.CALLER_GONE, "the caller disconnected");
+                        : new Outcome.Failed(FailReason.CALLER_GONE, "the caller left");
         detachCaller(nowNanos, execution, caller, outcome);
     }
 
@@ -803,7 +803,7 @@
     }
 
     private static Outcome retriesSpent() {
-        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run was interrupted");
+        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run broke off");
     }
 
     private static Outcome poisoned(Execution execution) {
--- a/src/main/java/org/orioleshed/request/ServiceRequests.java
+++ b/src/main/java/org/orioleshed/request/ServiceRequests.java
@@ -168,13 +168,13 @@
 
     private static Outcome stoppedOutcome(ServiceCall call) {
         if (call.state instanceof AwaitingHolder) {
-            return new Outcome.InDoubt("another host is still running the call");
+            return new Outcome.InDoubt("another host still runs the call");
         }
         if (call.provedNotRun()) {
             return notRun(NotRunReason.DRAINING, 0);
         }
         if (!call.work().repeatable()) {
-            return new Outcome.InDoubt("the host stopped before the call was answered");
+            return new Outcome.InDoubt("the host stopped before the call had answered");
         }
         return new Outcome.Failed(FailReason.RETRIES_SPENT, KeyedRequest.HOST_STOPPED);
     }
@@ -228,7 +228,7 @@
 
     private void onBroken(long nowNanos, ServiceCall call, ServerId server, CallEnd.Broken broken) {
         if (!call.work().repeatable()) {
-            String detail = "the service was called, but its answer was lost: " + broken.detail();
+            String detail = "the service was called and its answer lost: " + broken.detail();
             end(nowNanos, call, new Outcome.InDoubt(detail));
             return;
         }
@@ -328,8 +328,7 @@
                         && holderHost.state() != EntryHost.State.DEAD
                         && holderHost.incarnation() == holder.request().incarnation();
         if (!claimedByLivePeer && !claimedBySelf) {
-            String detail =
-                    "the host that claimed the call is no longer running and recorded no outcome";
+            String detail = "the host that sent the call is gone, and left no outcome";
             end(nowNanos, call, new Outcome.InDoubt(detail));
             return;
         }
@@ -356,7 +355,7 @@
         switch (reported.status()) {
             case RequestStatus.Pending pending -> {}
             case RequestStatus.Unknown unknown -> {
-                String detail = "the host that claimed the call no longer has its outcome";
+                String detail = "the host that sent the call no longer knows its outcome";
                 end(nowNanos, call, new Outcome.InDoubt(detail));
             }
             case RequestStatus.Final end when end.outcome() instanceof Outcome.NotRun ->
@@ -383,9 +382,7 @@
             Outcome outcome =
                     call.provedNotRun()
                             ? notRun(NotRunReason.NO_SERVER, retryAfterMillis)
-                            : new Outcome.Failed(
-                                    FailReason.RETRIES_SPENT,
-                                    "no server is available for the route");
+                            : new Outcome.Failed(FailReason.RETRIES_SPENT, "no server is left");
             end(nowNanos, call, outcome);
             return;
         }
@@ -498,12 +495,12 @@
         if (call.provedNotRun()) {
             return notRun(NotRunReason.CALLER_GONE, 0);
         }
-        return new Outcome.Failed(FailReason.CALLER_GONE, "the caller disconnected");
+        return new Outcome.Failed(FailReason.CALLER_GONE, "the caller left");
     }
 
     private static Outcome deadlineOutcome(ServiceCall call) {
         if (call.claimedElsewhere) {
-            return new Outcome.InDoubt("another host is still running the call");
+            return new Outcome.InDoubt("another host still runs the call");
         }
         if (call.provedNotRun() && call.callers.size() > 1) {
             return new Outcome.InDoubt(KeyedRequest.SHARED_KEY);
@@ -512,7 +509,7 @@
             return notRun(NotRunReason.DEADLINE, 0);
         }
         if (!call.work().repeatable()) {
-            return new Outcome.InDoubt("the call was sent but not answered before the deadline");
+            return new Outcome.InDoubt("the call was sent and has not answered yet");
         }
         return new Outcome.Failed(FailReason.DEADLINE, "the deadline passed");
     }
--- a/src/main/java/org/orioleshed/request/StatusInquiries.java
+++ b/src/main/java/org/orioleshed/request/StatusInquiries.java
@@ -141,8 +141,7 @@
         }
         RunId holder = taken.holder();
         if (!isHostAlive(holder.request())) {
-            String detail =
-                    "the host that claimed the call is no longer running and recorded no outcome";
+            String detail = "the host that sent the call is gone, and left no outcome";
             end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             return;
         }
@@ -160,7 +159,7 @@
             case RequestStatus.Pending pending -> end(inquiry, pending);
             case RequestStatus.Final end -> end(inquiry, end);
             case RequestStatus.Unknown unknown when reported.claim().isPresent() -> {
-                String detail = "the host that claimed the call no longer has its outcome";
+                String detail = "the host that sent the call no longer knows its outcome";
                 end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             }
             case RequestStatus.Unknown unknown -> {
