--- a/src/main/java/org/orioleshed/gateway/ResponseHeadLimit.java
+++ b/src/main/java/org/orioleshed/gateway/ResponseHeadLimit.java
@@ -35,7 +35,7 @@
             buffer.release();
             context.fireExceptionCaught(
                     new TooLongFrameException(
-                            "no complete response head within %d bytes".formatted(MAX_BYTES)));
+                            "no answer within %d bytes".formatted(MAX_BYTES)));
             return;
         }
         context.fireChannelRead(buffer);
