--- a/src/main/java/org/orioleshed/admin/AdminCall.java
+++ b/src/main/java/org/orioleshed/admin/AdminCall.java
@@ -13,24 +13,24 @@
 import java.util.Optional;
 
 /**
- * One call of the admin API, read and checked.
+ * A parsed call of the admin API, with accessors that validate its parameters.
  *
  * @param method the HTTP method
- * @param path the path's parts after {@link AdminServer#PREFIX}
- * @param query the query's parameters
- * @param body the body, empty when there is none
+ * @param path the path segments after {@link AdminServer#PREFIX}
+ * @param query the query parameters
+ * @param body the body; an empty object if there is none
  */
 record AdminCall(String method, List<String> path, Map<String, String> query, JsonNode body) {
-    private static final int MAX_FIELD = 1_000;
+    private static final int MAX_FIELD_CHARS = 1_000;
     private static final JsonMapper MAPPER =
             JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
 
     static AdminCall of(String method, String rawPath, String rawQuery, byte[] body)
             throws AdminException {
         List<String> path = new ArrayList<>();
-        for (String part : rawPath.split("/", -1)) {
-            if (!part.isEmpty()) {
-                path.add(decode(part));
+        for (String segment : rawPath.split("/", -1)) {
+            if (!segment.isEmpty()) {
+                path.add(decode(segment));
             }
         }
         return new AdminCall(method, path, query(rawQuery), json(body));
@@ -54,7 +54,7 @@
         try {
             return URLDecoder.decode(text, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw new AdminException(AdminError.BAD_INPUT, "bad escape in the address");
+            throw new AdminException(AdminError.BAD_INPUT, "URL has a malformed percent escape");
         }
     }
 
@@ -74,15 +74,15 @@
         }
     }
 
-    /** Returns a required string of the body. */
-    String text(String name) throws AdminException {
+    /** Returns a required string field of the body. */
+    String requiredText(String name) throws AdminException {
         return optionalText(name)
                 .filter(text -> !text.isBlank())
                 .orElseThrow(
                         () -> new AdminException(AdminError.BAD_INPUT, name + " must be given"));
     }
 
-    /** Returns a string of the body, if it is there. */
+    /** Returns an optional string field of the body. */
     Optional<String> optionalText(String name) throws AdminException {
         JsonNode value = body.get(name);
         if (value == null || value.isNull()) {
@@ -91,28 +91,30 @@
         if (!value.isTextual()) {
             throw new AdminException(AdminError.BAD_INPUT, name + " must be a string");
         }
-        if (value.textValue().length() > MAX_FIELD) {
+        if (value.textValue().length() > MAX_FIELD_CHARS) {
             throw new AdminException(
                     AdminError.BAD_INPUT,
-                    name + " must not be longer than " + MAX_FIELD + " characters");
+                    name + " must not be longer than " + MAX_FIELD_CHARS + " characters");
         }
         return Optional.of(value.textValue());
     }
 
-    /** Returns a whole number of the body; {@code missing} when it is not there. */
-    long number(String name, long missing) throws AdminException {
+    /**
+     * Returns a non-negative integer field of the body, or {@code defaultValue} if it is absent.
+     */
+    long number(String name, long defaultValue) throws AdminException {
         JsonNode value = body.get(name);
         if (value == null || value.isNull()) {
-            return missing;
+            return defaultValue;
         }
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
             throw new AdminException(
-                    AdminError.BAD_INPUT, name + " must be a whole number, not negative");
+                    AdminError.BAD_INPUT, name + " must be a whole number, zero or greater");
         }
         return value.longValue();
     }
 
-    /** Returns a yes or no of the body; no when it is not there. */
+    /** Returns a boolean field of the body, or false if it is absent. */
     boolean flag(String name) throws AdminException {
         JsonNode value = body.get(name);
         if (value == null) {
@@ -124,8 +126,8 @@
         return value.booleanValue();
     }
 
-    /** Returns a list of strings of the body; empty when it is not there. */
-    List<String> texts(String name) throws AdminException {
+    /** Returns a list of non-blank strings of the body, or an empty list if it is absent. */
+    List<String> textList(String name) throws AdminException {
         JsonNode values = body.get(name);
         if (values == null) {
             return List.of();
@@ -133,7 +135,8 @@
         List<String> texts = new ArrayList<>();
         for (JsonNode value : values) {
             if (!value.isTextual() || value.textValue().isBlank()) {
-                throw new AdminException(AdminError.BAD_INPUT, name + " must list strings");
+                throw new AdminException(
+                        AdminError.BAD_INPUT, name + " must contain only non-blank strings");
             }
             texts.add(value.textValue());
         }
@@ -143,7 +146,7 @@
         return texts;
     }
 
-    /** Returns a value of the body as JSON. */
+    /** Returns a required field of the body as JSON text. */
     String json(String name) throws AdminException {
         JsonNode value = body.get(name);
         if (value == null) {
@@ -152,21 +155,21 @@
         return value.toString();
     }
 
-    /** Returns a whole number of the query, within bounds; {@code missing} when it is not there. */
-    long queryNumber(String name, long missing, long most) throws AdminException {
+    /** Returns a query parameter from 0 to {@code max}, or {@code defaultValue} if it is absent. */
+    long queryNumber(String name, long defaultValue, long max) throws AdminException {
         String text = query.get(name);
         if (text == null) {
-            return missing;
+            return defaultValue;
         }
         try {
             long value = Long.parseLong(text);
-            if (value >= 0 && value <= most) {
+            if (value >= 0 && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, with the bounds.
+            // Reported below, with the bounds.
         }
         throw new AdminException(
-                AdminError.BAD_INPUT, name + " must be a whole number from 0 to " + most);
+                AdminError.BAD_INPUT, name + " must be a whole number from 0 to " + max);
     }
 }
--- a/src/main/java/org/orioleshed/admin/AdminClient.java
+++ b/src/main/java/org/orioleshed/admin/AdminClient.java
@@ -15,12 +15,12 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Calls the admin API of one entry host. */
+/** An HTTP client of the admin API of one entry host. */
 final class AdminClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(45);
 
-    private final URI host;
+    private final URI baseUri;
     private final String key;
     private final HttpClient http =
             HttpClient.newBuilder()
@@ -29,15 +29,15 @@
                     .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
-    AdminClient(URI host, String key) {
-        this.host = host;
+    AdminClient(URI baseUri, String key) {
+        this.baseUri = baseUri;
         this.key = key;
     }
 
     /**
-     * One call.
+     * An HTTP call.
      *
-     * @param path the path after {@link AdminServer#PREFIX}, its parts escaped
+     * @param path the path after {@link AdminServer#PREFIX}, with escaped segments
      */
     record Call(String method, String path, Map<String, String> query, Optional<ObjectNode> body) {
         static Call get(String path, Map<String, String> query) {
@@ -49,21 +49,21 @@
         }
     }
 
-    /** An answer. */
-    record Answer(int status, JsonNode body) {}
+    /** An HTTP status and the JSON body. */
+    record Response(int status, JsonNode body) {}
 
     /**
-     * Makes the call.
+     * Sends the call and waits for the response.
      *
-     * @throws IOException when the host could not be reached, or its answer is no JSON
+     * @throws IOException if the host cannot be reached or its response is not JSON
      */
-    Answer call(Call call) throws IOException, InterruptedException {
+    Response call(Call call) throws IOException, InterruptedException {
         HttpRequest.BodyPublisher body =
                 call.body()
                         .map(node -> HttpRequest.BodyPublishers.ofString(node.toString()))
                         .orElseGet(HttpRequest.BodyPublishers::noBody);
         HttpRequest request =
-                HttpRequest.newBuilder(host.resolve(AdminServer.PREFIX + path(call)))
+                HttpRequest.newBuilder(baseUri.resolve(AdminServer.PREFIX + path(call)))
                         .timeout(CALL_TIMEOUT)
                         .header("Authorization", "Bearer " + key)
                         .header("Content-Type", "application/json")
@@ -72,9 +72,9 @@
         HttpResponse<String> response =
                 http.send(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
         try {
-            return new Answer(response.statusCode(), AdminJson.MAPPER.readTree(response.body()));
+            return new Response(response.statusCode(), AdminJson.MAPPER.readTree(response.body()));
         } catch (JsonProcessingException e) {
-            throw new IOException("answer is not JSON: status " + response.statusCode(), e);
+            throw new IOException("response is not JSON, HTTP status " + response.statusCode(), e);
         }
     }
 
--- a/src/main/java/org/orioleshed/admin/AdminCommand.java
+++ b/src/main/java/org/orioleshed/admin/AdminCommand.java
@@ -14,7 +14,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** What all commands of {@code orioleshed-admin} share. */
+/** The base class of the commands of {@code orioleshed-admin} that call an entry host. */
 public abstract class AdminCommand {
     static final String HOST_VARIABLE = "ORIOLESHED_ADMIN";
     static final String KEY_VARIABLE = "ORIOLESHED_KEY";
@@ -28,7 +28,7 @@
             name = "--host",
             title = "address",
             description =
-                    "The admin address of any entry host; else ORIOLESHED_ADMIN, else "
+                    "The admin address of any entry host; defaults to ORIOLESHED_ADMIN, then "
                             + DEFAULT_HOST)
     String host;
 
@@ -36,19 +36,19 @@
             type = OptionType.COMMAND,
             name = "--key-file",
             title = "file",
-            description = "A file with the operator's key; else ORIOLESHED_KEY holds the key")
+            description = "A file with the operator's key; defaults to the key in ORIOLESHED_KEY")
     String keyFile;
 
     @Option(
             type = OptionType.COMMAND,
             name = "--json",
-            description = "Write the answer as one line of JSON, for programs")
+            description = "Print the response as one line of JSON")
     boolean json;
 
-    /** Returns the call that the arguments ask for. */
+    /** Converts the arguments to a call. */
     abstract AdminClient.Call toCall() throws UsageException;
 
-    /** Makes the call and writes the answer. */
+    /** Sends the call and prints the response. */
     ExitCode run(Map<String, String> environment, PrintStream out, PrintStream err)
             throws UsageException {
         if (help != null && help.showHelpIfRequested()) {
@@ -62,7 +62,7 @@
             err.println("error: cannot reach the entry host: " + e);
             return ExitCode.FAILED;
         } catch (IOException | UncheckedIOException e) {
-            err.println("error: no whole answer from the entry host: " + e);
+            err.println("error: incomplete response from the entry host: " + e);
             return isChange(call) ? ExitCode.IN_DOUBT : ExitCode.FAILED;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Makes the call; commands that make several override this. */
+    /** Sends the call and prints the response; overridden by commands that make several calls. */
     ExitCode exchange(AdminClient client, AdminClient.Call call, AdminPrinter printer)
             throws IOException, InterruptedException {
         return printer.print(client.call(call));
@@ -88,9 +88,9 @@
                 return uri;
             }
         } catch (IllegalArgumentException e) {
-            // Told below.
+            // Reported below.
         }
-        throw new UsageException("--host must be like " + DEFAULT_HOST + ": " + text);
+        throw new UsageException("--host must be a URL like " + DEFAULT_HOST + ", found " + text);
     }
 
     private String key(Map<String, String> environment) throws UsageException {
@@ -99,7 +99,7 @@
         }
         String key = environment.get(KEY_VARIABLE);
         if (key == null || key.isBlank()) {
-            throw new UsageException("give the key by --key-file or " + KEY_VARIABLE);
+            throw new UsageException("operator key missing: use --key-file or set " + KEY_VARIABLE);
         }
         return key;
     }
--- a/src/main/java/org/orioleshed/admin/AdminError.java
+++ b/src/main/java/org/orioleshed/admin/AdminError.java
@@ -1,28 +1,28 @@
 package org.orioleshed.admin;
 
-/** Why the admin API turns a call down at the door. */
+/** The errors of the admin API, each with its HTTP status and stable code. */
 enum AdminError {
-    /** The body, a parameter or a header is wrong. */
+    /** The body, a parameter or a header is malformed. */
     BAD_INPUT(400, "bad_input"),
-    /** No operator's key, or an unknown one. */
+    /** The operator key is missing or unknown. */
     UNAUTHORIZED(401, "unauthorized"),
-    /** The operator's role does not allow it. */
+    /** The operator's role does not allow the call. */
     FORBIDDEN(403, "forbidden"),
-    /** There is no such thing. */
+    /** The path or the object does not exist. */
     NOT_FOUND(404, "not_found"),
-    /** The path does not take this method. */
+    /** The path does not support this method. */
     BAD_METHOD(405, "bad_method"),
-    /** Another operator was faster. */
+    /** The change conflicts with a concurrent one. */
     CONFLICT(409, "conflict"),
     /** The body is too long. */
     TOO_LARGE(413, "too_large"),
-    /** The input is well formed but not valid. */
+    /** The input is well formed but invalid. */
     REJECTED(422, "rejected"),
-    /** The entry host failed. */
+    /** An unexpected failure of the entry host. */
     INTERNAL(500, "internal"),
-    /** The store is away. */
+    /** The store is unavailable, or too many calls are open. */
     STORE_AWAY(503, "store_away"),
-    /** The store's answer was lost. */
+    /** The result is unknown: no answer in time from the store or the entry host. */
     UNKNOWN(504, "unknown");
 
     private final int status;
--- a/src/main/java/org/orioleshed/admin/AdminException.java
+++ b/src/main/java/org/orioleshed/admin/AdminException.java
@@ -1,6 +1,6 @@
 package org.orioleshed.admin;
 
-/** Thrown inside the admin API for a call that is turned down at the door. */
+/** Signals that a call of the admin API is rejected with an {@link AdminError}. */
 final class AdminException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/orioleshed/admin/AdminJson.java
+++ b/src/main/java/org/orioleshed/admin/AdminJson.java
@@ -8,14 +8,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 
-/** The JSON that the admin API answers with. */
+/** Builds the JSON responses of the admin API. */
 final class AdminJson {
     static final JsonMapper MAPPER =
             JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
 
     private AdminJson() {}
 
-    /** An HTTP status and its body. */
+    /** An HTTP status and a JSON body. */
     record Response(int status, ObjectNode body) {}
 
     static Response of(AdminReply reply) {
@@ -32,8 +32,9 @@
             case AdminReply.Rejected rejected -> rejected(rejected);
             case AdminReply.Conflict conflict -> conflict(conflict);
             case AdminReply.NotFound missing ->
-                    error(AdminError.NOT_FOUND, "no such thing: " + missing.what());
-            case AdminReply.StoreAway away -> error(AdminError.STORE_AWAY, away.detail());
+                    error(AdminError.NOT_FOUND, "not found: " + missing.what());
+            case AdminReply.StoreUnavailable unavailable ->
+                    error(AdminError.STORE_AWAY, unavailable.detail());
             case AdminReply.Unknown unknown -> unknown(unknown);
         };
     }
@@ -79,12 +80,13 @@
             body.put("revision", document.revision());
             return new Response(200, body);
         } catch (JsonProcessingException e) {
-            return error(AdminError.INTERNAL, "the entry host's document is not JSON");
+            return error(
+                    AdminError.INTERNAL, "the entry host returned a document that is not JSON");
         }
     }
 
     private static Response rejected(AdminReply.Rejected rejected) {
-        Response response = error(AdminError.REJECTED, "not valid; nothing has changed");
+        Response response = error(AdminError.REJECTED, "invalid input; nothing has changed");
         ArrayNode problems = response.body().withObject("/error").putArray("problems");
         for (AdminReply.Problem problem : rejected.problems()) {
             ObjectNode node =
@@ -98,7 +100,9 @@
 
     private static Response conflict(AdminReply.Conflict conflict) {
         Response response =
-                error(AdminError.CONFLICT, "another change was faster; nothing has changed");
+                error(
+                        AdminError.CONFLICT,
+                        "conflict with a concurrent change; nothing has changed");
         response.body()
                 .withObject("/error")
                 .put("revision", conflict.revision())
--- a/src/main/java/org/orioleshed/admin/AdminMain.java
+++ b/src/main/java/org/orioleshed/admin/AdminMain.java
@@ -9,10 +9,10 @@
 import java.io.PrintStream;
 import java.util.Map;
 
-/** The program {@code orioleshed-admin}: what operators call the admin API with. */
+/** The program {@code orioleshed-admin}, the command line client of the admin API. */
 @Cli(
         name = "orioleshed-admin",
-        description = "Steers and shows entry hosts over their admin API",
+        description = "Controls and inspects entry hosts through their admin API",
         commands = {
             ViewCommands.Hosts.class,
             ViewCommands.Servers.class,
@@ -24,7 +24,7 @@
         groups = {
             @Group(
                     name = "settings",
-                    description = "Show and change the tree of settings",
+                    description = "Show and change the settings tree",
                     commands = {
                         SettingsCommands.Get.class,
                         SettingsCommands.Set.class,
@@ -36,7 +36,7 @@
                     }),
             @Group(
                     name = "moves",
-                    description = "Plan, follow and take back moves between versions",
+                    description = "Plan, follow and roll back rollouts (moves) between versions",
                     commands = {
                         RolloutCommands.Plan.class,
                         RolloutCommands.ListAll.class,
@@ -46,7 +46,8 @@
                     }),
             @Group(
                     name = "poison",
-                    description = "Content held because it crashed backend servers",
+                    description =
+                            "Show and release content quarantined because it crashed backend servers",
                     commands = {ViewCommands.PoisonList.class, ViewCommands.PoisonClear.class})
         })
 @ExitCodes(
@@ -54,18 +55,18 @@
         descriptions = {
             "Done",
             "The entry host failed or could not be reached",
-            "Wrong arguments",
-            "The input is not valid; nothing has changed",
-            "Another change was faster; nothing has changed",
-            "There is no such thing",
+            "Invalid arguments",
+            "The input is invalid; nothing has changed",
+            "Conflict with a concurrent change; nothing has changed",
+            "Not found",
             "The key is unknown, or its role does not allow it",
-            "The store is away; nothing has changed",
-            "The answer was lost: a change may take effect"
+            "The store is unavailable; nothing has changed",
+            "The response was lost; a change may still take effect"
         })
 public final class AdminMain {
     private AdminMain() {}
 
-    /** Runs the program and ends with its exit code. */
+    /** Runs the program and exits with its exit code. */
     public static void main(String[] args) {
         System.exit(run(args, System.getenv(), System.out, System.err));
     }
--- a/src/main/java/org/orioleshed/admin/AdminPrinter.java
+++ b/src/main/java/org/orioleshed/admin/AdminPrinter.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes answers of the admin API for people, or as JSON for programs. */
+/** Prints responses of the admin API as text, or as JSON. */
 final class AdminPrinter {
     private static final String GAP = "  ";
 
@@ -20,9 +20,9 @@
         this.json = json;
     }
 
-    /** Writes an answer and returns the exit code for it. */
-    ExitCode print(AdminClient.Answer answer) {
-        JsonNode body = answer.body();
+    /** Prints a response and returns its exit code. */
+    ExitCode print(AdminClient.Response response) {
+        JsonNode body = response.body();
         if (json) {
             out.println(body);
         } else if (body.has("error")) {
@@ -36,7 +36,7 @@
         } else {
             accepted(body);
         }
-        return ExitCode.of(answer.status());
+        return ExitCode.of(response.status());
     }
 
     private void error(JsonNode error) {
@@ -116,7 +116,7 @@
         try {
             return AdminJson.MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a JSON tree can always be written", e);
+            throw new IllegalStateException("cannot write JSON tree", e);
         }
     }
 }
--- a/src/main/java/org/orioleshed/admin/AdminRoutes.java
+++ b/src/main/java/org/orioleshed/admin/AdminRoutes.java
@@ -7,7 +7,7 @@
 import org.orioleshed.admin.AdminBackend.SettingsChange;
 import org.orioleshed.settings.Operator;
 
-/** Leads each call of the admin API to the backend. */
+/** Dispatches calls of the admin API to the backend. */
 final class AdminRoutes {
     private static final long MAX_WAIT_MILLIS = 30_000;
     private static final long MAX_ROWS = 10_000;
@@ -19,25 +19,27 @@
         this.backend = backend;
     }
 
-    /** What a call leads to. */
-    sealed interface Answer {
-        /** A reply of the backend; {@code audit} tells what was to be changed, empty for reads. */
-        record Reply(CompletableFuture<AdminReply> future, String audit) implements Answer {}
+    /** The pending result of a call. */
+    sealed interface Result {
+        /**
+         * A reply of the backend; {@code audit} describes the change for the log, empty for reads.
+         */
+        record Reply(CompletableFuture<AdminReply> future, String audit) implements Result {}
 
         /** Notices of rollouts. */
-        record Watch(CompletableFuture<AdminBackend.Notices> future) implements Answer {}
+        record Watch(CompletableFuture<AdminBackend.Notices> future) implements Result {}
     }
 
-    /** Returns whether the call changes something. */
+    /** Returns whether the call is a change. */
     static boolean isChange(AdminCall call) {
         return !call.method().equals("GET");
     }
 
-    /** Makes the call for {@code operator}, whose role allows it. */
-    Answer call(AdminCall call, Operator operator) throws AdminException {
+    /** Dispatches a call of {@code operator}, whose role has been checked. */
+    Result call(AdminCall call, Operator operator) throws AdminException {
         List<String> path = call.path();
         if (path.isEmpty()) {
-            throw unknown(call);
+            throw unknownPath(call);
         }
         return switch (path.get(0)) {
             case "settings" -> settings(call, operator);
@@ -46,13 +48,13 @@
             case "servers" -> table(call, backend::servers);
             case "requests" -> requests(call);
             case "poison" -> poison(call, operator);
-            default -> throw unknown(call);
+            default -> throw unknownPath(call);
         };
     }
 
-    private Answer settings(AdminCall call, Operator operator) throws AdminException {
+    private Result settings(AdminCall call, Operator operator) throws AdminException {
         String sub = call.path().size() == 1 ? "" : call.path().get(1);
-        requireLength(call, 2);
+        requireMaxSegments(call, 2);
         return switch (sub) {
             case "" ->
                     switch (call.method()) {
@@ -77,11 +79,11 @@
                 yield read(backend.settingsHistory(limit));
             }
             case "status" -> table(call, backend::settingsStatus);
-            default -> throw unknown(call);
+            default -> throw unknownPath(call);
         };
     }
 
-    private Answer change(AdminCall call, Operator operator, SettingsChange.Kind kind)
+    private Result change(AdminCall call, Operator operator, SettingsChange.Kind kind)
             throws AdminException {
         boolean trial = call.flag("trial");
         String path = call.optionalText("path").orElse("");
@@ -92,15 +94,17 @@
                         kind == SettingsChange.Kind.SET ? call.json("value") : "",
                         call.number("expectedRevision", 0),
                         operator.name(),
-                        trial ? call.optionalText("reason").orElse("") : call.text("reason"),
+                        trial
+                                ? call.optionalText("reason").orElse("")
+                                : call.requiredText("reason"),
                         trial);
         String audit = trial ? "" : "settings." + kind + " path=" + path;
-        return new Answer.Reply(backend.changeSettings(change), audit);
+        return new Result.Reply(backend.changeSettings(change), audit);
     }
 
-    private Answer rollouts(AdminCall call, Operator operator) throws AdminException {
+    private Result rollouts(AdminCall call, Operator operator) throws AdminException {
         List<String> path = call.path();
-        requireLength(call, 3);
+        requireMaxSegments(call, 3);
         if (path.size() == 1) {
             return switch (call.method()) {
                 case "GET" -> read(backend.rollouts());
@@ -113,32 +117,32 @@
             requireGet(call);
             if (id.equals("watch")) {
                 long after = call.queryNumber("after", 0, Long.MAX_VALUE);
-                long wait = call.queryNumber("waitMillis", MAX_WAIT_MILLIS, MAX_WAIT_MILLIS);
-                return new Answer.Watch(backend.notices(after, wait));
+                long waitMillis = call.queryNumber("waitMillis", MAX_WAIT_MILLIS, MAX_WAIT_MILLIS);
+                return new Result.Watch(backend.notices(after, waitMillis));
             }
             return read(backend.rollout(id));
         }
         if (!path.get(2).equals("take-back")) {
-            throw unknown(call);
+            throw unknownPath(call);
         }
         requirePost(call);
-        return new Answer.Reply(
-                backend.rollBack(id, operator.name(), call.text("reason")),
+        return new Result.Reply(
+                backend.rollBack(id, operator.name(), call.requiredText("reason")),
                 "moves.takeBack move=" + id);
     }
 
-    private Answer plan(AdminCall call, Operator operator) throws AdminException {
+    private Result plan(AdminCall call, Operator operator) throws AdminException {
         RolloutPlan plan =
                 new RolloutPlan(
                         call.optionalText("id"),
-                        call.text("target"),
-                        call.text("from"),
-                        call.text("to"),
-                        call.texts("routes"),
+                        call.requiredText("target"),
+                        call.requiredText("from"),
+                        call.requiredText("to"),
+                        call.textList("routes"),
                         call.number("completeByMillis", 0),
-                        call.texts("loads"),
+                        call.textList("loads"),
                         operator.name(),
-                        call.text("reason"));
+                        call.requiredText("reason"));
         if (plan.completeByMillis() == 0) {
             throw new AdminException(AdminError.BAD_INPUT, "completeByMillis must be given");
         }
@@ -148,24 +152,24 @@
         }
         String audit =
                 "moves.plan target=" + plan.target() + " from=" + plan.from() + " to=" + plan.to();
-        return new Answer.Reply(backend.planRollout(plan), audit);
+        return new Result.Reply(backend.planRollout(plan), audit);
     }
 
-    private Answer requests(AdminCall call) throws AdminException {
+    private Result requests(AdminCall call) throws AdminException {
         requireGet(call);
-        requireLength(call, 1);
+        requireMaxSegments(call, 1);
         int limit = (int) call.queryNumber("limit", DEFAULT_ROWS, MAX_ROWS);
         Optional<String> workspace = Optional.ofNullable(call.query().get("workspace"));
         return read(backend.requests(workspace, limit));
     }
 
-    private Answer poison(AdminCall call, Operator operator) throws AdminException {
-        requireLength(call, 2);
+    private Result poison(AdminCall call, Operator operator) throws AdminException {
+        requireMaxSegments(call, 2);
         if (call.path().size() == 1) {
             return table(call, backend::poison);
         }
         if (!call.path().get(1).equals("clear")) {
-            throw unknown(call);
+            throw unknownPath(call);
         }
         requirePost(call);
         Optional<String> fingerprint = call.optionalText("fingerprint");
@@ -173,18 +177,18 @@
             throw new AdminException(
                     AdminError.BAD_INPUT, "fingerprint must be 32 lower-case hex digits");
         }
-        return new Answer.Reply(
+        return new Result.Reply(
                 backend.clearPoison(fingerprint, operator.name()),
                 "poison.clear fingerprint=" + fingerprint.orElse("all"));
     }
 
-    private static Answer table(AdminCall call, Source source) throws AdminException {
+    private static Result table(AdminCall call, Source source) throws AdminException {
         requireGet(call);
         return read(source.get());
     }
 
-    private static Answer read(CompletableFuture<AdminReply> future) {
-        return new Answer.Reply(future, "");
+    private static Result read(CompletableFuture<AdminReply> future) {
+        return new Result.Reply(future, "");
     }
 
     private static void requireGet(AdminCall call) throws AdminException {
@@ -199,23 +203,23 @@
         }
     }
 
-    private static void requireLength(AdminCall call, int most) throws AdminException {
-        if (call.path().size() > most) {
-            throw unknown(call);
+    private static void requireMaxSegments(AdminCall call, int maxSegments) throws AdminException {
+        if (call.path().size() > maxSegments) {
+            throw unknownPath(call);
         }
     }
 
     private static AdminException badMethod(AdminCall call) {
         return new AdminException(
-                AdminError.BAD_METHOD, "this path does not take " + call.method());
+                AdminError.BAD_METHOD, "method not supported by this path: " + call.method());
     }
 
-    private static AdminException unknown(AdminCall call) {
+    private static AdminException unknownPath(AdminCall call) {
         return new AdminException(
                 AdminError.NOT_FOUND, "no such path: " + String.join("/", call.path()));
     }
 
-    /** Asks the backend for something that needs no parameters. */
+    /** An operation of the backend without parameters. */
     private interface Source {
         CompletableFuture<AdminReply> get();
     }
--- a/src/main/java/org/orioleshed/admin/AdminServer.java
+++ b/src/main/java/org/orioleshed/admin/AdminServer.java
@@ -17,26 +17,26 @@
 import java.util.concurrent.TimeoutException;
 import org.orioleshed.settings.Operator;
 
-/** The admin API of an entry host, over HTTP. */
+/** The HTTP server of the admin API of an entry host. */
 public final class AdminServer implements AutoCloseable {
-    /** What all paths start with. */
+    /** The prefix of all paths. */
     public static final String PREFIX = "/v1/admin/";
 
-    /** The longest body, in bytes. */
+    /** The longest allowed request body, in bytes. */
     public static final int MAX_BODY_BYTES = 1 << 20;
 
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int MAX_CALLS = 64;
+    private static final int MAX_CONCURRENT_CALLS = 64;
     private static final int BACKLOG = 64;
-    private static final long BACKEND_MILLIS = 10_000;
-    private static final long WATCH_MILLIS = 40_000;
-    private static final long CLOSE_MILLIS = 500;
+    private static final long BACKEND_TIMEOUT_MILLIS = 10_000;
+    private static final long WATCH_TIMEOUT_MILLIS = 40_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor();
     private final Operators operators;
     private final AdminRoutes routes;
-    private final Semaphore places = new Semaphore(MAX_CALLS);
+    private final Semaphore callSlots = new Semaphore(MAX_CONCURRENT_CALLS);
 
     private AdminServer(HttpServer server, List<Operator> operators, AdminBackend backend) {
         this.server = server;
@@ -45,12 +45,12 @@
     }
 
     /**
-     * Starts to serve.
+     * Starts a server.
      *
-     * @param address where to listen; port zero takes any free one
-     * @param operators who may call
-     * @param backend what to call
-     * @throws IOException when the address cannot be listened on
+     * @param address the address to listen on; port zero selects any free port
+     * @param operators the operators that may call the API
+     * @param backend the operations to expose
+     * @throws IOException if the server cannot listen on the address
      */
     public static AdminServer start(
             InetSocketAddress address, List<Operator> operators, AdminBackend backend)
@@ -66,14 +66,14 @@
         return admin;
     }
 
-    /** Returns the address listened on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
     /**
-     * Stops listening, once the calls that wait are answered or had a moment for it. Whoever holds
-     * their answers is to be stopped before.
+     * Stops the server after the open calls are answered, or after a short timeout. The components
+     * that complete the backend's futures must be stopped first.
      */
     @Override
     public void close() {
@@ -81,13 +81,14 @@
         server.stop(0);
         threads.shutdownNow();
         if (answered) {
-            places.release(MAX_CALLS);
+            callSlots.release(MAX_CONCURRENT_CALLS);
         }
     }
 
     private boolean awaitCalls() {
         try {
-            return places.tryAcquire(MAX_CALLS, CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            return callSlots.tryAcquire(
+                    MAX_CONCURRENT_CALLS, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -95,20 +96,24 @@
     }
 
     private void handle(HttpExchange exchange) throws IOException {
-        if (!places.tryAcquire()) {
+        if (!callSlots.tryAcquire()) {
             try (exchange) {
-                send(exchange, AdminJson.error(AdminError.STORE_AWAY, "too many calls at once"));
+                send(
+                        exchange,
+                        AdminJson.error(
+                                AdminError.STORE_AWAY,
+                                "too many concurrent calls; the limit is " + MAX_CONCURRENT_CALLS));
             }
             return;
         }
         try (exchange) {
-            send(exchange, answer(exchange));
+            send(exchange, respond(exchange));
         } finally {
-            places.release();
+            callSlots.release();
         }
     }
 
-    private AdminJson.Response answer(HttpExchange exchange) throws IOException {
+    private AdminJson.Response respond(HttpExchange exchange) throws IOException {
         try {
             Operator operator =
                     operators
@@ -117,7 +122,7 @@
                                     () ->
                                             new AdminException(
                                                     AdminError.UNAUTHORIZED,
-                                                    "an operator's key is needed"));
+                                                    "Authorization must carry a known operator key"));
             String path = exchange.getRequestURI().getRawPath();
             if (!path.startsWith(PREFIX)) {
                 throw new AdminException(AdminError.NOT_FOUND, "no such path: " + path);
@@ -144,8 +149,9 @@
         if (AdminRoutes.isChange(call) && operator.role() != Operator.Role.CHANGE) {
             logger.atWarning().log(
                     "event=admin_denied operator=%s method=%s path=%s",
-                    operator.name(), call.method(), oneLine(String.join("/", call.path())));
-            throw new AdminException(AdminError.FORBIDDEN, "the role does not allow changes");
+                    operator.name(), call.method(), replaceControls(String.join("/", call.path())));
+            throw new AdminException(
+                    AdminError.FORBIDDEN, "the operator's role does not allow changes");
         }
     }
 
@@ -153,49 +159,51 @@
         byte[] bytes = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES + 1);
         if (bytes.length > MAX_BODY_BYTES) {
             throw new AdminException(
-                    AdminError.TOO_LARGE, "body longer than " + MAX_BODY_BYTES + " bytes");
+                    AdminError.TOO_LARGE,
+                    "body must not be longer than " + MAX_BODY_BYTES + " bytes");
         }
         return bytes;
     }
 
-    private static AdminJson.Response finish(AdminRoutes.Answer answer, Operator operator) {
-        return switch (answer) {
-            case AdminRoutes.Answer.Watch watch -> watch(watch);
-            case AdminRoutes.Answer.Reply reply -> {
+    private static AdminJson.Response finish(AdminRoutes.Result result, Operator operator) {
+        return switch (result) {
+            case AdminRoutes.Result.Watch watch -> watch(watch);
+            case AdminRoutes.Result.Reply reply -> {
                 AdminJson.Response response = reply(reply);
                 if (!reply.audit().isEmpty()) {
                     logger.atInfo().log(
                             "event=admin_change operator=%s change=%s status=%d",
-                            operator.name(), oneLine(reply.audit()), response.status());
+                            operator.name(), replaceControls(reply.audit()), response.status());
                 }
                 yield response;
             }
         };
     }
 
-    private static String oneLine(String text) {
+    private static String replaceControls(String text) {
         return CharMatcher.javaIsoControl().replaceFrom(text, '?');
     }
 
-    private static AdminJson.Response watch(AdminRoutes.Answer.Watch watch) {
+    private static AdminJson.Response watch(AdminRoutes.Result.Watch watch) {
         try {
-            return AdminJson.notices(wait(watch.future(), WATCH_MILLIS));
+            return AdminJson.notices(await(watch.future(), WATCH_TIMEOUT_MILLIS));
         } catch (AdminException e) {
             return AdminJson.error(e.error(), e.getMessage());
         }
     }
 
-    private static AdminJson.Response reply(AdminRoutes.Answer.Reply reply) {
+    private static AdminJson.Response reply(AdminRoutes.Result.Reply reply) {
         try {
-            return AdminJson.of(wait(reply.future(), BACKEND_MILLIS));
+            return AdminJson.of(await(reply.future(), BACKEND_TIMEOUT_MILLIS));
         } catch (AdminException e) {
             return AdminJson.error(e.error(), e.getMessage());
         }
     }
 
-    private static <T> T wait(CompletableFuture<T> future, long millis) throws AdminException {
+    private static <T> T await(CompletableFuture<T> future, long timeoutMillis)
+            throws AdminException {
         try {
-            return future.get(millis, TimeUnit.MILLISECONDS);
+            return future.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new AdminException(AdminError.INTERNAL, "the entry host is shutting down");
--- a/src/main/java/org/orioleshed/admin/CompletionCommand.java
+++ b/src/main/java/org/orioleshed/admin/CompletionCommand.java
@@ -2,8 +2,10 @@
 
 import com.github.rvesse.airline.annotations.Command;
 
-/** Writes the shell's completion, which asks the program's own list of next words. */
-@Command(name = "completion", description = "Write bash completion; use: source <(... completion)")
+/** Prints a bash completion script, which gets its words from the {@code suggest} command. */
+@Command(
+        name = "completion",
+        description = "Print a bash completion script; use: source <(... completion)")
 public final class CompletionCommand implements Runnable {
     private static final String SCRIPT =
             """
--- a/src/main/java/org/orioleshed/admin/ExitCode.java
+++ b/src/main/java/org/orioleshed/admin/ExitCode.java
@@ -2,23 +2,23 @@
 
 /** Exit codes of {@code orioleshed-admin}. */
 enum ExitCode {
-    /** Done. */
+    /** Success. */
     OK(0),
     /** The entry host failed or could not be reached. */
     FAILED(1),
-    /** Wrong arguments. */
+    /** Invalid arguments. */
     USAGE(2),
-    /** The input is not valid; nothing has changed. */
+    /** The input is invalid; nothing has changed. */
     REJECTED(3),
-    /** Another change was faster; nothing has changed. */
+    /** Conflict with a concurrent change; nothing has changed. */
     CONFLICT(4),
-    /** There is no such thing. */
+    /** Not found. */
     NOT_FOUND(5),
     /** The key is unknown, or its role does not allow it. */
     DENIED(6),
-    /** The store is away; nothing has changed. */
+    /** The store is unavailable; nothing has changed. */
     STORE_AWAY(7),
-    /** The answer was lost: a change may take effect. */
+    /** The response was lost; a change may still take effect. */
     IN_DOUBT(8);
 
     private final int code;
@@ -31,7 +31,7 @@
         return code;
     }
 
-    /** Returns the code for an HTTP status. */
+    /** Returns the exit code for an HTTP status. */
     static ExitCode of(int status) {
         return switch (status) {
             case 200 -> OK;
--- a/src/main/java/org/orioleshed/admin/RolloutCommands.java
+++ b/src/main/java/org/orioleshed/admin/RolloutCommands.java
@@ -22,36 +22,43 @@
     private RolloutCommands() {}
 
     /** Plans a rollout. */
-    @Command(name = "plan", description = "Plan a move from one version to the next")
+    @Command(name = "plan", description = "Plan a rollout (move) from one version to another")
     public static final class Plan extends AdminCommand {
-        @Option(name = "--id", title = "name", description = "The move's name; made up if left out")
+        @Option(
+                name = "--id",
+                title = "name",
+                description = "The move's name; generated if omitted")
         String id;
 
         @Option(
                 name = "--target",
                 title = "target",
-                description = "What moves: model:NAME or service:NAME")
+                description = "The target: model:NAME or service:NAME")
         @Required
         String target;
 
-        @Option(name = "--from", title = "version", description = "The version traffic leaves")
+        @Option(
+                name = "--from",
+                title = "version",
+                description = "The version that traffic moves away from")
         @Required
         String from;
 
-        @Option(name = "--to", title = "version", description = "The version traffic goes to")
+        @Option(name = "--to", title = "version", description = "The version that traffic moves to")
         @Required
         String to;
 
         @Option(
                 name = "--route",
                 title = "route",
-                description = "A route to move, repeatable; all routes of the target if left out")
+                description = "A route to move, repeatable; defaults to all routes of the target")
         List<String> routes = new ArrayList<>();
 
         @Option(
                 name = "--complete-by",
                 title = "time",
-                description = "When it must be completed: 2026-01-31T20:00:00Z, or PT30M from now")
+                description =
+                        "The deadline: a time like 2026-01-31T20:00:00Z, or a duration from now like PT30M")
         @Required
         String completeBy;
 
@@ -61,7 +68,7 @@
                 description = "A backend server that must load the new version first, repeatable")
         List<String> loads = new ArrayList<>();
 
-        @Option(name = "--reason", title = "text", description = "Why")
+        @Option(name = "--reason", title = "text", description = "The reason of the change")
         @Required
         String reason;
 
@@ -73,7 +80,9 @@
                             .put("target", target)
                             .put("from", from)
                             .put("to", to)
-                            .put("completeByMillis", millis(completeBy, InstantSource.system()))
+                            .put(
+                                    "completeByMillis",
+                                    epochMillis(completeBy, InstantSource.system()))
                             .put("reason", reason);
             if (id != null) {
                 body.put("id", id);
@@ -86,8 +95,8 @@
         }
     }
 
-    /** Returns a time, or a duration from now, in milliseconds since the epoch. */
-    static long millis(String text, InstantSource clock) throws UsageException {
+    /** Converts an ISO time, or an ISO duration from now, to milliseconds since the epoch. */
+    static long epochMillis(String text, InstantSource clock) throws UsageException {
         try {
             if (text.startsWith("P")) {
                 return clock.instant().plus(Duration.parse(text)).toEpochMilli();
@@ -95,12 +104,12 @@
             return Instant.parse(text).toEpochMilli();
         } catch (DateTimeParseException | ArithmeticException e) {
             throw new UsageException(
-                    "--complete-by must be like 2026-01-31T20:00:00Z or PT30M: " + text);
+                    "--complete-by must be like 2026-01-31T20:00:00Z or PT30M, found " + text);
         }
     }
 
-    /** Lists moves. */
-    @Command(name = "list", description = "List all moves")
+    /** Lists rollouts. */
+    @Command(name = "list", description = "List all rollouts (moves)")
     public static final class ListAll extends AdminCommand {
         @Override
         AdminClient.Call toCall() {
@@ -109,7 +118,7 @@
     }
 
     /** Shows a rollout. */
-    @Command(name = "show", description = "Show a move with its evidence")
+    @Command(name = "show", description = "Show a rollout (move) with its evidence")
     public static final class Show extends AdminCommand {
         @Arguments(title = "move", description = "The move's name")
         @Required
@@ -122,15 +131,15 @@
         }
     }
 
-    /** Takes a rollout back. */
-    @Command(name = "take-back", description = "Take a move back that has no outcome yet")
+    /** Rolls back a rollout. */
+    @Command(name = "take-back", description = "Roll back a rollout (move) that has no outcome yet")
     public static final class RollBack extends AdminCommand {
         @Arguments(title = "move", description = "The move's name")
         @Required
         @MaxOccurrences(occurrences = 1)
         List<String> id = new ArrayList<>();
 
-        @Option(name = "--reason", title = "text", description = "Why")
+        @Option(name = "--reason", title = "text", description = "The reason of the change")
         @Required
         String reason;
 
@@ -143,12 +152,17 @@
     }
 
     /** Follows the notices of rollouts. */
-    @Command(name = "watch", description = "Write notices of moves as they come, until stopped")
+    @Command(
+            name = "watch",
+            description = "Print notices of rollouts (moves) as they arrive, until stopped")
     public static final class Watch extends AdminCommand {
-        @Option(name = "--after", title = "number", description = "Only notices after this one")
+        @Option(
+                name = "--after",
+                title = "number",
+                description = "Print only notices after this sequence number")
         long after;
 
-        @Option(name = "--once", description = "Stop after the first notices")
+        @Option(name = "--once", description = "Exit after the first notices")
         boolean once;
 
         @Override
@@ -161,14 +175,14 @@
                 throws IOException, InterruptedException {
             AdminClient.Call call = first;
             while (true) {
-                AdminClient.Answer answer = client.call(call);
-                JsonNode notices = answer.body().path("notices");
-                boolean some = answer.status() != 200 || !notices.isEmpty();
-                ExitCode code = some ? printer.print(answer) : ExitCode.OK;
-                if (code != ExitCode.OK || (once && some)) {
+                AdminClient.Response response = client.call(call);
+                JsonNode notices = response.body().path("notices");
+                boolean printable = response.status() != 200 || !notices.isEmpty();
+                ExitCode code = printable ? printer.print(response) : ExitCode.OK;
+                if (code != ExitCode.OK || (once && printable)) {
                     return code;
                 }
-                String last = Long.toString(answer.body().path("last").asLong());
+                String last = Long.toString(response.body().path("last").asLong());
                 call = AdminClient.Call.get("moves/watch", Map.of("after", last));
             }
         }
--- a/src/main/java/org/orioleshed/admin/SettingsCommands.java
+++ b/src/main/java/org/orioleshed/admin/SettingsCommands.java
@@ -20,11 +20,11 @@
     /** Shows settings. */
     @Command(name = "get", description = "Show the settings at a path")
     public static final class Get extends AdminCommand {
-        @Arguments(title = "path", description = "Names joined by dots; the whole tree if left out")
+        @Arguments(title = "path", description = "Names joined by dots; defaults to the whole tree")
         @MaxOccurrences(occurrences = 1)
         List<String> path = new ArrayList<>();
 
-        @Option(name = "--effective", description = "Fill inherited values in")
+        @Option(name = "--effective", description = "Include inherited values")
         boolean effective;
 
         @Override
@@ -36,19 +36,22 @@
         }
     }
 
-    /** What commands that change settings share. */
+    /** The base class of commands that change settings. */
     public abstract static class Change extends AdminCommand {
-        @Option(name = "--reason", title = "text", description = "Why; kept in the history")
+        @Option(
+                name = "--reason",
+                title = "text",
+                description = "The reason of the change, kept in the history")
         @Required
         String reason;
 
         @Option(
                 name = "--expect",
                 title = "revision",
-                description = "Refuse the change unless this revision is in force")
+                description = "Reject the change unless this revision is in force")
         long expectedRevision;
 
-        @Option(name = "--trial", description = "Only check, change nothing")
+        @Option(name = "--trial", description = "Validate only, without any change")
         boolean trial;
 
         ObjectNode body(String path) {
@@ -66,14 +69,16 @@
     public static final class Set extends Change {
         @Arguments(
                 title = {"path", "value"},
-                description = "Names joined by dots; JSON with comments, or @FILE to read it")
+                description =
+                        "Names joined by dots; JSON with comments, or @FILE to read the value from a file")
         @Required
         List<String> arguments = new ArrayList<>();
 
         @Override
         AdminClient.Call toCall() throws UsageException {
             if (arguments.size() != 2) {
-                throw new UsageException("give a path and a value");
+                throw new UsageException(
+                        "expected a path and a value, found " + arguments.size() + " arguments");
             }
             ObjectNode body = body(arguments.get(0));
             body.set("value", value(arguments.get(1)));
@@ -95,8 +100,10 @@
         }
     }
 
-    /** Checks a whole tree. */
-    @Command(name = "check", description = "Check a file with a whole tree, change nothing")
+    /** Validates a settings tree. */
+    @Command(
+            name = "check",
+            description = "Validate a file with a whole settings tree, without any change")
     public static final class Check extends AdminCommand {
         @Arguments(title = "file", description = "JSON with comments")
         @Required
@@ -114,10 +121,16 @@
     /** Compares revisions. */
     @Command(name = "diff", description = "Compare two revisions of the settings")
     public static final class Diff extends AdminCommand {
-        @Option(name = "--from", title = "revision", description = "Zero: the one in force")
+        @Option(
+                name = "--from",
+                title = "revision",
+                description = "A revision; 0 for the one in force")
         long from;
 
-        @Option(name = "--to", title = "revision", description = "Zero: the one in force")
+        @Option(
+                name = "--to",
+                title = "revision",
+                description = "A revision; 0 for the one in force")
         long to;
 
         @Override
@@ -129,9 +142,12 @@
     }
 
     /** Lists changes. */
-    @Command(name = "history", description = "List the last changes, the newest first")
+    @Command(name = "history", description = "List the latest changes, newest first")
     public static final class History extends AdminCommand {
-        @Option(name = "--limit", title = "number", description = "How many changes")
+        @Option(
+                name = "--limit",
+                title = "number",
+                description = "The largest number of changes to list")
         int limit = 20;
 
         @Override
@@ -141,8 +157,8 @@
         }
     }
 
-    /** Tells who has which revision. */
-    @Command(name = "status", description = "Tell which revision each host has in force")
+    /** Shows the revision in force on each host. */
+    @Command(name = "status", description = "Show the revision in force on each host")
     public static final class Status extends AdminCommand {
         @Override
         AdminClient.Call toCall() {
--- a/src/main/java/org/orioleshed/admin/UsageException.java
+++ b/src/main/java/org/orioleshed/admin/UsageException.java
@@ -1,6 +1,6 @@
 package org.orioleshed.admin;
 
-/** Thrown for arguments of the command line that make no sense. */
+/** Signals invalid command line arguments. */
 final class UsageException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/orioleshed/admin/ViewCommands.java
+++ b/src/main/java/org/orioleshed/admin/ViewCommands.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Commands about hosts, backend servers, requests and held content. */
+/** Commands about hosts, backend servers, requests and quarantined content. */
 final class ViewCommands {
     private ViewCommands() {}
 
@@ -24,7 +24,7 @@
     }
 
     /** Lists backend servers. */
-    @Command(name = "servers", description = "List the backend servers with homes and load")
+    @Command(name = "servers", description = "List the backend servers with owners and states")
     public static final class Servers extends AdminCommand {
         @Override
         AdminClient.Call toCall() {
@@ -33,12 +33,18 @@
     }
 
     /** Lists requests. */
-    @Command(name = "requests", description = "List requests that wait or run on the entry host")
+    @Command(name = "requests", description = "List the open requests on the entry host")
     public static final class Requests extends AdminCommand {
-        @Option(name = "--workspace", title = "name", description = "Only this workspace's")
+        @Option(
+                name = "--workspace",
+                title = "name",
+                description = "List only requests of this workspace")
         String workspace;
 
-        @Option(name = "--limit", title = "number", description = "How many requests")
+        @Option(
+                name = "--limit",
+                title = "number",
+                description = "The largest number of requests to list")
         int limit = 50;
 
         @Override
@@ -52,8 +58,8 @@
         }
     }
 
-    /** Lists held content. */
-    @Command(name = "list", description = "List content held because it crashed servers")
+    /** Lists quarantined content. */
+    @Command(name = "list", description = "List content quarantined because it crashed servers")
     public static final class PoisonList extends AdminCommand {
         @Override
         AdminClient.Call toCall() {
@@ -61,10 +67,12 @@
         }
     }
 
-    /** Lets held content run again. */
-    @Command(name = "clear", description = "Let held content run again")
+    /** Releases quarantined content. */
+    @Command(name = "clear", description = "Release quarantined content, so that it may run again")
     public static final class PoisonClear extends AdminCommand {
-        @Arguments(title = "fingerprint", description = "The content; all of it if left out")
+        @Arguments(
+                title = "fingerprint",
+                description = "The fingerprint of the content; defaults to all quarantined content")
         @MaxOccurrences(occurrences = 1)
         List<String> fingerprint = new ArrayList<>();
 
--- a/src/main/java/org/orioleshed/admin/package-info.java
+++ b/src/main/java/org/orioleshed/admin/package-info.java
@@ -1,2 +1,2 @@
-/** What operators drive: the admin API of an entry host and the command line that calls it. */
+/** The admin API of an entry host and its command line client. */
 package org.orioleshed.admin;
--- a/src/main/java/org/orioleshed/entry/HostActions.java
+++ b/src/main/java/org/orioleshed/entry/ActionExecutor.java
@@ -25,11 +25,11 @@
 import org.orioleshed.store.Store;
 
 /**
- * Carries the decisions' actions out: to callers, backend servers, peers and the store. Never
+ * Executes the actions of the event loop on callers, backend servers, peers and the store. Never
  * blocks.
  */
-final class HostActions {
-    private static final long READ_TIMEOUT_MILLIS = 1_000;
+final class ActionExecutor {
+    private static final long STORE_READ_TIMEOUT_MILLIS = 1_000;
 
     private final Map<RequestId, CallerExchange> callers = new ConcurrentHashMap<>();
     private final Map<Long, CompletableFuture<RequestStatus>> statuses = new ConcurrentHashMap<>();
@@ -38,13 +38,13 @@
     private final EntryMetrics metrics;
     private final DecisionLog log;
     private final Store store;
-    private final PeerMessages peers;
+    private final PeerSender peers;
     private Backends backends;
     private Consumer<HostEvent> events;
     private volatile Consumer<HostAction.RecordResult> observer = observed -> {};
     private volatile FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
-    HostActions(EntryMetrics metrics, DecisionLog log, Store store, PeerMessages peers) {
+    ActionExecutor(EntryMetrics metrics, DecisionLog log, Store store, PeerSender peers) {
         this.metrics = metrics;
         this.log = log;
         this.store = store;
@@ -52,20 +52,20 @@
     }
 
     /**
-     * Joins the other half, which needs this one first. To be called once, before the decisions
-     * run.
+     * Sets the collaborators that are constructed after this object. Must be called once, before
+     * the event loop starts.
      */
     void connect(Backends newBackends, Consumer<HostEvent> newEvents) {
         backends = newBackends;
         events = newEvents;
     }
 
-    /** Takes the one who hears of evidence about versions. */
+    /** Sets the consumer of run results, which are evidence about versions in a rollout. */
     void observer(Consumer<HostAction.RecordResult> newObserver) {
         observer = newObserver;
     }
 
-    /** Takes the fleet snapshot in which servers are looked up. */
+    /** Sets the fleet snapshot in which servers are looked up. */
     void fleet(FleetSnapshot newFleet) {
         fleet = newFleet;
     }
@@ -74,17 +74,17 @@
         return fleet;
     }
 
-    /** Registers the thread that serves a caller. */
-    void open(CallerExchange exchange) {
+    /** Registers the exchange of a caller. */
+    void register(CallerExchange exchange) {
         callers.put(exchange.request().id(), exchange);
     }
 
-    /** Forgets a caller. */
-    void forget(RequestId request) {
+    /** Removes the exchange of a caller. */
+    void unregister(RequestId request) {
         callers.remove(request);
     }
 
-    /** Returns the requests whose callers wait on this host. */
+    /** Returns the requests of callers that are open on this host. */
     List<Request> openRequests() {
         return callers.values().stream().map(CallerExchange::request).toList();
     }
@@ -93,7 +93,7 @@
         return callers.size();
     }
 
-    /** Asks the decisions for the request status of a key. */
+    /** Requests the status of a request key from the event loop. */
     CompletableFuture<RequestStatus> requestStatus(RequestKey key) {
         long ticket = tickets.incrementAndGet();
         CompletableFuture<RequestStatus> future = new CompletableFuture<>();
@@ -102,12 +102,12 @@
         return future.whenComplete((requestStatus, error) -> statuses.remove(ticket));
     }
 
-    /** Returns the latch that opens when a drain is over. */
+    /** Returns the latch that is released when a drain has finished. */
     CountDownLatch drained() {
         return drained;
     }
 
-    /** Carries out one action. */
+    /** Executes one action. */
     void perform(HostAction action) {
         switch (action) {
             case HostAction.WriteTokens tokens ->
@@ -117,7 +117,7 @@
                     caller(answer.request())
                             .ifPresent(
                                     exchange -> exchange.end(answer.outcome(), System.nanoTime()));
-            case HostAction.ReplyStatus told -> tell(told);
+            case HostAction.ReplyStatus reply -> completeStatus(reply);
             case HostAction.SendRouting send -> peers.send(send.to(), send.message());
             case HostAction.SendRequest send -> peers.send(send.to(), send.message());
             case HostAction.StartRun start -> start(start);
@@ -125,7 +125,7 @@
             case HostAction.PauseRun pause -> backends.pause(pause.run(), pause.paused());
             case HostAction.CallService call -> call(call);
             case HostAction.ReadStore read ->
-                    store.get(read.key(), READ_TIMEOUT_MILLIS)
+                    store.get(read.key(), STORE_READ_TIMEOUT_MILLIS)
                             .thenAccept(result -> answer(read.ticket(), result));
             case HostAction.CompareAndSwap swap ->
                     store.swap(
@@ -148,17 +148,17 @@
         return Optional.ofNullable(callers.get(request));
     }
 
-    private void tell(HostAction.ReplyStatus told) {
-        CompletableFuture<RequestStatus> future = statuses.get(told.ticket());
+    private void completeStatus(HostAction.ReplyStatus reply) {
+        CompletableFuture<RequestStatus> future = statuses.get(reply.ticket());
         if (future != null) {
-            future.complete(told.status());
+            future.complete(reply.status());
         }
     }
 
     private void start(HostAction.StartRun start) {
         BackendServer server = fleet.servers().get(start.server());
         if (server == null) {
-            unknownServer(start.run(), start.server());
+            endUnknownServerRun(start.run(), start.server());
             return;
         }
         backends.start(start.run(), server, start.body(), start.resumeFromToken());
@@ -167,13 +167,13 @@
     private void cancel(HostAction.CancelRun cancel) {
         BackendServer server = fleet.servers().get(cancel.server());
         if (server == null) {
-            unknownServer(cancel.run(), cancel.server());
+            endUnknownServerRun(cancel.run(), cancel.server());
             return;
         }
         backends.cancel(cancel.run(), server);
     }
 
-    private void unknownServer(RunId run, ServerId server) {
+    private void endUnknownServerRun(RunId run, ServerId server) {
         events.accept(new HostEvent.RunEnded(run, server, new RunEnd.Broken(false, false)));
     }
 
@@ -195,14 +195,15 @@
     }
 
     private void answer(long ticket, Store.Result result) {
-        events.accept(new HostEvent.StoreAnswered(ticket, translate(result)));
+        events.accept(new HostEvent.StoreAnswered(ticket, toStoreAnswer(result)));
     }
 
-    private static StoreAnswer translate(Store.Result result) {
+    private static StoreAnswer toStoreAnswer(Store.Result result) {
         return switch (result) {
-            case Store.Result.Entries entries -> value(entries.entries().stream().findFirst());
+            case Store.Result.Entries entries ->
+                    valueAnswer(entries.entries().stream().findFirst());
             case Store.Result.Swapped swapped -> new StoreAnswer.Swapped(swapped.revision());
-            case Store.Result.Conflict conflict -> conflict(conflict.present());
+            case Store.Result.Conflict conflict -> conflictAnswer(conflict.present());
             case Store.Result.Lease lease -> new StoreAnswer.Unknown("unexpected answer");
             case Store.Result.Unknown unknown -> new StoreAnswer.Unknown(unknown.detail());
             case Store.Result.Unavailable unavailable ->
@@ -210,12 +211,12 @@
         };
     }
 
-    private static StoreAnswer value(Optional<Store.Entry> entry) {
+    private static StoreAnswer valueAnswer(Optional<Store.Entry> entry) {
         Optional<Payload> value = entry.map(Store.Entry::value);
         return new StoreAnswer.Value(value, entry.map(Store.Entry::revision).orElse(0L));
     }
 
-    private static StoreAnswer conflict(Optional<Store.Entry> entry) {
+    private static StoreAnswer conflictAnswer(Optional<Store.Entry> entry) {
         Optional<Payload> value = entry.map(Store.Entry::value);
         return new StoreAnswer.Conflict(value, entry.map(Store.Entry::revision).orElse(0L));
     }
--- a/src/main/java/org/orioleshed/entry/AdminReplies.java
+++ b/src/main/java/org/orioleshed/entry/AdminReplies.java
@@ -14,7 +14,7 @@
 import org.orioleshed.settings.SettingsDocument;
 import org.orioleshed.settings.SettingsEdit;
 
-/** Words the control duty's answers for operators. */
+/** Converts results of the control loop to admin replies. */
 final class AdminReplies {
     private AdminReplies() {}
 
@@ -30,8 +30,10 @@
                             List.of(
                                     new AdminReply.Problem(
                                             "", refused.detail(), Optional.empty())));
-            case ProposalResult.StoreUnavailable away -> new AdminReply.StoreAway(away.detail());
-            case ProposalResult.InDoubt doubt -> new AdminReply.Unknown(changeId, doubt.detail());
+            case ProposalResult.StoreUnavailable unavailable ->
+                    new AdminReply.StoreUnavailable(unavailable.detail());
+            case ProposalResult.InDoubt inDoubt ->
+                    new AdminReply.Unknown(changeId, inDoubt.detail());
         };
     }
 
@@ -49,23 +51,25 @@
         return switch (result) {
             case RolloutWriteResult.Written written -> accepted(written.record());
             case RolloutWriteResult.Exists exists ->
-                    new AdminReply.Conflict(0, "the move exists: " + exists.record());
+                    new AdminReply.Conflict(0, "rollout already exists: " + exists.record());
             case RolloutWriteResult.Decided decided ->
                     new AdminReply.Conflict(
-                            0, "the move has its outcome: " + name(decided.record()));
+                            0, "rollout already has an outcome: " + stateName(decided.record()));
             case RolloutWriteResult.NotFound missing ->
                     new AdminReply.NotFound("move " + missing.rollout());
-            case RolloutWriteResult.Unreadable bad -> new AdminReply.StoreAway(bad.detail());
-            case RolloutWriteResult.StoreAway away -> new AdminReply.StoreAway(away.detail());
-            case RolloutWriteResult.InDoubt doubt -> new AdminReply.Unknown("", doubt.detail());
+            case RolloutWriteResult.Unreadable unreadable ->
+                    new AdminReply.StoreUnavailable(unreadable.detail());
+            case RolloutWriteResult.StoreAway unavailable ->
+                    new AdminReply.StoreUnavailable(unavailable.detail());
+            case RolloutWriteResult.InDoubt inDoubt -> new AdminReply.Unknown("", inDoubt.detail());
         };
     }
 
     private static AdminReply accepted(RolloutRecord record) {
-        return new AdminReply.Accepted(record.id().value(), 0, name(record));
+        return new AdminReply.Accepted(record.id().value(), 0, stateName(record));
     }
 
-    private static String name(RolloutRecord record) {
+    private static String stateName(RolloutRecord record) {
         return record.state().name().toLowerCase(Locale.ROOT);
     }
 
@@ -95,7 +99,7 @@
                 record.id().value(),
                 record.from().value(),
                 record.to().value(),
-                name(record),
+                stateName(record),
                 Integer.toString(record.step()),
                 String.format(Locale.ROOT, "%.3f", rollout.share()),
                 Long.toString(rollout.newRuns()),
@@ -110,7 +114,7 @@
     static AdminReply diff(
             Optional<SettingsDocument> document, long fromRevision, long toRevision) {
         Optional<List<SettingsChange>> since =
-                document.flatMap(known -> known.changesAfter(fromRevision));
+                document.flatMap(present -> present.changesAfter(fromRevision));
         if (since.isEmpty()) {
             return new AdminReply.NotFound("changes since revision " + fromRevision);
         }
@@ -125,7 +129,7 @@
 
     private static List<String> row(SettingsChange change, SettingsEdit edit) {
         return List.of(
-                Long.toString(change.number()), edit.path(), edit.json().orElse("(taken away)"));
+                Long.toString(change.number()), edit.path(), edit.json().orElse("(removed)"));
     }
 
     static AdminReply history(Optional<List<SettingsChange>> changes, int limit) {
--- a/src/main/java/org/orioleshed/entry/Admission.java
+++ b/src/main/java/org/orioleshed/entry/Admission.java
@@ -2,13 +2,13 @@
 
 import org.orioleshed.model.Request;
 
-/** Whether a caller's request may go on to the decisions. */
+/** The result of validating a caller's request. */
 sealed interface Admission permits Admission.Admitted, BadRequest {
     /**
-     * The request passed all checks.
+     * A valid request.
      *
      * @param request the request
-     * @param streaming whether the caller wants the answer as a stream of events
+     * @param streaming whether the caller requested a stream of server-sent events
      */
     record Admitted(Request request, boolean streaming) implements Admission {}
 }
--- a/src/main/java/org/orioleshed/entry/BadRequest.java
+++ b/src/main/java/org/orioleshed/entry/BadRequest.java
@@ -1,10 +1,10 @@
 package org.orioleshed.entry;
 
 /**
- * What is wrong with a caller's request: it is turned down at the door and never ran.
+ * An invalid request of a caller. It is rejected before scheduling and never runs.
  *
  * @param status the HTTP status
- * @param code the stable code of the error
- * @param message a sentence for the caller
+ * @param code the stable error code
+ * @param message the explanation for the caller
  */
 record BadRequest(int status, String code, String message) implements Admission {}
--- a/src/main/java/org/orioleshed/entry/CallerError.java
+++ b/src/main/java/org/orioleshed/entry/CallerError.java
@@ -6,23 +6,23 @@
 import org.orioleshed.model.Outcome;
 
 /**
- * An error as callers see it.
+ * An error response to a caller.
  *
  * @param status the HTTP status
  * @param code the stable code
  * @param ran {@code not_run}, {@code in_doubt} or {@code failed}
- * @param message a sentence for people
- * @param retryAfterMillis when to send again, in milliseconds; negative when that is useless
+ * @param message the explanation for people
+ * @param retryAfterMillis the delay before a retry, in milliseconds; negative if a retry is useless
  */
 record CallerError(int status, String code, String ran, String message, long retryAfterMillis) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final int BAD_GATEWAY = 502;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final long NO_RETRY = -1;
 
-    /** Returns the error for a request turned down at the door. */
+    /** Returns the error for an invalid request. */
     static CallerError of(BadRequest bad) {
         return new CallerError(bad.status(), bad.code(), "not_run", bad.message(), NO_RETRY);
     }
@@ -30,7 +30,9 @@
     /** Returns the error for a request that was not run. */
     static CallerError of(Outcome.NotRun notRun) {
         int status =
-                notRun.reason() == Outcome.NotRunReason.WORKSPACE_LIMIT ? TOO_MANY : UNAVAILABLE;
+                notRun.reason() == Outcome.NotRunReason.WORKSPACE_LIMIT
+                        ? TOO_MANY_REQUESTS
+                        : SERVICE_UNAVAILABLE;
         return new CallerError(
                 status,
                 code(notRun.reason()),
@@ -45,12 +47,11 @@
         return new CallerError(status, code(failed.reason()), "failed", failed.detail(), NO_RETRY);
     }
 
-    /** Returns the error for a request of which it can't be told whether it ran. */
+    /** Returns the error for a request that may or may not have run. */
     static CallerError of(Outcome.InDoubt inDoubt) {
         return new CallerError(GATEWAY_TIMEOUT, "in_doubt", "in_doubt", inDoubt.detail(), NO_RETRY);
     }
 
-    /** Returns the JSON body. */
     String json() {
         ObjectNode root = JSON.createObjectNode();
         ObjectNode error = root.putObject("error");
--- a/src/main/java/org/orioleshed/entry/CallerExchange.java
+++ b/src/main/java/org/orioleshed/entry/CallerExchange.java
@@ -10,8 +10,9 @@
 import org.orioleshed.model.Request;
 
 /**
- * What the decisions hand to the thread that serves one caller. The decisions send no more tokens
- * than the caller took, so the queue stays short. One thread adds, one takes.
+ * Queue of output from the event loop to the thread that serves one caller. The event loop sends no
+ * more tokens than the caller consumes, so the queue stays short. It has one producer and one
+ * consumer.
  */
 final class CallerExchange {
     private final Request request;
@@ -19,9 +20,9 @@
     private final LinkedBlockingQueue<Piece> pieces = new LinkedBlockingQueue<>();
     private long lastTokenNanos;
 
-    /** A piece of the answer, or its end. */
+    /** A part of the answer, or its end. */
     sealed interface Piece {
-        /** Tokens to be written. */
+        /** Tokens to write to the caller. */
         record Tokens(int count, Payload text) implements Piece {}
 
         /** The final outcome. */
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Returns the next piece, tokens that already wait joined into one, or null when none comes in
-     * time.
+     * Returns the next piece, or null on timeout. Tokens that are already queued are joined into
+     * one piece.
      */
     Piece next(long timeoutMillis) throws InterruptedException {
         Piece first = pieces.poll(timeoutMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/orioleshed/entry/CallerReply.java
+++ b/src/main/java/org/orioleshed/entry/CallerReply.java
@@ -10,12 +10,12 @@
 import org.orioleshed.model.Payload;
 import org.orioleshed.model.Request;
 
-/** Writes an answer to a caller, whole or as a stream of events. */
+/** Writes the response to a caller, as one JSON body or as a stream of server-sent events. */
 final class CallerReply {
     private static final int OK = 200;
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final byte[] ALIVE = ": alive\n\n".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] KEEP_ALIVE = ": alive\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final HttpExchange http;
     private final Request request;
@@ -31,7 +31,7 @@
         return stream != null;
     }
 
-    /** Opens the stream of events, unless it is open. */
+    /** Sends the response headers of the event stream unless they are sent already. */
     void openStream() throws IOException {
         if (stream != null) {
             return;
@@ -43,39 +43,39 @@
         stream = http.getResponseBody();
     }
 
-    /** Writes a sign of life, which also shows whether the caller is still there. */
-    void alive() throws IOException {
-        stream.write(ALIVE);
+    /** Writes a keep-alive comment; this fails when the caller has disconnected. */
+    void keepAlive() throws IOException {
+        stream.write(KEEP_ALIVE);
         stream.flush();
     }
 
-    /** Writes a piece of the answer as an event. */
-    void tokens(Payload text) throws IOException {
+    /** Writes tokens as one event. */
+    void writeTokens(Payload text) throws IOException {
         openStream();
-        event(chunk(text.text(), null));
+        writeEvent(chunkJson(text.text(), null));
     }
 
-    /** Ends a whole stream. */
+    /** Writes the final events of a completed answer and closes the stream. */
     void endStream() throws IOException {
         openStream();
-        event(chunk("", "stop"));
+        writeEvent(chunkJson("", "stop"));
         stream.write("data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8));
         stream.close();
     }
 
-    /** Answers with an error, as a status or, in a started stream, as an event. */
-    void error(CallerError error) throws IOException {
+    /** Writes an error: as an event if the stream is open, otherwise as an HTTP status. */
+    void writeError(CallerError error) throws IOException {
         if (stream != null) {
             stream.write("event: error\n".getBytes(StandardCharsets.UTF_8));
-            event(error.json());
+            writeEvent(error.json());
             stream.close();
             return;
         }
         sendError(http, error);
     }
 
-    /** Answers with the whole text of a model. */
-    void whole(String text, int tokens) throws IOException {
+    /** Writes the complete answer of a model as JSON. */
+    void writeCompletion(String text, int tokens) throws IOException {
         ObjectNode root = JSON.createObjectNode();
         root.put("id", request.id().toString());
         root.put("object", "chat.completion");
@@ -88,12 +88,12 @@
         send(http, OK, root.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers with the body of a plain service. */
-    void body(Payload body) throws IOException {
+    /** Writes the response body of a service. */
+    void writeBody(Payload body) throws IOException {
         send(http, OK, body.toBytes());
     }
 
-    /** Answers an exchange with an error and Retry-After where sending again makes sense. */
+    /** Writes an error, with a Retry-After header if the request may be retried. */
     static void sendError(HttpExchange http, CallerError error) throws IOException {
         if (error.retryAfterMillis() >= 0) {
             long seconds = (error.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
@@ -102,7 +102,7 @@
         send(http, error.status(), error.json().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers an exchange with a JSON body. */
+    /** Writes a JSON response. */
     static void send(HttpExchange http, int status, byte[] json) throws IOException {
         http.getResponseHeaders().set("Content-Type", "application/json");
         http.sendResponseHeaders(status, json.length == 0 ? -1 : json.length);
@@ -111,7 +111,7 @@
         }
     }
 
-    private String chunk(String content, String finishReason) {
+    private String chunkJson(String content, String finishReason) {
         ObjectNode root = JSON.createObjectNode();
         root.put("id", request.id().toString());
         root.put("object", "chat.completion.chunk");
@@ -126,7 +126,7 @@
         return root.toString();
     }
 
-    private void event(String json) throws IOException {
+    private void writeEvent(String json) throws IOException {
         stream.write(("data: " + json + "\n\n").getBytes(StandardCharsets.UTF_8));
         stream.flush();
     }
--- a/src/main/java/org/orioleshed/entry/CallerServer.java
+++ b/src/main/java/org/orioleshed/entry/CallerServer.java
@@ -19,7 +19,7 @@
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.Request;
 
-/** The HTTP door for callers, one virtual thread for each open request. */
+/** The HTTP server for callers. Each open request has its own virtual thread. */
 final class CallerServer implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int OK = 200;
@@ -32,32 +32,32 @@
     private static final int BACKLOG = 1_024;
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
-    private final CallerHandler handler;
-    private final HostActions actions;
-    private final HostDuty duty;
+    private final RequestParser parser;
+    private final ActionExecutor actions;
+    private final HostEventLoop eventLoop;
     private final EntryLimits limits;
     private final MetricRegistry metrics;
     private final EntryMetrics entryMetrics;
     private final MetricsText metricsText;
     private final BooleanSupplier ready;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openRequests = new AtomicInteger();
     private final AtomicBoolean draining = new AtomicBoolean();
     private final ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor();
     private final HttpServer server;
 
     CallerServer(
             InetSocketAddress listen,
-            CallerHandler handler,
-            HostActions actions,
-            HostDuty duty,
+            RequestParser parser,
+            ActionExecutor actions,
+            HostEventLoop eventLoop,
             EntryLimits limits,
             MetricRegistry metrics,
             EntryMetrics entryMetrics,
             BooleanSupplier ready)
             throws IOException {
-        this.handler = handler;
+        this.parser = parser;
         this.actions = actions;
-        this.duty = duty;
+        this.eventLoop = eventLoop;
         this.limits = limits;
         this.metrics = metrics;
         this.entryMetrics = entryMetrics;
@@ -68,18 +68,18 @@
         server.createContext("/v1/chat/completions", guarded(this::chat));
         server.createContext("/v1/services/", guarded(this::service));
         server.createContext(
-                "/v1/requests/", guarded(new RequestStatusHandler(handler, actions)::answer));
-        server.createContext("/healthz", guarded(http -> text(http, OK, "alive")));
+                "/v1/requests/", guarded(new RequestStatusHandler(parser, actions)::handle));
+        server.createContext("/healthz", guarded(http -> sendText(http, OK, "alive")));
         server.createContext("/readyz", guarded(this::readiness));
-        server.createContext("/metrics", guarded(http -> text(http, OK, metricsText.write())));
+        server.createContext("/metrics", guarded(http -> sendText(http, OK, metricsText.write())));
         server.createContext("/", guarded(http -> CallerReply.sendError(http, notFound())));
     }
 
     /**
-     * Sets the properties of the JDK's server that bound slow callers; before the first server is
-     * made.
+     * Sets the system properties of the JDK's HTTP server that limit slow callers and the number of
+     * connections. Must be called before the first server is created.
      */
-    static void boundSlowCallers() {
+    static void limitSlowCallers() {
         System.setProperty("sun.net.httpserver.maxReqTime", MAX_REQUEST_SECONDS);
         System.setProperty("jdk.httpserver.maxConnections", MAX_CONNECTIONS);
         System.setProperty("sun.net.httpserver.nodelay", "true");
@@ -89,7 +89,7 @@
         server.start();
     }
 
-    /** Says "not ready" from now on and takes nothing new. */
+    /** Reports "not ready" from now on and rejects new requests. */
     void drain() {
         draining.set(true);
     }
@@ -119,7 +119,7 @@
         if (body == null) {
             return;
         }
-        admit(http, handler.chat(http.getRequestHeaders(), body, System.nanoTime()));
+        admit(http, parser.chat(http.getRequestHeaders(), body, System.nanoTime()));
     }
 
     private void service(HttpExchange http) throws IOException {
@@ -134,7 +134,7 @@
         }
         admit(
                 http,
-                handler.service(
+                parser.service(
                         http.getRequestHeaders(),
                         path.get(3),
                         path.get(4),
@@ -142,7 +142,7 @@
                         System.nanoTime()));
     }
 
-    /** Returns the body, or null when the exchange is answered already. */
+    /** Returns the body, or null if an error response has been sent instead. */
     private byte[] body(HttpExchange http) throws IOException {
         if (!http.getRequestMethod().equals("POST")) {
             CallerReply.sendError(
@@ -158,7 +158,9 @@
                             new BadRequest(
                                     TOO_LARGE,
                                     "too_large",
-                                    "the body may have " + limits.maxBodyBytes() + " bytes")));
+                                    "the body must not be longer than "
+                                            + limits.maxBodyBytes()
+                                            + " bytes")));
             return null;
         }
         return body;
@@ -167,7 +169,7 @@
     private void admit(HttpExchange http, Admission admission) throws IOException {
         switch (admission) {
             case BadRequest bad -> {
-                entryMetrics.refusedAtDoor(bad.code());
+                entryMetrics.rejected(bad.code());
                 CallerReply.sendError(http, CallerError.of(bad));
             }
             case Admission.Admitted admitted -> serve(http, admitted);
@@ -180,29 +182,29 @@
             refuse(http, Outcome.NotRunReason.DRAINING);
             return;
         }
-        int room =
+        int maxOpen =
                 request.tier().rank() == 0
                         ? limits.maxOpenRequests()
                         : limits.maxOpenRequests() - limits.urgentReserve();
-        if (open.incrementAndGet() > room) {
-            open.decrementAndGet();
+        if (openRequests.incrementAndGet() > maxOpen) {
+            openRequests.decrementAndGet();
             refuse(http, Outcome.NotRunReason.OVERLOAD);
             return;
         }
         CallerExchange exchange = new CallerExchange(request, entryMetrics);
-        actions.open(exchange);
+        actions.register(exchange);
         try {
-            if (!duty.offer(new HostEvent.RequestArrived(request))) {
+            if (!eventLoop.offer(new HostEvent.RequestArrived(request))) {
                 refuse(http, Outcome.NotRunReason.OVERLOAD);
                 return;
             }
             entryMetrics.admitted(request);
-            new CallerSession(http, exchange, admitted.streaming(), limits, duty::add).serve();
+            new CallerSession(http, exchange, admitted.streaming(), limits, eventLoop::put).serve();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            actions.forget(request.id());
-            open.decrementAndGet();
+            actions.unregister(request.id());
+            openRequests.decrementAndGet();
         }
     }
 
@@ -212,10 +214,10 @@
 
     private void readiness(HttpExchange http) throws IOException {
         boolean serving = ready.getAsBoolean() && !draining.get();
-        text(http, serving ? OK : UNAVAILABLE, serving ? "ready" : "not ready");
+        sendText(http, serving ? OK : UNAVAILABLE, serving ? "ready" : "not ready");
     }
 
-    private static void text(HttpExchange http, int status, String text) throws IOException {
+    private static void sendText(HttpExchange http, int status, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         http.getResponseHeaders().set("Content-Type", "text/plain; version=0.0.4; charset=utf-8");
         http.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
--- a/src/main/java/org/orioleshed/entry/CallerSession.java
+++ b/src/main/java/org/orioleshed/entry/CallerSession.java
@@ -10,7 +10,7 @@
 
 /**
  * Serves one admitted request on its caller's thread until the final outcome, or until the caller
- * is gone.
+ * disconnects.
  */
 final class CallerSession {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -20,7 +20,7 @@
     private final boolean streaming;
     private final EntryLimits limits;
     private final Consumer<HostEvent> events;
-    private final StringBuilder whole = new StringBuilder();
+    private final StringBuilder bufferedText = new StringBuilder();
     private final long openedNanos = System.nanoTime();
 
     CallerSession(
@@ -36,11 +36,11 @@
         this.events = events;
     }
 
-    /** Writes all pieces as they come. */
+    /** Writes each piece as it arrives. */
     void serve() throws InterruptedException {
         Request request = exchange.request();
         try {
-            while (!step()) {
+            while (!handleNext()) {
                 keepAlive();
             }
         } catch (IOException e) {
@@ -48,13 +48,13 @@
         }
     }
 
-    /** Returns whether the answer is whole. */
-    private boolean step() throws IOException, InterruptedException {
-        CallerExchange.Piece piece = exchange.next(limits.aliveMillis());
+    /** Handles the next piece, if any, and returns whether the answer is complete. */
+    private boolean handleNext() throws IOException, InterruptedException {
+        CallerExchange.Piece piece = exchange.next(limits.keepAliveMillis());
         return switch (piece) {
             case null -> false;
             case CallerExchange.Piece.Tokens tokens -> {
-                take(tokens);
+                writeTokens(tokens);
                 yield false;
             }
             case CallerExchange.Piece.End end -> {
@@ -64,11 +64,11 @@
         };
     }
 
-    private void take(CallerExchange.Piece.Tokens tokens) throws IOException {
+    private void writeTokens(CallerExchange.Piece.Tokens tokens) throws IOException {
         if (streaming) {
-            reply.tokens(tokens.text());
+            reply.writeTokens(tokens.text());
         } else {
-            whole.append(tokens.text().text());
+            bufferedText.append(tokens.text().text());
         }
         events.accept(new HostEvent.CallerConsumed(exchange.request().id(), tokens.count()));
     }
@@ -79,27 +79,29 @@
             return;
         }
         reply.openStream();
-        reply.alive();
+        reply.keepAlive();
     }
 
     private void finish(Outcome outcome) throws IOException {
         switch (outcome) {
             case Outcome.Answered answered -> finish(answered);
-            case Outcome.Failed failed -> reply.error(CallerError.of(failed));
-            case Outcome.NotRun notRun -> reply.error(CallerError.of(notRun));
-            case Outcome.InDoubt inDoubt -> reply.error(CallerError.of(inDoubt));
+            case Outcome.Failed failed -> reply.writeError(CallerError.of(failed));
+            case Outcome.NotRun notRun -> reply.writeError(CallerError.of(notRun));
+            case Outcome.InDoubt inDoubt -> reply.writeError(CallerError.of(inDoubt));
         }
     }
 
     private void finish(Outcome.Answered answered) throws IOException {
         if (exchange.request().work() instanceof Work.Call) {
-            reply.body(answered.body());
+            reply.writeBody(answered.body());
             return;
         }
         if (streaming) {
             reply.endStream();
             return;
         }
-        reply.whole(whole.isEmpty() ? answered.body().text() : whole.toString(), answered.tokens());
+        reply.writeCompletion(
+                bufferedText.isEmpty() ? answered.body().text() : bufferedText.toString(),
+                answered.tokens());
     }
 }
--- a/src/main/java/org/orioleshed/entry/DecisionLog.java
+++ b/src/main/java/org/orioleshed/entry/DecisionLog.java
@@ -9,8 +9,8 @@
 import org.orioleshed.model.ServerId;
 
 /**
- * Writes decisions to the log on a thread of its own. When its ring is full, lines are dropped and
- * counted.
+ * Writes decisions to the log on a separate thread. When the ring buffer is full, lines are dropped
+ * and counted.
  */
 final class DecisionLog implements Runnable, AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -20,12 +20,12 @@
     private final Counter dropped;
     private volatile boolean closed;
 
-    DecisionLog(int lines, Counter dropped) {
-        this.ring = new MpscAtomicArrayQueue<>(lines);
+    DecisionLog(int capacity, Counter dropped) {
+        this.ring = new MpscAtomicArrayQueue<>(capacity);
         this.dropped = dropped;
     }
 
-    /** Takes a decision, or drops and counts it. */
+    /** Queues a decision, or drops and counts it when the ring buffer is full. */
     void add(Decision decision) {
         if (!ring.offer(decision)) {
             dropped.inc();
--- a/src/main/java/org/orioleshed/entry/EntryAdmin.java
+++ b/src/main/java/org/orioleshed/entry/EntryAdminBackend.java
@@ -34,28 +34,28 @@
 import org.orioleshed.settings.SettingsEdit;
 import org.orioleshed.settings.SettingsTree;
 
-/** Answers the admin API from the duties of one entry host. */
-final class EntryAdmin implements AdminBackend {
+/** Implements the admin API on the control and event loops of one entry host. */
+final class EntryAdminBackend implements AdminBackend {
     private static final String MODEL_PREFIX = "model:";
     private static final String SERVICE_PREFIX = "service:";
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final ControlDuty control;
-    private final HostDuty duty;
-    private final HostActions actions;
-    private final PoisonDesk poison;
+    private final HostEventLoop eventLoop;
+    private final ActionExecutor actions;
+    private final QuarantineAdmin quarantine;
     private final Supplier<FleetSnapshot> fleet;
 
-    EntryAdmin(
+    EntryAdminBackend(
             ControlDuty control,
-            HostDuty duty,
-            HostActions actions,
-            PoisonDesk poison,
+            HostEventLoop eventLoop,
+            ActionExecutor actions,
+            QuarantineAdmin quarantine,
             Supplier<FleetSnapshot> fleet) {
         this.control = control;
-        this.duty = duty;
+        this.eventLoop = eventLoop;
         this.actions = actions;
-        this.poison = poison;
+        this.quarantine = quarantine;
         this.fleet = fleet;
     }
 
@@ -69,17 +69,17 @@
         if (document.isEmpty()) {
             return new AdminReply.NotFound("settings");
         }
-        SettingsDocument known = document.get();
+        SettingsDocument present = document.get();
         Optional<String> value =
-                effective ? known.effectiveAt(pointer(path)) : known.valueAt(pointer(path));
-        return value.<AdminReply>map(json -> new AdminReply.Document(json, known.number()))
+                effective ? present.effectiveAt(pointer(path)) : present.valueAt(pointer(path));
+        return value.<AdminReply>map(json -> new AdminReply.Document(json, present.number()))
                 .orElseGet(() -> new AdminReply.NotFound(path));
     }
 
     @Override
     public CompletableFuture<AdminReply> changeSettings(AdminBackend.SettingsChange change) {
         if (change.trial() && change.path().isEmpty()) {
-            return CompletableFuture.completedFuture(checkTree(change.valueJson()));
+            return CompletableFuture.completedFuture(validateTree(change.valueJson()));
         }
         String id = UUID.randomUUID().toString();
         SettingsEdit edit =
@@ -94,19 +94,20 @@
         ProposedChange proposed =
                 new ProposedChange(id, change.author(), change.reason(), basedOn, List.of(edit));
         if (change.trial()) {
-            return control.document().thenApply(document -> trial(document, proposed));
+            return control.document().thenApply(document -> validateChange(document, proposed));
         }
         return control.propose(proposed).thenApply(result -> AdminReplies.of(id, result));
     }
 
-    private static AdminReply checkTree(String text) {
+    private static AdminReply validateTree(String text) {
         return switch (SettingsTree.parse(text)) {
             case SettingsTree.Result.Loaded loaded -> new AdminReply.Accepted("", 0, "valid");
             case SettingsTree.Result.Problems found -> AdminReplies.rejected(found.problems());
         };
     }
 
-    private static AdminReply trial(Optional<SettingsDocument> document, ProposedChange proposed) {
+    private static AdminReply validateChange(
+            Optional<SettingsDocument> document, ProposedChange proposed) {
         if (document.isEmpty()) {
             return new AdminReply.NotFound("settings");
         }
@@ -133,7 +134,7 @@
 
     @Override
     public CompletableFuture<AdminReply> settingsStatus() {
-        return control.status().thenApply(EntryAdmin::describe);
+        return control.status().thenApply(EntryAdminBackend::describe);
     }
 
     private static AdminReply describe(ControlStatus status) {
@@ -150,11 +151,13 @@
         boolean missing = status.missing().contains(host.host().id());
         return List.of(
                 host.host().id().value(),
-                host.settings().map(told -> Long.toString(told.number())).orElse("unknown"),
+                host.settings().map(reported -> Long.toString(reported.number())).orElse("unknown"),
                 missing ? "no" : "yes",
-                host.settings().map(told -> told.unconfirmed() ? "yes" : "no").orElse("unknown"),
                 host.settings()
-                        .map(told -> Long.toString(told.storeUnavailableMillis()))
+                        .map(reported -> reported.unconfirmed() ? "yes" : "no")
+                        .orElse("unknown"),
+                host.settings()
+                        .map(reported -> Long.toString(reported.storeUnavailableMillis()))
                         .orElse("unknown"));
     }
 
@@ -194,15 +197,15 @@
             problems.add(problem("to", "must differ from the version that traffic leaves"));
         }
         if (plan.completeByMillis() <= System.currentTimeMillis()) {
-            problems.add(problem("completeByMillis", "must lie in the future"));
+            problems.add(problem("completeByMillis", "must be in the future"));
         }
         if (target.isPresent() && routes.isEmpty()) {
-            problems.add(problem("target", "no route leads to it"));
+            problems.add(problem("target", "no route has this target"));
         }
         for (RouteId route : routes) {
-            Route known = fleet.get().routes().get(route);
-            if (known == null || !target.map(known.target()::equals).orElse(true)) {
-                problems.add(problem("routes", "no route of the target: " + route));
+            Route present = fleet.get().routes().get(route);
+            if (present == null || !target.map(present.target()::equals).orElse(true)) {
+                problems.add(problem("routes", "not a route of the target: " + route));
             }
         }
         return problems;
@@ -239,10 +242,10 @@
 
     @Override
     public CompletableFuture<AdminReply> rollout(String id) {
-        return control.rollouts().thenApply(rollouts -> one(rollouts, id));
+        return control.rollouts().thenApply(rollouts -> tableOf(rollouts, id));
     }
 
-    private static AdminReply one(List<RolloutStatus> rollouts, String id) {
+    private static AdminReply tableOf(List<RolloutStatus> rollouts, String id) {
         List<RolloutStatus> found =
                 rollouts.stream()
                         .filter(rollout -> rollout.record().id().value().equals(id))
@@ -257,12 +260,12 @@
 
     @Override
     public CompletableFuture<Notices> notices(long after, long waitMillis) {
-        return control.notices(after, waitMillis).thenApply(told -> notices(after, told));
+        return control.notices(after, waitMillis).thenApply(received -> notices(after, received));
     }
 
-    private static Notices notices(long after, List<RolloutNotice> told) {
+    private static Notices notices(long after, List<RolloutNotice> received) {
         List<Notice> notices =
-                told.stream()
+                received.stream()
                         .map(
                                 notice ->
                                         new Notice(
@@ -272,7 +275,7 @@
                                                 notice.epochMillis(),
                                                 notice.detail()))
                         .toList();
-        return new Notices(notices, told.isEmpty() ? after : told.getLast().sequence());
+        return new Notices(notices, received.isEmpty() ? after : received.getLast().sequence());
     }
 
     @Override
@@ -349,15 +352,15 @@
 
     @Override
     public CompletableFuture<AdminReply> poison() {
-        return duty.ask(() -> poison.list(System.nanoTime()));
+        return eventLoop.query(() -> quarantine.list(System.nanoTime()));
     }
 
     @Override
     public CompletableFuture<AdminReply> clearPoison(Optional<String> fingerprint, String author) {
-        return duty.ask(() -> poison.clear(System.nanoTime(), fingerprint));
+        return eventLoop.query(() -> quarantine.clear(System.nanoTime(), fingerprint));
     }
 
-    /** Returns the JSON pointer of a path whose names are joined by dots. */
+    /** Converts a path of names joined by dots to a JSON pointer. */
     private static String pointer(String path) {
         if (path.isEmpty() || path.startsWith("/")) {
             return path;
--- a/src/main/java/org/orioleshed/entry/EntryLimits.java
+++ b/src/main/java/org/orioleshed/entry/EntryLimits.java
@@ -1,27 +1,28 @@
 package org.orioleshed.entry;
 
 /**
- * Bounds on what an entry host takes in.
+ * Resource limits of an entry host.
  *
- * @param ringEvents the room of the ring before the decisions, a power of two
- * @param maxOpenRequests the most requests of callers that may be open at once
- * @param urgentReserve how many of those are kept for the most urgent tier
- * @param maxBodyBytes the longest body, in bytes
- * @param tickMillis the time between two ticks of the decisions, in milliseconds
- * @param aliveMillis the time between two signs of life to a waiting caller, in milliseconds
- * @param streamAfterMillis how long a streaming caller waits for its status before its stream is
- *     opened all the same, in milliseconds
- * @param logLines the room of the ring of decisions to be logged, a power of two
+ * @param eventRingCapacity the capacity of the event loop's ring buffer, a power of two
+ * @param maxOpenRequests the largest number of open requests
+ * @param urgentReserve how many of those are reserved for the most urgent tier
+ * @param maxBodyBytes the longest request body, in bytes
+ * @param tickMillis the interval between ticks of the event loop, in milliseconds
+ * @param keepAliveMillis the interval between keep-alive comments to a waiting caller, in
+ *     milliseconds
+ * @param streamAfterMillis the longest time before the response headers of a stream are sent, even
+ *     without a token, in milliseconds
+ * @param logRingCapacity the capacity of the decision log's ring buffer, a power of two
  */
 record EntryLimits(
-        int ringEvents,
+        int eventRingCapacity,
         int maxOpenRequests,
         int urgentReserve,
         int maxBodyBytes,
         int tickMillis,
-        int aliveMillis,
+        int keepAliveMillis,
         int streamAfterMillis,
-        int logLines) {
+        int logRingCapacity) {
     static final EntryLimits DEFAULT =
             new EntryLimits(1 << 16, 4_000, 800, 1 << 20, 10, 500, 1_000, 1 << 13);
 }
--- a/src/main/java/org/orioleshed/entry/EntryMain.java
+++ b/src/main/java/org/orioleshed/entry/EntryMain.java
@@ -13,14 +13,14 @@
 import org.orioleshed.store.EtcdStore;
 import org.orioleshed.store.Store;
 
-/** The program of an entry host. */
+/** The command line program of an entry host. */
 @Command(
         name = "orioleshed-entry",
         description =
-                "Serves callers as one of many alike entry hosts. Exit code 0 after a graceful stop,"
+                "Serves callers as one of several identical entry hosts. Exit code 0 after a graceful stop,"
                         + " 1 when it can't start, 2 for bad arguments or settings.")
 public final class EntryMain {
-    /** One line for each event: the time, then key=value pairs. */
+    /** One line per event: the time, then key=value pairs. */
     private static final String LOG_FORMAT_PROPERTY = "java.util.logging.SimpleFormatter.format";
 
     private static final String LOG_FORMAT = "time=%1$tFT%1$tT.%1$tL%1$tz level=%4$s %5$s%6$s%n";
@@ -31,24 +31,22 @@
     @Option(
             name = "--settings",
             title = "FILE",
-            description = "The host's own file: JSON with comments")
+            description = "The settings file of this host, as JSON with comments")
     private String settingsFile;
 
-    @Option(
-            name = "--check",
-            description = "Only check the file, and print all that is wrong with it")
+    @Option(name = "--check", description = "Only validate the file and print all problems")
     private boolean checkOnly;
 
     @Option(
             name = {"-h", "--help"},
             description = "Print this help")
-    private boolean helpAsked;
+    private boolean helpRequested;
 
     /** Runs the program. */
     public static void main(String[] arguments) throws Exception {
         System.setProperty(LOG_FORMAT_PROPERTY, LOG_FORMAT);
         HttpClients.forbidResends();
-        CallerServer.boundSlowCallers();
+        CallerServer.limitSlowCallers();
         System.exit(run(arguments));
     }
 
@@ -56,7 +54,7 @@
         SingleCommand<EntryMain> parser = SingleCommand.singleCommand(EntryMain.class);
         try {
             EntryMain main = parser.parse(arguments);
-            if (main.helpAsked) {
+            if (main.helpRequested) {
                 Help.help(parser.getCommandMetadata(), System.out);
                 return EXIT_OK;
             }
--- a/src/main/java/org/orioleshed/entry/EntryMetrics.java
+++ b/src/main/java/org/orioleshed/entry/EntryMetrics.java
@@ -7,7 +7,7 @@
 import org.orioleshed.model.Outcome;
 import org.orioleshed.model.Request;
 
-/** Counts and times what an entry host does for its callers. */
+/** Records metrics of the requests of an entry host. */
 final class EntryMetrics {
     private final MetricRegistry registry;
 
@@ -15,50 +15,50 @@
         this.registry = registry;
     }
 
-    /** A request passed the door. */
+    /** Counts a request that passed validation. */
     void admitted(Request request) {
         registry.counter("requests.admitted." + request.tier()).inc();
     }
 
-    /** A request was turned down at the door. */
-    void refusedAtDoor(String code) {
+    /** Counts an invalid request by its error code. */
+    void rejected(String code) {
         registry.counter("requests.refused." + code).inc();
     }
 
-    /** A request has its outcome. */
+    /** Records the outcome of a request and its duration. */
     void ended(Request request, Outcome outcome, long nowNanos) {
-        registry.counter("requests." + name(outcome) + "." + request.tier()).inc();
+        registry.counter("requests." + outcomeName(outcome) + "." + request.tier()).inc();
         registry.timer("requests.time." + request.tier())
                 .update(nowNanos - request.arrivedNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** The first token of an answer is on its way to the caller. */
+    /** Records the time to the first token. */
     void firstToken(Request request, long nowNanos) {
         registry.timer("tokens.first." + request.tier())
                 .update(nowNanos - request.arrivedNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Further tokens came {@code gapNanos} after the ones before. */
+    /** Records further tokens, {@code gapNanos} after the previous ones. */
     void tokens(Request request, int count, long gapNanos) {
         registry.counter("tokens.written." + request.tier()).inc(count);
         registry.timer("tokens.gap." + request.tier()).update(gapNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** A decision was taken. */
+    /** Counts a decision by its kind. */
     void decided(Decision decision) {
         registry.counter("decisions." + decision.kind()).inc();
     }
 
-    private static String name(Outcome outcome) {
+    private static String outcomeName(Outcome outcome) {
         return switch (outcome) {
             case Outcome.Answered answered -> "answered";
-            case Outcome.Failed failed -> "failed." + lower(failed.reason());
-            case Outcome.NotRun notRun -> "not_run." + lower(notRun.reason());
+            case Outcome.Failed failed -> "failed." + lowerCase(failed.reason());
+            case Outcome.NotRun notRun -> "not_run." + lowerCase(notRun.reason());
             case Outcome.InDoubt inDoubt -> "in_doubt";
         };
     }
 
-    private static String lower(Enum<?> reason) {
+    private static String lowerCase(Enum<?> reason) {
         return reason.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/org/orioleshed/entry/EntryProcess.java
+++ b/src/main/java/org/orioleshed/entry/EntryProcess.java
@@ -35,30 +35,30 @@
 import org.orioleshed.settings.EntrySettings;
 import org.orioleshed.store.Store;
 
-/** One entry host: its threads and what joins them. */
+/** Creates, connects, starts and stops the components and threads of one entry host. */
 final class EntryProcess implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final long CLOSE_MARGIN_MILLIS = 5_000;
-    private static final long LAST_LINES_MILLIS = 500;
-    private static final long LAST_WRITES_NANOS = TimeUnit.SECONDS.toNanos(2);
-    private static final long LAST_WRITES_POLL_MILLIS = 10;
+    private static final long SHUTDOWN_MARGIN_MILLIS = 5_000;
+    private static final long LOG_FLUSH_MILLIS = 500;
+    private static final long REPLY_FLUSH_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long REPLY_FLUSH_POLL_MILLIS = 10;
 
     private final EntrySettings settings;
     private final EntryLimits limits = EntryLimits.DEFAULT;
     private final MetricRegistry metrics = new MetricRegistry();
     private final EntryMetrics entryMetrics = new EntryMetrics(metrics);
     private final long incarnation = System.currentTimeMillis();
-    private final CountDownLatch stopAsked = new CountDownLatch(1);
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final DecisionLog log;
     private final Thread logThread;
-    private final HostActions actions;
-    private final HostDuty duty;
+    private final ActionExecutor actions;
+    private final HostEventLoop eventLoop;
     private final Backends backends;
     private final PeerNetwork peers;
-    private final PeerMail mail;
-    private final PoisonDesk poison;
-    private final CallerHandler handler;
+    private final PeerTransport transport;
+    private final QuarantineAdmin quarantine;
+    private final RequestParser parser;
     private final CallerServer callers;
     private final ControlDuty control;
     private final HttpClient orderClient =
@@ -73,14 +73,14 @@
 
     EntryProcess(EntrySettings settings, Store store) throws IOException {
         this.settings = settings;
-        this.log = new DecisionLog(limits.logLines(), metrics.counter("log.dropped"));
+        this.log = new DecisionLog(limits.logRingCapacity(), metrics.counter("log.dropped"));
         this.logThread = Thread.ofPlatform().name("decision-log").daemon().unstarted(log);
-        this.mail = new PeerMail(metrics);
-        this.actions = new HostActions(entryMetrics, log, store, mail);
+        this.transport = new PeerTransport(metrics);
+        this.actions = new ActionExecutor(entryMetrics, log, store, transport);
         StateMachine<HostEvent, HostAction> core = core();
-        this.duty = new HostDuty(core, actions, limits);
-        this.backends = new Backends(BackendLimits.DEFAULT, duty::add);
-        actions.connect(backends, duty::add);
+        this.eventLoop = new HostEventLoop(core, actions, limits);
+        this.backends = new Backends(BackendLimits.DEFAULT, eventLoop::put);
+        actions.connect(backends, eventLoop::put);
         this.peers =
                 new PeerNetwork(
                         settings.host(),
@@ -88,14 +88,14 @@
                         settings.peerAddress(),
                         PeerLimits.DEFAULT,
                         this::received);
-        mail.connect(peers);
-        this.handler = new CallerHandler(settings.host(), incarnation);
+        transport.connect(peers);
+        this.parser = new RequestParser(settings.host(), incarnation);
         this.callers =
                 new CallerServer(
                         settings.callerAddress(),
-                        handler,
+                        parser,
                         actions,
-                        duty,
+                        eventLoop,
                         limits,
                         metrics,
                         entryMetrics,
@@ -107,22 +107,27 @@
                         store,
                         peers,
                         new HttpServerOrders(orderClient),
-                        this::changed,
+                        this::fleetChanged,
                         System::nanoTime,
                         InstantSource.system(),
                         new SplittableRandom(incarnation));
         actions.observer(
-                seen ->
+                observed ->
                         control.observed(
-                                seen.route(), seen.version(), seen.server(), seen.result()));
-        this.poison =
-                new PoisonDesk(
+                                observed.route(),
+                                observed.version(),
+                                observed.server(),
+                                observed.result()));
+        this.quarantine =
+                new QuarantineAdmin(
                         core instanceof HostCore host ? Optional.of(host) : Optional.empty(),
                         actions);
         this.reports =
                 new ReportPoller(
-                        BackendLimits.DEFAULT.connectTimeoutMillis(), () -> ownServers, duty::add);
-        gauges();
+                        BackendLimits.DEFAULT.connectTimeoutMillis(),
+                        () -> ownServers,
+                        eventLoop::put);
+        registerGauges();
     }
 
     private StateMachine<HostEvent, HostAction> core() {
@@ -138,10 +143,10 @@
         };
     }
 
-    /** Starts all threads. */
+    /** Starts all threads and listeners. */
     void start() throws IOException {
         logThread.start();
-        Thread.ofPlatform().name("decisions").daemon().start(duty);
+        Thread.ofPlatform().name("decisions").daemon().start(eventLoop);
         control.start();
         reports.start();
         callers.start();
@@ -152,35 +157,35 @@
                 settings.host(), settings.domain(), incarnation, settings.callerAddress());
     }
 
-    /** Begins a graceful stop, as the signal does. */
-    void askStop() {
-        stopAsked.countDown();
+    /** Requests a graceful stop, as the shutdown hook does on a termination signal. */
+    void requestStop() {
+        stopRequested.countDown();
     }
 
     /**
-     * Waits for the signal to stop and for all that runs to finish, within the bound that the
-     * settings state.
+     * Waits for a stop request, then drains: waits for all open requests to finish, at most for the
+     * drain time of the settings.
      */
     void awaitStop() throws InterruptedException {
-        stopAsked.await();
+        stopRequested.await();
         callers.drain();
         control.drain();
-        duty.add(new HostEvent.DrainRequested());
+        eventLoop.put(new HostEvent.DrainRequested());
         boolean finished = actions.drained().await(settings.drainMillis(), TimeUnit.MILLISECONDS);
         if (!finished) {
-            duty.add(new HostEvent.DrainTimedOut());
+            eventLoop.put(new HostEvent.DrainTimedOut());
         }
-        awaitLastWrites();
+        awaitOpenReplies();
         logger.atInfo().log(
                 "event=stopped host=%s finished=%s open=%d",
                 settings.host(), finished, actions.openCallers());
     }
 
-    /** The decisions are done with a request before its caller's thread has written the end. */
-    private void awaitLastWrites() throws InterruptedException {
-        long untilNanos = System.nanoTime() + LAST_WRITES_NANOS;
-        while (actions.openCallers() > 0 && System.nanoTime() - untilNanos < 0) {
-            Thread.sleep(LAST_WRITES_POLL_MILLIS);
+    /** Waits for the callers' threads, which write the last reply after the event loop is done. */
+    private void awaitOpenReplies() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + REPLY_FLUSH_NANOS;
+        while (actions.openCallers() > 0 && System.nanoTime() - deadlineNanos < 0) {
+            Thread.sleep(REPLY_FLUSH_POLL_MILLIS);
         }
     }
 
@@ -192,15 +197,16 @@
                 AdminServer.start(
                         settings.adminAddress().get(),
                         settings.operators(),
-                        new EntryAdmin(control, duty, actions, poison, () -> fleet));
+                        new EntryAdminBackend(
+                                control, eventLoop, actions, quarantine, () -> fleet));
     }
 
     private void stopAndWait() {
-        askStop();
+        requestStop();
         try {
             boolean closed =
                     stopped.await(
-                            settings.drainMillis() + CLOSE_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
+                            settings.drainMillis() + SHUTDOWN_MARGIN_MILLIS, TimeUnit.MILLISECONDS);
             if (!closed) {
                 logger.atWarning().log("event=stop-timeout host=%s", settings.host());
             }
@@ -209,13 +215,14 @@
         }
     }
 
-    private void changed(FleetSnapshot newFleet) {
+    private void fleetChanged(FleetSnapshot newFleet) {
         actions.fleet(newFleet);
-        handler.fleet(newFleet);
+        parser.fleet(newFleet);
         owners = owners.withFleet(newFleet);
         ownServers = newFleet.servers().values().stream().filter(this::isOwnerOf).toList();
-        duty.add(new HostEvent.FleetChanged(newFleet));
-        // Readiness goes by this: last, so that a host that is ready knows its callers and servers.
+        eventLoop.put(new HostEvent.FleetChanged(newFleet));
+        // Readiness depends on this field. It is set last, so that all components of a ready host
+        // have the fleet snapshot.
         fleet = newFleet;
     }
 
@@ -225,7 +232,7 @@
 
     private void received(HostId from, MessageKind kind, byte[] body) {
         switch (kind) {
-            case ROUTING, REQUEST -> mail.open(from, kind, body).ifPresent(duty::add);
+            case ROUTING, REQUEST -> transport.decode(from, kind, body).ifPresent(eventLoop::put);
             case MEMBERSHIP, SETTINGS, MOVE -> control.peerReceived(from, kind, body);
             case DISPATCH, CATALOG -> {}
         }
@@ -235,10 +242,10 @@
         return fleet.settingsRevision() > 0;
     }
 
-    private void gauges() {
+    private void registerGauges() {
         metrics.register("callers.open", (Gauge<Integer>) actions::openCallers);
         metrics.register("streams.open", (Gauge<Integer>) backends::openStreams);
-        metrics.register("ring.waiting", (Gauge<Integer>) duty::waiting);
+        metrics.register("ring.waiting", (Gauge<Integer>) eventLoop::queuedEvents);
         metrics.register("peers.sentBytes", (Gauge<Long>) peers::sentBytes);
         metrics.register("control.dropped", (Gauge<Long>) control::droppedMessages);
         metrics.register("peers.dropped", (Gauge<Long>) peers::droppedMessages);
@@ -247,7 +254,7 @@
 
     private void awaitLog() {
         try {
-            logThread.join(LAST_LINES_MILLIS);
+            logThread.join(LOG_FLUSH_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -262,7 +269,7 @@
         reports.close();
         callers.close();
         orderClient.shutdownNow();
-        duty.close();
+        eventLoop.close();
         backends.close();
         peers.close();
         log.close();
--- a/src/main/java/org/orioleshed/entry/PeerMail.java
+++ b/src/main/java/org/orioleshed/entry/PeerTransport.java
@@ -12,18 +12,18 @@
 import org.orioleshed.routing.RoutingCodec;
 import org.orioleshed.routing.RoutingMessage;
 
-/** Turns the decisions' messages into bytes for peers, and back. */
-final class PeerMail implements PeerMessages {
+/** Encodes, sends and decodes the routing and request messages between hosts. */
+final class PeerTransport implements PeerSender {
     private final RoutingCodec routing = new RoutingCodec();
     private final RequestCodec requests = new RequestCodec();
     private final MetricRegistry metrics;
     private PeerPort port;
 
-    PeerMail(MetricRegistry metrics) {
+    PeerTransport(MetricRegistry metrics) {
         this.metrics = metrics;
     }
 
-    /** Takes the port to send through. To be called once, before the decisions run. */
+    /** Sets the port to send through. Must be called once, before the event loop starts. */
     void connect(PeerPort newPort) {
         port = newPort;
     }
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Returns the event for a message of the decisions; empty for other kinds and for bytes that
-     * are no message.
+     * Decodes a message to an event. Returns empty for message kinds that the event loop does not
+     * handle, and for malformed messages, which are counted.
      */
-    Optional<HostEvent> open(HostId from, MessageKind kind, byte[] body) {
+    Optional<HostEvent> decode(HostId from, MessageKind kind, byte[] body) {
         try {
             return switch (kind) {
                 case ROUTING ->
--- a/src/main/java/org/orioleshed/entry/PoisonDesk.java
+++ b/src/main/java/org/orioleshed/entry/QuarantineAdmin.java
@@ -6,13 +6,15 @@
 import org.orioleshed.host.HostCore;
 import org.orioleshed.request.QuarantinedContent;
 
-/** Lists and releases content that crashed servers. To be used on the decisions' thread only. */
-final class PoisonDesk {
+/**
+ * Lists and releases content that crashed servers. Must be used only on the event loop's thread.
+ */
+final class QuarantineAdmin {
     private final Optional<HostCore> core;
-    private final HostActions actions;
+    private final ActionExecutor actions;
 
-    /** Makes a desk; without a core it lists nothing. */
-    PoisonDesk(Optional<HostCore> core, HostActions actions) {
+    /** Creates an instance; without a core the list is empty. */
+    QuarantineAdmin(Optional<HostCore> core, ActionExecutor actions) {
         this.core = core;
         this.actions = actions;
     }
@@ -53,6 +55,6 @@
     }
 
     private List<QuarantinedContent> quarantined(long nowNanos) {
-        return core.map(known -> known.poison(nowNanos)).orElse(List.of());
+        return core.map(present -> present.poison(nowNanos)).orElse(List.of());
     }
 }
--- a/src/main/java/org/orioleshed/entry/CallerHandler.java
+++ b/src/main/java/org/orioleshed/entry/RequestParser.java
@@ -26,13 +26,13 @@
 import org.orioleshed.model.Tier;
 import org.orioleshed.model.Work;
 
-/** Checks what callers send and turns it into requests. */
-final class CallerHandler {
+/** Validates HTTP requests of callers and converts them to {@link Request}s. */
+final class RequestParser {
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
     private static final int FORBIDDEN = 403;
     private static final int NOT_FOUND = 404;
-    private static final int MAX_KEY_LENGTH = 200;
+    private static final int MAX_NAME_CHARS = 200;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -40,17 +40,17 @@
     private final long incarnation;
     private final AtomicLong sequence = new AtomicLong();
     private volatile FleetSnapshot fleet = FleetSnapshot.EMPTY;
-    private volatile KeyRing keys = new KeyRing(FleetSnapshot.EMPTY);
+    private volatile WorkspaceKeys keys = new WorkspaceKeys(FleetSnapshot.EMPTY);
 
-    CallerHandler(HostId self, long incarnation) {
+    RequestParser(HostId self, long incarnation) {
         this.self = self;
         this.incarnation = incarnation;
     }
 
-    /** Takes the fleet snapshot that requests are checked against. */
+    /** Sets the fleet snapshot that requests are validated against. */
     void fleet(FleetSnapshot newFleet) {
         if (newFleet.workspaces() != fleet.workspaces()) {
-            keys = new KeyRing(newFleet);
+            keys = new WorkspaceKeys(newFleet);
         }
         fleet = newFleet;
     }
@@ -60,7 +60,7 @@
         return keys.workspace(headers.getFirst("Authorization"));
     }
 
-    /** Checks a request for a model. */
+    /** Parses a chat completion request. */
     Admission chat(Headers headers, byte[] body, long nowNanos) {
         Optional<Workspace> workspace = workspace(headers);
         if (workspace.isEmpty()) {
@@ -71,7 +71,7 @@
             return bad("bad_json", "the body must be a JSON object");
         }
         if (!root.path("model").isTextual() || root.path("model").textValue().isBlank()) {
-            return bad("bad_model", "'model' must name a route");
+            return bad("bad_model", "'model' must be the name of a route");
         }
         Route route = route(root.path("model").textValue());
         if (route == null || !(route.target() instanceof Target.Model target)) {
@@ -83,13 +83,14 @@
                     "bad_messages",
                     "'messages' must be a list of objects with 'role' and 'content' texts");
         }
-        JsonNode wanted = root.path("max_tokens");
-        if (!wanted.isMissingNode() && (!wanted.isInt() || wanted.intValue() < 1)) {
+        JsonNode requestedTokens = root.path("max_tokens");
+        if (!requestedTokens.isMissingNode()
+                && (!requestedTokens.isInt() || requestedTokens.intValue() < 1)) {
             return bad("bad_max_tokens", "'max_tokens' must be a positive whole number");
         }
         int maxTokens =
                 Math.min(
-                        wanted.asInt(workspace.get().maxOutputTokens()),
+                        requestedTokens.asInt(workspace.get().maxOutputTokens()),
                         workspace.get().maxOutputTokens());
         Work work =
                 new Work.Generate(
@@ -110,7 +111,7 @@
                 nowNanos);
     }
 
-    /** Checks a call to a plain service. */
+    /** Parses a call to a service. */
     Admission service(Headers headers, String routeName, String call, byte[] body, long nowNanos) {
         Optional<Workspace> workspace = workspace(headers);
         if (workspace.isEmpty()) {
@@ -129,7 +130,9 @@
             return bad("bad_json", "the body must be a JSON object");
         }
         if (!repeatable && headers.getFirst("Idempotency-Key") == null) {
-            return bad("key_missing", "this call may not be repeated: send an Idempotency-Key");
+            return bad(
+                    "key_missing",
+                    "this call is not repeatable and requires an Idempotency-Key header");
         }
         Payload payload = Payload.of(body);
         Fingerprint fingerprint = fingerprint(routeName + "/" + call, payload.text());
@@ -155,13 +158,15 @@
             long nowNanos) {
         RequestId id = new RequestId(self, incarnation, sequence.incrementAndGet());
         String key = headers.getFirst("Idempotency-Key");
-        if (key != null && (key.isBlank() || key.length() > MAX_KEY_LENGTH)) {
+        if (key != null && (key.isBlank() || key.length() > MAX_NAME_CHARS)) {
             return bad("bad_key", "Idempotency-Key must have 1 to 200 characters");
         }
         Optional<Tier> tier = tier(headers.getFirst("X-Tier"), workspace);
         if (tier.isEmpty()) {
             return new BadRequest(
-                    FORBIDDEN, "tier_not_allowed", "the workspace may not use this tier");
+                    FORBIDDEN,
+                    "tier_not_allowed",
+                    "X-Tier or the default tier is not allowed for this workspace");
         }
         long maxMillis = workspace.tiers().get(tier.get());
         Optional<Long> deadlineMillis = deadlineMillis(headers, maxMillis);
@@ -194,12 +199,12 @@
     }
 
     private static Optional<Long> deadlineMillis(Headers headers, long maxMillis) {
-        String given = headers.getFirst("X-Deadline-Millis");
-        if (given == null) {
+        String header = headers.getFirst("X-Deadline-Millis");
+        if (header == null) {
             return Optional.of(maxMillis);
         }
         try {
-            long millis = Long.parseLong(given.strip());
+            long millis = Long.parseLong(header.strip());
             return millis < 1 ? Optional.empty() : Optional.of(Math.min(millis, maxMillis));
         } catch (NumberFormatException e) {
             return Optional.empty();
@@ -207,7 +212,7 @@
     }
 
     private Route route(String name) {
-        return name.isBlank() || name.length() > MAX_KEY_LENGTH
+        return name.isBlank() || name.length() > MAX_NAME_CHARS
                 ? null
                 : fleet.routes().get(new RouteId(name));
     }
@@ -238,9 +243,9 @@
         return Payload.of(body.toString());
     }
 
-    private static Fingerprint fingerprint(String where, String content) {
+    private static Fingerprint fingerprint(String scope, String content) {
         Hasher hasher = Hashing.sha256().newHasher();
-        hasher.putUnencodedChars(where).putChar('\0').putUnencodedChars(content);
+        hasher.putUnencodedChars(scope).putChar('\0').putUnencodedChars(content);
         HashCode hash = hasher.hash();
         ByteBuffer bytes = ByteBuffer.wrap(hash.asBytes());
         return new Fingerprint(bytes.getLong(), bytes.getLong());
@@ -260,7 +265,8 @@
     }
 
     private static BadRequest unauthorized() {
-        return new BadRequest(UNAUTHORIZED, "unauthorized", "send a known bearer key");
+        return new BadRequest(
+                UNAUTHORIZED, "unauthorized", "Authorization must carry a known bearer key");
     }
 
     private static BadRequest unknownRoute(String name) {
--- a/src/main/java/org/orioleshed/entry/RequestStatusHandler.java
+++ b/src/main/java/org/orioleshed/entry/RequestStatusHandler.java
@@ -15,9 +15,9 @@
 import org.orioleshed.model.RequestKey;
 import org.orioleshed.request.RequestStatus;
 
-/** Tells callers the request status of their keys: {@code GET /v1/requests/{key}}. */
+/** Serves the status of requests by key: {@code GET /v1/requests/{key}}. */
 final class RequestStatusHandler {
-    /** What the path starts with. */
+    /** The path prefix. */
     static final String PATH = "/v1/requests/";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,50 +25,54 @@
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
     private static final int METHOD_NOT_ALLOWED = 405;
-    private static final int MAX_KEY_LENGTH = 200;
-    private static final long TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_KEY_CHARS = 200;
+    private static final long STATUS_TIMEOUT_MILLIS = 2_000;
 
-    private final CallerHandler handler;
-    private final HostActions actions;
+    private final RequestParser parser;
+    private final ActionExecutor actions;
 
-    RequestStatusHandler(CallerHandler handler, HostActions actions) {
-        this.handler = handler;
+    RequestStatusHandler(RequestParser parser, ActionExecutor actions) {
+        this.parser = parser;
         this.actions = actions;
     }
 
-    /** Answers one exchange. */
-    void answer(HttpExchange http) throws IOException {
+    /** Handles one HTTP exchange. */
+    void handle(HttpExchange http) throws IOException {
         if (!http.getRequestMethod().equals("GET")) {
             refuse(http, METHOD_NOT_ALLOWED, "bad_method", "use GET");
             return;
         }
-        Optional<Workspace> workspace = handler.workspace(http.getRequestHeaders());
+        Optional<Workspace> workspace = parser.workspace(http.getRequestHeaders());
         if (workspace.isEmpty()) {
-            refuse(http, UNAUTHORIZED, "unauthorized", "send a known bearer key");
+            refuse(
+                    http,
+                    UNAUTHORIZED,
+                    "unauthorized",
+                    "Authorization must carry a known bearer key");
             return;
         }
         Optional<String> key = key(http.getRequestURI().getRawPath().substring(PATH.length()));
         if (key.isEmpty()) {
-            refuse(http, BAD_REQUEST, "bad_key", "the key has 1 to 200 characters");
+            refuse(http, BAD_REQUEST, "bad_key", "the key must have 1 to 200 characters");
             return;
         }
-        tell(http, new RequestKey(workspace.get().id(), key.get()));
+        sendStatus(http, new RequestKey(workspace.get().id(), key.get()));
     }
 
     private static Optional<String> key(String raw) {
         try {
             String key = URLDecoder.decode(raw, StandardCharsets.UTF_8);
-            boolean fits = !key.isBlank() && key.length() <= MAX_KEY_LENGTH;
-            return fits ? Optional.of(key) : Optional.empty();
+            boolean valid = !key.isBlank() && key.length() <= MAX_KEY_CHARS;
+            return valid ? Optional.of(key) : Optional.empty();
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
     }
 
-    private void tell(HttpExchange http, RequestKey key) throws IOException {
+    private void sendStatus(HttpExchange http, RequestKey key) throws IOException {
         try {
             RequestStatus requestStatus =
-                    actions.requestStatus(key).get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                    actions.requestStatus(key).get(STATUS_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             CallerReply.send(http, OK, describe(requestStatus).getBytes(StandardCharsets.UTF_8));
         } catch (TimeoutException | ExecutionException e) {
             CallerServer.refuse(http, Outcome.NotRunReason.OVERLOAD);
@@ -87,7 +91,7 @@
         switch (requestStatus) {
             case RequestStatus.Unknown unknown -> root.put("fate", "unknown");
             case RequestStatus.Pending pending -> root.put("fate", "pending");
-            case RequestStatus.Final known -> describe(known.outcome(), root);
+            case RequestStatus.Final ended -> describe(ended.outcome(), root);
         }
         return root.toString();
     }
--- a/src/main/java/org/orioleshed/entry/package-info.java
+++ b/src/main/java/org/orioleshed/entry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The process of an entry host: its threads, the rings between them, and the HTTP that callers see.
+ * The process of an entry host: its threads, the ring buffers between them, and the HTTP interface
+ * for callers.
  */
 package org.orioleshed.entry;
--- a/src/test/java/org/orioleshed/admin/AdminServerTest.java
+++ b/src/test/java/org/orioleshed/admin/AdminServerTest.java
@@ -27,11 +27,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of the admin API and of the command line over it. */
+/** Tests of the admin API over HTTP and of its command line client. */
 public class AdminServerTest {
     private static final String CHANGE_KEY = "change-key";
     private static final String READ_KEY = "read-key";
-    private static final long PATIENCE_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     private static final AdminReply.Table TABLE =
             new AdminReply.Table(
                     List.of("host", "state"),
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void changeThatWaitsWhileTheServerClosesIsAnswered() throws Exception {
+    public void pendingChangeIsAnsweredWhileTheServerCloses() throws Exception {
         backend.pending = new CompletableFuture<>();
         HttpRequest change =
                 HttpRequest.newBuilder(address("/v1/admin/moves/m1/take-back"))
@@ -100,20 +100,20 @@
                         .build();
         CompletableFuture<HttpResponse<String>> answer =
                 http.sendAsync(change, HttpResponse.BodyHandlers.ofString());
-        assertTrue(backend.called.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        assertTrue(backend.called.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         Thread closer = Thread.ofPlatform().start(server::close);
         while (closer.getState() != Thread.State.TIMED_WAITING && closer.isAlive()) {
             Thread.onSpinWait();
         }
         backend.pending.complete(new AdminReply.Accepted("c1", 7, "fine"));
-        assertEquals(answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
+        assertEquals(answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
     }
 
     @DataProvider
-    Object[][] callsAtTheDoor() {
+    Object[][] calls() {
         String settings = "/v1/admin/settings";
-        String long1 = "x".repeat(1_001);
-        String huge = "\"" + "x".repeat(AdminServer.MAX_BODY_BYTES) + "\"";
+        String tooLong = "x".repeat(1_001);
+        String tooLarge = "\"" + "x".repeat(AdminServer.MAX_BODY_BYTES) + "\"";
         return new Object[][] {
             {"", "GET", "/v1/admin/hosts", "", 401},
             {"wrong", "GET", "/v1/admin/hosts", "", 401},
@@ -132,9 +132,9 @@
             {CHANGE_KEY, "PUT", settings, "{\"path\":\"a\",\"reason\":\"r\"}", 400},
             {CHANGE_KEY, "PUT", settings, "{\"path\":\"a\",\"value\":1}", 400},
             {CHANGE_KEY, "PUT", settings, "{\"path\":7,\"value\":1,\"reason\":\"r\"}", 400},
-            {CHANGE_KEY, "PUT", settings, "{\"value\":1,\"reason\":\"" + long1 + "\"}", 400},
+            {CHANGE_KEY, "PUT", settings, "{\"value\":1,\"reason\":\"" + tooLong + "\"}", 400},
             {CHANGE_KEY, "PUT", settings, "{\"value\":1,\"reason\":\"r\",\"trial\":1}", 400},
-            {CHANGE_KEY, "PUT", settings, huge, 413},
+            {CHANGE_KEY, "PUT", settings, tooLarge, 413},
             {CHANGE_KEY, "GET", "/v1/admin/settings/history?limit=-1", "", 400},
             {CHANGE_KEY, "GET", "/v1/admin/settings/history?limit=x", "", 400},
             {CHANGE_KEY, "GET", "/v1/admin/settings?path=%25zz", "", 200},
@@ -143,14 +143,14 @@
         };
     }
 
-    @Test(dataProvider = "callsAtTheDoor")
-    public void checksCallsAtTheDoor(
+    @Test(dataProvider = "calls")
+    public void callsAreValidatedBeforeTheBackend(
             String key, String method, String path, String body, int status) throws Exception {
         HttpResponse<String> response = send(key, method, path, body);
         assertEquals(response.statusCode(), status, response.body());
         JsonNode json = AdminJson.MAPPER.readTree(response.body());
         assertEquals(json.has("error"), status != 200, response.body());
-        assertEquals(backend.asked.isEmpty(), status != 200);
+        assertEquals(backend.calls.isEmpty(), status != 200);
     }
 
     @DataProvider
@@ -164,7 +164,7 @@
             {new AdminReply.Rejected(List.of(problem)), 422, 3, "did you mean servers.y?"},
             {new AdminReply.Conflict(9, "- a\n+ b"), 409, 4, "+ b"},
             {new AdminReply.NotFound("move m9"), 404, 5, "move m9"},
-            {new AdminReply.StoreAway("away"), 503, 7, "away"},
+            {new AdminReply.StoreUnavailable("away"), 503, 7, "away"},
             {new AdminReply.Unknown("c", "lost"), 504, 8, "lost"},
         };
     }
@@ -180,7 +180,7 @@
     }
 
     @Test
-    public void failureInsideIsAnErrorWithoutDetails() throws Exception {
+    public void backendFailureIsReportedWithoutDetails() throws Exception {
         backend.failure = new IllegalStateException("secret");
         HttpResponse<String> response = send(READ_KEY, "GET", "/v1/admin/hosts", "");
         assertEquals(response.statusCode(), 500);
@@ -188,7 +188,7 @@
     }
 
     @Test
-    public void planReachesTheBackendSignedByTheOperator() {
+    public void planIsPassedToTheBackendWithTheOperatorAsAuthor() {
         StringBuilder output = new StringBuilder();
         int code =
                 run(
@@ -208,26 +208,26 @@
                         "--reason",
                         "new weights");
         assertEquals(code, 0, output.toString());
-        AdminBackend.RolloutPlan plan = (AdminBackend.RolloutPlan) backend.asked.get(0);
+        AdminBackend.RolloutPlan plan = (AdminBackend.RolloutPlan) backend.calls.get(0);
         assertEquals(plan.author(), "ana");
         assertEquals(plan.routes(), List.of("gangway"));
         assertEquals(plan.completeByMillis(), 1_769_889_600_000L);
     }
 
     @Test
-    public void settingsChangeReachesTheBackend() {
+    public void settingsChangeIsPassedToTheBackend() {
         StringBuilder output = new StringBuilder();
         int code =
                 run(output, "settings", "set", "limits.x", "{/* two */\"a\":2}", "--reason", "r");
         assertEquals(code, 0, output.toString());
-        AdminBackend.SettingsChange change = (AdminBackend.SettingsChange) backend.asked.get(0);
+        AdminBackend.SettingsChange change = (AdminBackend.SettingsChange) backend.calls.get(0);
         assertEquals(change.valueJson(), "{\"a\":2}");
         assertEquals(change.path(), "limits.x");
         assertEquals(change.author(), "ana");
     }
 
     @DataProvider
-    Object[][] badArguments() {
+    Object[][] invalidArguments() {
         return new Object[][] {
             {new String[] {"moves", "plan"}},
             {new String[] {"nonsense"}},
@@ -238,16 +238,16 @@
         };
     }
 
-    @Test(dataProvider = "badArguments")
-    public void badArgumentsEndWithUsage(String[] arguments) {
+    @Test(dataProvider = "invalidArguments")
+    public void invalidArgumentsExitWithUsage(String[] arguments) {
         StringBuilder output = new StringBuilder();
         assertEquals(run(output, arguments), ExitCode.USAGE.code());
         assertTrue(output.toString().startsWith("error: "), output.toString());
-        assertEquals(backend.asked, List.of());
+        assertEquals(backend.calls, List.of());
     }
 
     @Test
-    public void watchWritesNoticesAsTheyCome() {
+    public void watchPrintsNotices() {
         AdminBackend.Notice notice = new AdminBackend.Notice(4, "m1", "COMPLETED", 17, "proven");
         backend.notices = new AdminBackend.Notices(List.of(notice), 4);
         StringBuilder output = new StringBuilder();
@@ -256,7 +256,7 @@
     }
 
     @Test
-    public void jsonForProgramsIsTheAnswerAsItCame() {
+    public void jsonOptionPrintsTheResponseUnchanged() {
         backend.reply = TABLE;
         StringBuilder output = new StringBuilder();
         assertEquals(run(output, "hosts", "--json"), 0);
@@ -264,7 +264,7 @@
     }
 
     @Test
-    public void unreachableHostIsAFailure() {
+    public void unreachableHostExitsWithFailure() {
         StringBuilder output = new StringBuilder();
         assertEquals(run(output, "hosts", "--host", "http://127.0.0.1:1"), 1);
     }
--- a/src/test/java/org/orioleshed/admin/FakeBackend.java
+++ b/src/test/java/org/orioleshed/admin/FakeBackend.java
@@ -6,20 +6,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 
-/** An {@link AdminBackend} that notes what it was asked and gives one reply to all. */
+/** An {@link AdminBackend} that records its calls and returns the same reply to each. */
 final class FakeBackend implements AdminBackend {
-    final List<Object> asked = new ArrayList<>();
+    final List<Object> calls = new ArrayList<>();
     AdminReply reply = new AdminReply.Accepted("c1", 7, "fine");
     Notices notices = new Notices(List.of(), 0);
     RuntimeException failure;
 
-    /** What a call waits for, in place of the one reply. */
+    /** Returned by all calls instead of the reply, if set. */
     CompletableFuture<AdminReply> pending;
 
     final CountDownLatch called = new CountDownLatch(1);
 
-    private synchronized CompletableFuture<AdminReply> answer(Object question) {
-        asked.add(question);
+    private synchronized CompletableFuture<AdminReply> answer(Object call) {
+        calls.add(call);
         called.countDown();
         if (pending != null) {
             return pending;
--- a/src/test/java/org/orioleshed/entry/CallerExchangeTest.java
+++ b/src/test/java/org/orioleshed/entry/CallerExchangeTest.java
@@ -26,7 +26,7 @@
             new CallerExchange(request(), new EntryMetrics(registry));
 
     @Test
-    public void joinsTokensThatWaitAndKeepsTheEndApart() throws InterruptedException {
+    public void joinsQueuedTokensButNotTheEnd() throws InterruptedException {
         add(0, 1, "a ");
         add(1, 2, "b c ");
         exchange.end(new Outcome.Answered(3, Payload.EMPTY), 5);
--- a/src/test/java/org/orioleshed/entry/DecisionLogTest.java
+++ b/src/test/java/org/orioleshed/entry/DecisionLogTest.java
@@ -18,7 +18,7 @@
 
 /** Tests of {@link DecisionLog}. */
 public class DecisionLogTest {
-    private static final class Lines extends Handler {
+    private static final class RecordingHandler extends Handler {
         final List<LogRecord> records = new ArrayList<>();
 
         @Override
@@ -34,12 +34,12 @@
     }
 
     @Test
-    public void lineThatWaitsWhenTheLogIsClosedIsWritten() {
+    public void queuedLineIsWrittenAfterTheLogIsClosed() {
         DecisionLog log = new DecisionLog(8, new Counter());
         RunId run = new RunId(new RequestId(new HostId("entry-1"), 1, 1), 1);
         log.add(new Decision("give-up", run, Tier.URGENT, Optional.empty(), "", "drain-over"));
         log.close();
-        Lines lines = new Lines();
+        RecordingHandler lines = new RecordingHandler();
         Logger logger = Logger.getLogger(DecisionLog.class.getName());
         logger.addHandler(lines);
         try {
--- a/src/test/java/org/orioleshed/entry/EntryProcessTest.java
+++ b/src/test/java/org/orioleshed/entry/EntryProcessTest.java
@@ -27,9 +27,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link EntryProcess} with its own threads: one host, and a service that hangs. */
+/**
+ * Tests of {@link EntryProcess} with its real threads: one host and a service that does not
+ * respond.
+ */
 public class EntryProcessTest {
-    private static final long PATIENCE_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     private static final String TREE =
             """
             {"tiers": {"urgent": {"rank": 0}},
@@ -43,9 +46,9 @@
 
     private final InetAddress loopback = InetAddress.getLoopbackAddress();
     private final CompletableFuture<Void> called = new CompletableFuture<>();
-    private final CompletableFuture<Void> serviceEnds = new CompletableFuture<>();
+    private final CompletableFuture<Void> serviceReleased = new CompletableFuture<>();
     private HttpServer service;
-    private InetSocketAddress callers;
+    private InetSocketAddress callerAddress;
     private EntryProcess process;
 
     @BeforeMethod
@@ -55,11 +58,11 @@
                 "/",
                 http -> {
                     called.complete(null);
-                    serviceEnds.join();
+                    serviceReleased.join();
                     http.close();
                 });
         service.start();
-        callers = freeAddress();
+        callerAddress = freeAddress();
         MemoryStore store = new MemoryStore();
         String hash = Hashing.sha256().hashString("secret", StandardCharsets.UTF_8).toString();
         store.put("orioleshed/settings/tree", TREE.formatted(service.getAddress().getPort(), hash));
@@ -67,7 +70,7 @@
                 new EntrySettings(
                         new HostId("entry-1"),
                         new FailureDomain("suva-a"),
-                        callers,
+                        callerAddress,
                         freeAddress(),
                         Optional.empty(),
                         List.of(),
@@ -88,20 +91,23 @@
     @AfterMethod
     void stop() {
         process.close();
-        serviceEnds.complete(null);
+        serviceReleased.complete(null);
         service.stop(0);
     }
 
     private HttpRequest.Builder to(String path) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + callers.getPort() + path));
+        return HttpRequest.newBuilder(
+                URI.create("http://127.0.0.1:" + callerAddress.getPort() + path));
     }
 
     @Test
-    public void callThatRunsWhenTheDrainIsOverIsAnsweredBeforeTheProcessEnds() throws Exception {
+    public void callStillRunningAtDrainTimeoutIsAnsweredInDoubtBeforeClose() throws Exception {
         HttpClient client = HttpClient.newHttpClient();
-        long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (client.send(to("/readyz").build(), BodyHandlers.ofString()).statusCode() != 200) {
-            assertTrue(System.nanoTime() - untilNanos < 0, "the host is not ready in time");
+            assertTrue(
+                    System.nanoTime() - deadlineNanos < 0,
+                    "host did not become ready within " + TIMEOUT_SECONDS + " s");
         }
         HttpRequest call =
                 to("/v1/services/hold/book")
@@ -111,13 +117,13 @@
                         .build();
         CompletableFuture<HttpResponse<String>> answer =
                 client.sendAsync(call, BodyHandlers.ofString());
-        CompletableFuture.anyOf(called, answer).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        CompletableFuture.anyOf(called, answer).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(called.isDone(), called.isDone() ? "" : answer.join().body());
-        process.askStop();
+        process.requestStop();
         process.awaitStop();
         process.close();
-        HttpResponse<String> seen = answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-        assertEquals(seen.statusCode(), 504);
-        assertTrue(seen.body().contains("\"ran\":\"in_doubt\""), seen.body());
+        HttpResponse<String> response = answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(response.statusCode(), 504);
+        assertTrue(response.body().contains("\"ran\":\"in_doubt\""), response.body());
     }
 }
--- a/src/test/java/org/orioleshed/entry/CallerHandlerTest.java
+++ b/src/test/java/org/orioleshed/entry/RequestParserTest.java
@@ -25,15 +25,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CallerHandler}. */
-public class CallerHandlerTest {
+/** Tests of {@link RequestParser}. */
+public class RequestParserTest {
     private static final long NOW_NANOS = 1_000_000_000L;
     private static final String CHAT =
             "{\"model\":\"gangway\",\"messages\":[{\"role\":\"user\",\"content\":\"hello there\"}]%s}";
 
-    private final CallerHandler handler = handler();
+    private final RequestParser parser = parser();
 
-    static CallerHandler handler() {
+    static RequestParser parser() {
         String hash = Hashing.sha256().hashString("secret", StandardCharsets.UTF_8).toString();
         Workspace workspace =
                 new Workspace(
@@ -63,9 +63,9 @@
                         Map.of(workspace.id(), workspace),
                         Map.of(),
                         Map.of());
-        CallerHandler handler = new CallerHandler(new HostId("h"), 1);
-        handler.fleet(fleet);
-        return handler;
+        RequestParser parser = new RequestParser(new HostId("h"), 1);
+        parser.fleet(fleet);
+        return parser;
     }
 
     static Headers headers(String... pairs) {
@@ -79,7 +79,7 @@
 
     private Admission chat(String body, String... headers) {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        return handler.chat(headers(headers), bytes, NOW_NANOS);
+        return parser.chat(headers(headers), bytes, NOW_NANOS);
     }
 
     private Request admitted(Admission admission) {
@@ -106,7 +106,7 @@
     }
 
     @Test(dataProvider = "badChats")
-    public void badBodyIsRefusedWithItsReason(String body, String code) {
+    public void invalidBodyIsRejectedWithItsCode(String body, String code) {
         assertEquals(((BadRequest) chat(body)).code(), code);
     }
 
@@ -124,12 +124,12 @@
     }
 
     @Test(dataProvider = "badHeaders")
-    public void badHeaderIsRefusedWithItsReason(String name, String value, String code) {
+    public void invalidHeaderIsRejectedWithItsCode(String name, String value, String code) {
         assertEquals(((BadRequest) chat(CHAT.formatted(""), name, value)).code(), code);
     }
 
     @Test
-    public void deadlineAndLengthAreBoundedByTheWorkspace() {
+    public void deadlineAndOutputLengthAreLimitedByTheWorkspace() {
         Request request =
                 admitted(
                         chat(
@@ -144,7 +144,7 @@
     }
 
     @Test
-    public void resendUnderANewKeyHasTheSameFingerprint() {
+    public void sameContentUnderANewKeyHasTheSameFingerprint() {
         Request first = admitted(chat(CHAT.formatted(""), "Idempotency-Key", "a"));
         Request second = admitted(chat(CHAT.formatted(""), "Idempotency-Key", "b"));
         assertEquals(first.fingerprint(), second.fingerprint());
@@ -153,7 +153,7 @@
     }
 
     @DataProvider
-    Object[][] calls() {
+    Object[][] badCalls() {
         return new Object[][] {
             {"bookings", "nope", "{}", "k", "unknown_call"},
             {"nope", "hold", "{}", "k", "unknown_route"},
@@ -163,19 +163,19 @@
         };
     }
 
-    @Test(dataProvider = "calls")
-    public void badCallIsRefusedWithItsReason(
+    @Test(dataProvider = "badCalls")
+    public void invalidCallIsRejectedWithItsCode(
             String route, String call, String body, String key, String code) {
         Headers headers = key == null ? headers() : headers("Idempotency-Key", key);
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-        Admission admission = handler.service(headers, route, call, bytes, NOW_NANOS);
+        Admission admission = parser.service(headers, route, call, bytes, NOW_NANOS);
         assertEquals(((BadRequest) admission).code(), code);
     }
 
     @Test
     public void repeatableCallNeedsNoKey() {
         byte[] bytes = "{}".getBytes(StandardCharsets.UTF_8);
-        Admission admission = handler.service(headers(), "bookings", "lookup", bytes, NOW_NANOS);
+        Admission admission = parser.service(headers(), "bookings", "lookup", bytes, NOW_NANOS);
         assertTrue(admission instanceof Admission.Admitted);
     }
 }
