--- a/src/test/java/org/orioleshed/soak/Balancer.java
+++ b/src/test/java/org/orioleshed/soak/Balancer.java
@@ -8,79 +8,83 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses hosts for new connections as the platform does: two questions in a row without a 200 take
- * a host out, one with it brings it back.
+ * Chooses hosts for new connections as the platform's load balancer does: two consecutive failed
+ * readiness probes eject a host, one successful probe restores it.
  */
 final class Balancer {
-    private static final long EACH_MILLIS = 1_000;
-    private static final int MISSES = 2;
-    private static final String GOOD = "HTTP/1.1 200";
+    private static final long PROBE_INTERVAL_MILLIS = 1_000;
+    private static final int EJECTION_FAILURES = 2;
+    private static final String READY_STATUS_LINE = "HTTP/1.1 200";
 
     private final List<SoakHost> hosts;
-    private final int[] misses;
-    private volatile boolean[] out;
-    private volatile boolean over;
+    private final int[] failures;
+    private volatile boolean[] ejected;
+    private volatile boolean stopped;
 
     Balancer(List<SoakHost> hosts) {
         this.hosts = hosts;
-        this.misses = new int[hosts.size()];
-        this.out = new boolean[hosts.size()];
+        this.failures = new int[hosts.size()];
+        this.ejected = new boolean[hosts.size()];
     }
 
     void start() {
         for (SoakHost host : hosts) {
-            Thread.ofVirtual().start(() -> ask(host));
+            Thread.ofVirtual().start(() -> probe(host));
         }
     }
 
     void stop() {
-        over = true;
+        stopped = true;
     }
 
-    private void ask(SoakHost host) {
+    private void probe(SoakHost host) {
         try {
-            while (!over) {
-                note(host.index(), isReady(host));
-                Thread.sleep(EACH_MILLIS);
+            while (!stopped) {
+                record(host.index(), isReady(host));
+                Thread.sleep(PROBE_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized void note(int host, boolean ready) {
-        misses[host] = ready ? 0 : misses[host] + 1;
-        boolean[] next = out.clone();
-        next[host] = misses[host] >= MISSES;
-        out = next;
+    private synchronized void record(int host, boolean ready) {
+        failures[host] = ready ? 0 : failures[host] + 1;
+        boolean[] next = ejected.clone();
+        next[host] = failures[host] >= EJECTION_FAILURES;
+        ejected = next;
     }
 
     static boolean isReady(SoakHost host) {
-        InetSocketAddress address = host.ready();
+        InetSocketAddress address = host.readyAddress();
         try (Socket socket = new Socket()) {
-            socket.connect(address, (int) EACH_MILLIS);
-            socket.setSoTimeout((int) EACH_MILLIS);
+            socket.connect(address, (int) PROBE_INTERVAL_MILLIS);
+            socket.setSoTimeout((int) PROBE_INTERVAL_MILLIS);
             socket.getOutputStream()
                     .write(
                             "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"
                                     .getBytes(StandardCharsets.UTF_8));
-            byte[] head = socket.getInputStream().readNBytes(GOOD.length());
-            return new String(head, StandardCharsets.UTF_8).equals(GOOD);
+            byte[] head = socket.getInputStream().readNBytes(READY_STATUS_LINE.length());
+            return new String(head, StandardCharsets.UTF_8).equals(READY_STATUS_LINE);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Returns the host for a new connection of a caller in a zone. */
+    /**
+     * Returns the host for a new connection of a caller in a zone: a random healthy host of the
+     * zone, any host of the zone where fewer than half of them are healthy, and a healthy host of
+     * another zone where none of them is and there is one.
+     */
     SoakHost choose(String zone, RandomGenerator random) {
-        List<SoakHost> near = hosts.stream().filter(it -> it.zone().equals(zone)).toList();
-        boolean[] present = out;
-        List<SoakHost> in = near.stream().filter(it -> !present[it.index()]).toList();
-        List<SoakHost> chosen = in.size() * 2 < near.size() ? near : in;
-        if (in.isEmpty()) {
-            List<SoakHost> far = hosts.stream().filter(it -> !present[it.index()]).toList();
-            chosen = far.isEmpty() ? near : far;
+        List<SoakHost> local = hosts.stream().filter(it -> it.zone().equals(zone)).toList();
+        boolean[] current = ejected;
+        List<SoakHost> healthy = local.stream().filter(it -> !current[it.index()]).toList();
+        List<SoakHost> candidates = healthy.size() * 2 < local.size() ? local : healthy;
+        if (healthy.isEmpty()) {
+            List<SoakHost> remote = hosts.stream().filter(it -> !current[it.index()]).toList();
+            candidates = remote.isEmpty() ? local : remote;
         }
-        return chosen.get(random.nextInt(chosen.size()));
+        return candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/src/test/java/org/orioleshed/soak/Call.java
+++ b/src/test/java/org/orioleshed/soak/Call.java
@@ -1,75 +1,77 @@
 package org.orioleshed.soak;
 
 /**
- * One attempt of a caller, and what came of it.
+ * One attempt of a caller and its result.
  *
- * @param kept whether the connection had been used before, or may be used again
- * @param sentNanos just before its bytes were sent
- * @param hasRightBody whether all bytes are those that its caller should get
+ * @param keepAlive whether the attempt used a persistent connection
+ * @param sentNanos the time just before the request was written
+ * @param hasExpectedBody whether all received body bytes are the expected ones
  */
 record Call(
         String id,
-        Ask ask,
+        Request request,
         int host,
-        boolean kept,
+        boolean keepAlive,
         long sentNanos,
         long endNanos,
         End end,
         int status,
         long retryAfterMillis,
-        boolean hasRightBody,
+        boolean hasExpectedBody,
         String detail) {
     /** How an attempt ended for its caller. */
     enum End {
-        /** A whole answer came. */
-        WHOLE,
-        /** The connection ended before a whole answer. */
+        /** The complete response was received. */
+        COMPLETE,
+        /** The connection ended before the complete response was received. */
         BROKEN,
-        /** The request could not be sent at all. */
+        /** No connection could be opened, so the request was not sent. */
         UNSENT,
-        /** The caller left. */
-        LEFT,
-        /** The caller waited to its deadline in vain. */
-        SILENT
+        /** The caller cancelled by closing the connection. */
+        CANCELLED,
+        /** The response was not complete when the caller's deadline had passed. */
+        TIMED_OUT
     }
 
     /**
-     * What a caller asks.
+     * What a caller requests.
      *
-     * @param key the workspace's key
+     * @param key the workspace's API key
      * @param tokens the prompt tokens
-     * @param deadlineMillis how long the caller waits
-     * @param leaveMillis when the caller leaves; after the deadline where it does not
+     * @param deadlineMillis the deadline, from the time of sending
+     * @param cancelAfterMillis the time after which the caller cancels; at or above the deadline
+     *     where it does not cancel
      */
-    record Ask(
+    record Request(
             CallKind kind,
             Work work,
             String key,
             int tokens,
             long deadlineMillis,
-            long leaveMillis) {
-        static Ask staying(CallKind kind, Work work, String key, int tokens, long deadlineMillis) {
-            return new Ask(kind, work, key, tokens, deadlineMillis, Long.MAX_VALUE);
+            long cancelAfterMillis) {
+        static Request of(CallKind kind, Work work, String key, int tokens, long deadlineMillis) {
+            return new Request(kind, work, key, tokens, deadlineMillis, Long.MAX_VALUE);
         }
 
-        Ask leaving(long millis) {
-            return new Ask(kind, work, key, tokens, deadlineMillis, millis);
+        Request cancelledAfter(long millis) {
+            return new Request(kind, work, key, tokens, deadlineMillis, millis);
         }
     }
 
-    /** Returns an attempt that found no connection. */
-    static Call unsent(String id, Ask ask, int host, String detail) {
+    /** Returns an attempt for which no connection could be opened. */
+    static Call unsent(String id, Request request, int host, String detail) {
         long nowNanos = System.nanoTime();
-        return new Call(id, ask, host, false, nowNanos, nowNanos, End.UNSENT, 0, 0, true, detail);
+        return new Call(
+                id, request, host, false, nowNanos, nowNanos, End.UNSENT, 0, 0, true, detail);
     }
 
     boolean succeeded() {
-        return end == End.WHOLE && status == 200;
+        return end == End.COMPLETE && status == 200;
     }
 
-    /** Returns whether the answer says that the request has not run and never will. */
-    boolean isPromise() {
-        return end == End.WHOLE
+    /** Returns whether the response states that the request has not run and will not run. */
+    boolean confirmsNotRun() {
+        return end == End.COMPLETE
                 && (status == 408 || status == 421 || status == 429 || status == 503);
     }
 }
--- a/src/test/java/org/orioleshed/soak/CallKind.java
+++ b/src/test/java/org/orioleshed/soak/CallKind.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The kinds of calls, each with a route of its own. */
+/** The kinds of calls, each with its own route. */
 enum CallKind {
     RESUMABLE("/r/"),
     STREAM("/s/"),
--- a/src/test/java/org/orioleshed/soak/CallerSocket.java
+++ b/src/test/java/org/orioleshed/soak/CallerSocket.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A caller's connection: sends calls one at a time, and knows a whole answer from a part. */
+/** A caller's connection, which sends calls one at a time and detects truncated responses. */
 final class CallerSocket implements AutoCloseable {
     private static final int CONNECT_MILLIS = 1_000;
     private static final int BUFFER_BYTES = 8_192;
-    private static final int CHUNK_DIGITS_BASE = 16;
+    private static final int CHUNK_SIZE_RADIX = 16;
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final Socket socket = new Socket();
@@ -27,7 +27,7 @@
     private int limit;
     private boolean reusable = true;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private long untilNanos;
+    private long timeoutNanos;
     private int status;
     private long retryAfterMillis;
 
@@ -37,110 +37,113 @@
         in = socket.getInputStream();
     }
 
-    /** Returns whether another call may be sent here. */
+    /** Returns whether another call may be sent on this connection. */
     boolean isReusable() {
         return reusable;
     }
 
-    /** Makes a call on a connection of its own. */
-    static Call makeAlone(String id, Call.Ask ask, SoakHost host) {
-        try (CallerSocket socket = new CallerSocket(host.callers())) {
-            return socket.make(id, ask, host.index(), false);
+    /** Makes a call on a new connection. */
+    static Call callOnNewConnection(String id, Call.Request request, SoakHost host) {
+        try (CallerSocket socket = new CallerSocket(host.callerAddress())) {
+            return socket.call(id, request, host.index(), false);
         } catch (IOException e) {
-            return Call.unsent(id, ask, host.index(), e.toString());
+            return Call.unsent(id, request, host.index(), e.toString());
         }
     }
 
-    /** Makes a call and returns what came of it. */
-    Call make(String id, Call.Ask ask, int host, boolean kept) {
+    /** Makes a call and returns its result. */
+    Call call(String id, Call.Request request, int host, boolean keepAlive) {
         long sentNanos = System.nanoTime();
-        boolean leaves = ask.leaveMillis() < ask.deadlineMillis();
-        long waitMillis = leaves ? ask.leaveMillis() : ask.deadlineMillis() + CONNECT_MILLIS;
-        untilNanos = sentNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
+        boolean cancels = request.cancelAfterMillis() < request.deadlineMillis();
+        long waitMillis =
+                cancels ? request.cancelAfterMillis() : request.deadlineMillis() + CONNECT_MILLIS;
+        timeoutNanos = sentNanos + TimeUnit.MILLISECONDS.toNanos(waitMillis);
         status = 0;
         retryAfterMillis = 0;
         body.reset();
-        Call.End end = Call.End.WHOLE;
+        Call.End end = Call.End.COMPLETE;
         String detail = "";
         try {
-            socket.getOutputStream().write(request(id, ask));
-            answer();
+            socket.getOutputStream().write(encode(id, request));
+            readResponse();
         } catch (SocketTimeoutException e) {
-            end = leaves ? Call.End.LEFT : Call.End.SILENT;
+            end = cancels ? Call.End.CANCELLED : Call.End.TIMED_OUT;
         } catch (IOException e) {
             end = Call.End.BROKEN;
             detail = body.size() + " bytes, " + e;
         }
-        reusable &= end == Call.End.WHOLE;
+        reusable &= end == Call.End.COMPLETE;
         return new Call(
                 id,
-                ask,
+                request,
                 host,
-                kept,
+                keepAlive,
                 sentNanos,
                 System.nanoTime(),
                 end,
                 status,
                 retryAfterMillis,
-                isRight(id, ask, end == Call.End.WHOLE),
+                isExpectedBody(id, request, end == Call.End.COMPLETE),
                 detail);
     }
 
-    private static byte[] request(String id, Call.Ask ask) {
+    private static byte[] encode(String id, Call.Request request) {
         String text =
                 "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nApi-Key: %s\r\n"
-                                .formatted(ask.work().path(), id, ask.key())
+                                .formatted(request.work().path(), id, request.key())
                         + "X-Token-Counts: %d,0\r\nX-Deadline-Ms: %d\r\n"
-                                .formatted(ask.tokens(), ask.deadlineMillis())
+                                .formatted(request.tokens(), request.deadlineMillis())
                         + "Content-Length: 4\r\n\r\nbody";
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private void answer() throws IOException {
-        String first = line();
-        status = Integer.parseInt(first.substring(9, 12));
-        Map<String, String> headers = headers();
-        String after = headers.get("retry-after");
+    private void readResponse() throws IOException {
+        String statusLine = readLine();
+        status = Integer.parseInt(statusLine.substring(9, 12));
+        Map<String, String> headers = readHeaders();
+        String retryAfter = headers.get("retry-after");
         retryAfterMillis =
-                after == null ? 0 : (long) (Double.parseDouble(after) * MILLIS_PER_SECOND);
+                retryAfter == null
+                        ? 0
+                        : (long) (Double.parseDouble(retryAfter) * MILLIS_PER_SECOND);
         reusable = !headers.getOrDefault("connection", "").equals("close");
         if (headers.getOrDefault("transfer-encoding", "").equals("chunked")) {
-            chunks();
+            readChunks();
         } else {
-            read(Integer.parseInt(headers.getOrDefault("content-length", "0")));
+            readBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
         }
     }
 
-    private Map<String, String> headers() throws IOException {
+    private Map<String, String> readHeaders() throws IOException {
         Map<String, String> headers = new HashMap<>();
-        for (String field = line(); !field.isEmpty(); field = line()) {
-            int colon = field.indexOf(':');
+        for (String header = readLine(); !header.isEmpty(); header = readLine()) {
+            int colon = header.indexOf(':');
             headers.put(
-                    field.substring(0, colon).toLowerCase(Locale.ROOT),
-                    field.substring(colon + 1).strip().toLowerCase(Locale.ROOT));
+                    header.substring(0, colon).toLowerCase(Locale.ROOT),
+                    header.substring(colon + 1).strip().toLowerCase(Locale.ROOT));
         }
         return headers;
     }
 
-    private void chunks() throws IOException {
-        int size = Integer.parseInt(line(), CHUNK_DIGITS_BASE);
+    private void readChunks() throws IOException {
+        int size = Integer.parseInt(readLine(), CHUNK_SIZE_RADIX);
         while (size > 0) {
-            read(size);
-            line();
-            size = Integer.parseInt(line(), CHUNK_DIGITS_BASE);
+            readBytes(size);
+            readLine();
+            size = Integer.parseInt(readLine(), CHUNK_SIZE_RADIX);
         }
-        line();
+        readLine();
     }
 
-    private void read(int size) throws IOException {
+    private void readBytes(int size) throws IOException {
         for (int i = 0; i < size; i++) {
-            body.write(next());
+            body.write(nextByte());
         }
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         StringBuilder text = new StringBuilder();
-        for (int next = next(); next != '\n'; next = next()) {
+        for (int next = nextByte(); next != '\n'; next = nextByte()) {
             if (next != '\r') {
                 text.append((char) next);
             }
@@ -148,7 +151,7 @@
         return text.toString();
     }
 
-    private int next() throws IOException {
+    private int nextByte() throws IOException {
         if (position == limit) {
             fill();
         }
@@ -156,27 +159,30 @@
     }
 
     private void fill() throws IOException {
-        long leftMillis = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime());
+        long leftMillis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos - System.nanoTime());
         if (leftMillis <= 0) {
-            throw new SocketTimeoutException("over");
+            throw new SocketTimeoutException("the time to wait for the response is over");
         }
         socket.setSoTimeout((int) leftMillis);
         limit = in.read(buffer);
         position = 0;
         if (limit < 0) {
             limit = 0;
-            throw new EOFException("closed");
+            throw new EOFException("connection closed before the end of the response");
         }
     }
 
-    /** A whole success is the server's whole body; a part of one is its beginning. */
-    private boolean isRight(String id, Call.Ask ask, boolean whole) {
-        String got = body.toString(StandardCharsets.ISO_8859_1);
+    /**
+     * Compares the body with the server's: a complete success has the whole body, a truncated one a
+     * prefix of it, and any other status an empty body.
+     */
+    private boolean isExpectedBody(String id, Call.Request request, boolean complete) {
+        String actual = body.toString(StandardCharsets.ISO_8859_1);
         if (status != 200) {
-            return got.isEmpty();
+            return actual.isEmpty();
         }
-        String wanted = ask.work().body(id, ask.kind().streams());
-        return whole ? got.equals(wanted) : wanted.startsWith(got);
+        String expected = request.work().body(id, request.kind().streams());
+        return complete ? actual.equals(expected) : expected.startsWith(actual);
     }
 
     @Override
@@ -184,7 +190,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
             return;
         }
     }
--- a/src/test/java/org/orioleshed/soak/Callers.java
+++ b/src/test/java/org/orioleshed/soak/Callers.java
@@ -7,24 +7,27 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** All callers of a soak; each is a thread with its own random numbers from the seed. */
+/** All callers of a soak; each is a thread with its own random generator derived from the seed. */
 final class Callers {
-    private static final int USUAL = 20;
-    private static final int LEAVERS = 4;
-    private static final int LIMITED = 6;
-    private static final int LATE_EACH = 3;
-    private static final int USUAL_TOKENS = 20;
+    private static final int REGULAR_CALLERS = 20;
+    private static final int CANCELLING_CALLERS = 4;
+    private static final int QUOTA_CALLERS = 6;
+    private static final int LATE_CALLERS_PER_HOST = 3;
+    private static final int REGULAR_TOKENS = 20;
     private static final int LIMITED_TOKENS = 50;
     private static final long DEADLINE_MILLIS = 9_000;
     private static final int PAUSE_MILLIS = 200;
     private static final int LONG_PAUSE_MILLIS = 6_000;
     private static final long JOIN_MILLIS = 30_000;
 
-    /** New connections come to a leaving host for this long, and kept ones are used longer. */
-    private static final long STILL_SENT_MILLIS = 3_000;
+    /**
+     * The time for which a stopping host still receives new connections; persistent connections are
+     * used longer.
+     */
+    private static final long NEW_CONNECTIONS_MILLIS = 3_000;
 
-    private static final int LATE_SPREAD_MILLIS = 160;
-    private static final int LATE_EARLIEST_MILLIS = 60;
+    private static final int LATE_RANGE_MILLIS = 160;
+    private static final int LATE_LEAD_MILLIS = 60;
     private static final long LATE_PAUSE_MILLIS = 150;
 
     private final SoakFleet fleet;
@@ -32,7 +35,7 @@
     private final History history;
     private final long seed;
     private final List<Thread> threads = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean finishing;
 
     Callers(SoakFleet fleet, Balancer balancer, History history, long seed) {
         this.fleet = fleet;
@@ -41,12 +44,11 @@
         this.seed = seed;
     }
 
-    /** One caller. */
     private final class Caller {
         private final String name;
         private final Random random;
         private final String zone;
-        private int made;
+        private int callCount;
 
         Caller(int index) {
             name = "s%d-c%d".formatted(seed, index);
@@ -55,75 +57,82 @@
         }
 
         String nextId() {
-            made++;
-            return name + "-" + made;
+            callCount++;
+            return name + "-" + callCount;
         }
 
-        SoakHost choose() {
+        SoakHost chooseHost() {
             return balancer.choose(zone, random);
         }
     }
 
-    /** What a caller does until the callers are told to stop. */
-    private interface Life {
-        void live(Caller caller) throws InterruptedException;
+    /** What a caller does until {@link #finish} is called. */
+    private interface Behavior {
+        void run(Caller caller) throws InterruptedException;
     }
 
-    void start(int pressers) {
+    void start(int overloadCallers) {
         int index = 0;
-        for (int i = 0; i < USUAL; i++) {
-            start(index++, i % 2 == 0 ? caller -> keep(caller, PAUSE_MILLIS) : this::renew);
+        for (int i = 0; i < REGULAR_CALLERS; i++) {
+            start(
+                    index++,
+                    i % 2 == 0
+                            ? caller -> reuseConnection(caller, PAUSE_MILLIS)
+                            : this::useNewConnections);
         }
-        for (int i = 0; i < LEAVERS; i++) {
-            start(index++, this::leave);
+        for (int i = 0; i < CANCELLING_CALLERS; i++) {
+            start(index++, this::cancelCalls);
         }
-        for (int i = 0; i < LIMITED; i++) {
-            start(index++, this::exceed);
+        for (int i = 0; i < QUOTA_CALLERS; i++) {
+            start(index++, this::exceedQuota);
         }
-        for (int i = 0; i < SoakFleet.HOSTS * LATE_EACH; i++) {
+        for (int i = 0; i < SoakFleet.HOSTS * LATE_CALLERS_PER_HOST; i++) {
             SoakHost host = fleet.hosts().get(i % SoakFleet.HOSTS);
             start(index++, caller -> sendLate(caller, host));
         }
-        for (int i = 0; i < pressers; i++) {
-            start(index++, this::press);
-            start(index++, caller -> keep(caller, LONG_PAUSE_MILLIS));
+        for (int i = 0; i < overloadCallers; i++) {
+            start(index++, this::overload);
+            start(index++, caller -> reuseConnection(caller, LONG_PAUSE_MILLIS));
         }
     }
 
-    private void start(int index, Life life) {
+    private void start(int index, Behavior behavior) {
         Caller caller = new Caller(index);
         threads.add(
                 Thread.ofVirtual()
                         .start(
                                 () -> {
                                     try {
-                                        life.live(caller);
+                                        behavior.run(caller);
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
                                 }));
     }
 
-    /** Lets all finish their last call, and begin no other. */
+    /** Lets each caller finish its current call and start no other. */
     void finish() {
-        over = true;
+        finishing = true;
     }
 
     void awaitEnd() throws InterruptedException {
         for (Thread thread : threads) {
             if (!thread.join(Duration.ofMillis(JOIN_MILLIS))) {
-                history.problem("a caller never ended");
+                history.addProblem("a caller did not finish within %d ms".formatted(JOIN_MILLIS));
             }
         }
     }
 
-    /** Uses a connection for as long as it lasts. */
-    private void keep(Caller caller, int pauseMillis) throws InterruptedException {
-        while (!over) {
-            SoakHost host = caller.choose();
-            try (CallerSocket socket = new CallerSocket(host.callers())) {
-                while (!over && socket.isReusable()) {
-                    retry(caller, kept(caller, socket, usual(caller.random), host));
+    /** Sends calls on one connection until it can't be reused, then opens another one. */
+    private void reuseConnection(Caller caller, int pauseMillis) throws InterruptedException {
+        while (!finishing) {
+            SoakHost host = caller.chooseHost();
+            try (CallerSocket socket = new CallerSocket(host.callerAddress())) {
+                while (!finishing && socket.isReusable()) {
+                    retry(
+                            caller,
+                            callOnKeptConnection(
+                                    caller, socket, regularRequest(caller.random), host));
                     pause(caller.random, pauseMillis);
                 }
             } catch (IOException e) {
@@ -132,47 +141,51 @@
         }
     }
 
-    private void renew(Caller caller) throws InterruptedException {
-        while (!over) {
-            retry(caller, once(caller, usual(caller.random)));
+    private void useNewConnections(Caller caller) throws InterruptedException {
+        while (!finishing) {
+            retry(caller, callOnNewConnection(caller, regularRequest(caller.random)));
             pause(caller.random, PAUSE_MILLIS);
         }
     }
 
-    private void leave(Caller caller) throws InterruptedException {
-        while (!over) {
-            Call.Ask ask = usual(caller.random);
-            long leaveMillis = 1L + caller.random.nextInt((int) ask.work().millis() + 1);
-            once(caller, ask.leaving(leaveMillis));
+    private void cancelCalls(Caller caller) throws InterruptedException {
+        while (!finishing) {
+            Call.Request request = regularRequest(caller.random);
+            long cancelAfterMillis =
+                    1L + caller.random.nextInt((int) request.work().totalMillis() + 1);
+            callOnNewConnection(caller, request.cancelledAfter(cancelAfterMillis));
             pause(caller.random, 300);
         }
     }
 
-    /** Asks for more than its workspace's quota. */
-    private void exceed(Caller caller) throws InterruptedException {
-        while (!over) {
+    /** Sends requests beyond the workspace's quota. */
+    private void exceedQuota(Caller caller) throws InterruptedException {
+        while (!finishing) {
             CallKind kind = caller.random.nextBoolean() ? CallKind.ONCE : CallKind.IDEMPOTENT;
             Work work = Work.of(kind.prefix(), 2, caller.random.nextInt(20));
-            once(caller, ask(kind, work, Operator.LIMITED_KEY, LIMITED_TOKENS));
+            callOnNewConnection(caller, request(kind, work, Operator.LIMITED_KEY, LIMITED_TOKENS));
             pause(caller.random, 300);
         }
     }
 
-    private void press(Caller caller) throws InterruptedException {
-        while (!over) {
-            CallKind kind = kind(caller.random);
+    private void overload(Caller caller) throws InterruptedException {
+        while (!finishing) {
+            CallKind kind = randomKind(caller.random);
             Work work = Work.of(kind.prefix(), 10 + caller.random.nextInt(30), 60);
-            retry(caller, once(caller, ask(kind, work, Operator.PLAIN_KEY, USUAL_TOKENS)));
+            retry(
+                    caller,
+                    callOnNewConnection(
+                            caller, request(kind, work, Operator.PLAIN_KEY, REGULAR_TOKENS)));
             pause(caller.random, 100);
         }
     }
 
-    /** Keeps a connection to one host, and sends long calls when that host is about to close. */
+    /** Keeps a connection to one host and sends long calls when that host is about to close it. */
     private void sendLate(Caller caller, SoakHost host) throws InterruptedException {
-        while (!over) {
-            try (CallerSocket socket = new CallerSocket(host.callers())) {
-                while (!over && socket.isReusable()) {
-                    kept(caller, socket, lateOrShort(caller.random, host), host);
+        while (!finishing) {
+            try (CallerSocket socket = new CallerSocket(host.callerAddress())) {
+                while (!finishing && socket.isReusable()) {
+                    callOnKeptConnection(caller, socket, lateOrShort(caller.random, host), host);
                     Thread.sleep(LATE_PAUSE_MILLIS);
                 }
             } catch (IOException e) {
@@ -181,59 +194,62 @@
         }
     }
 
-    private static Call.Ask lateOrShort(Random random, SoakHost host) throws InterruptedException {
+    private static Call.Request lateOrShort(Random random, SoakHost host)
+            throws InterruptedException {
         long signalNanos = host.signalNanos();
-        CallKind kind = kind(random);
+        CallKind kind = randomKind(random);
         if (signalNanos == 0) {
-            return ask(kind, Work.of(kind.prefix(), 2, 5), Operator.PLAIN_KEY, USUAL_TOKENS);
+            return request(kind, Work.of(kind.prefix(), 2, 5), Operator.PLAIN_KEY, REGULAR_TOKENS);
         }
         long sinceMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - signalNanos);
-        int offsetMillis = random.nextInt(LATE_SPREAD_MILLIS) - LATE_EARLIEST_MILLIS;
-        Thread.sleep(Math.max(0, STILL_SENT_MILLIS + offsetMillis - sinceMillis));
+        int offsetMillis = random.nextInt(LATE_RANGE_MILLIS) - LATE_LEAD_MILLIS;
+        Thread.sleep(Math.max(0, NEW_CONNECTIONS_MILLIS + offsetMillis - sinceMillis));
         Work work = Work.of(kind.prefix(), 30, 80 + random.nextInt(100));
-        return ask(kind, work, Operator.PLAIN_KEY, USUAL_TOKENS);
+        return request(kind, work, Operator.PLAIN_KEY, REGULAR_TOKENS);
     }
 
-    /** Tries again elsewhere, once, where that is safe. */
+    /** Retries a failed call once, on a new connection, where a second run is safe. */
     private void retry(Caller caller, Call call) throws InterruptedException {
-        boolean again = call.isPromise() || (call.ask().kind().mayRunAgain() && !call.succeeded());
-        if (!again || over) {
+        boolean retryable =
+                call.confirmsNotRun() || (call.request().kind().mayRunAgain() && !call.succeeded());
+        if (!retryable || finishing) {
             return;
         }
-        long mostMillis = call.ask().deadlineMillis() / 3;
-        Thread.sleep(Math.min(mostMillis, call.retryAfterMillis()));
-        once(caller, call.ask());
+        long maxMillis = call.request().deadlineMillis() / 3;
+        Thread.sleep(Math.min(maxMillis, call.retryAfterMillis()));
+        callOnNewConnection(caller, call.request());
     }
 
-    private Call once(Caller caller, Call.Ask ask) {
-        Call call = CallerSocket.makeAlone(caller.nextId(), ask, caller.choose());
+    private Call callOnNewConnection(Caller caller, Call.Request request) {
+        Call call = CallerSocket.callOnNewConnection(caller.nextId(), request, caller.chooseHost());
         history.add(call);
         return call;
     }
 
-    private Call kept(Caller caller, CallerSocket socket, Call.Ask ask, SoakHost host) {
-        Call call = socket.make(caller.nextId(), ask, host.index(), true);
+    private Call callOnKeptConnection(
+            Caller caller, CallerSocket socket, Call.Request request, SoakHost host) {
+        Call call = socket.call(caller.nextId(), request, host.index(), true);
         history.add(call);
         return call;
     }
 
-    private static Call.Ask usual(Random random) {
-        CallKind kind = kind(random);
-        boolean longer = random.nextInt(10) == 0;
-        int parts = longer ? 30 + random.nextInt(30) : 1 + random.nextInt(25);
-        Work work = Work.of(kind.prefix(), parts, longer ? 90 : 5 + random.nextInt(30));
-        return ask(kind, work, Operator.PLAIN_KEY, USUAL_TOKENS);
+    private static Call.Request regularRequest(Random random) {
+        CallKind kind = randomKind(random);
+        boolean longCall = random.nextInt(10) == 0;
+        int parts = longCall ? 30 + random.nextInt(30) : 1 + random.nextInt(25);
+        Work work = Work.of(kind.prefix(), parts, longCall ? 90 : 5 + random.nextInt(30));
+        return request(kind, work, Operator.PLAIN_KEY, REGULAR_TOKENS);
     }
 
-    private static Call.Ask ask(CallKind kind, Work work, String key, int tokens) {
-        return Call.Ask.staying(kind, work, key, tokens, DEADLINE_MILLIS);
+    private static Call.Request request(CallKind kind, Work work, String key, int tokens) {
+        return Call.Request.of(kind, work, key, tokens, DEADLINE_MILLIS);
     }
 
-    private static CallKind kind(Random random) {
+    private static CallKind randomKind(Random random) {
         return CallKind.ALL.get(random.nextInt(CallKind.ALL.size()));
     }
 
-    private static void pause(Random random, int mostMillis) throws InterruptedException {
-        Thread.sleep(random.nextInt(mostMillis));
+    private static void pause(Random random, int maxMillis) throws InterruptedException {
+        Thread.sleep(random.nextInt(maxMillis));
     }
 }
--- a/src/test/java/org/orioleshed/soak/ConfigChecks.java
+++ b/src/test/java/org/orioleshed/soak/ConfigChecks.java
@@ -8,85 +8,89 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Checks that a configuration is in force in time, and none before it comes back. */
+/** Checks that each configuration comes into force in time and that no older one returns. */
 final class ConfigChecks {
     private static final long APPLY_NANOS = TimeUnit.MILLISECONDS.toNanos(2_000);
 
-    /** The slack for hosts under faults. */
+    /** The time within which a host under faults may still answer with an older version. */
     private static final long REVERT_NANOS = TimeUnit.MILLISECONDS.toNanos(8 * 250);
 
-    private final Facts facts;
-    private final Findings found;
+    private final HistoryIndex index;
+    private final Findings findings;
 
-    /** Which version a life of a host has shown, and since when. */
-    private final Map<String, Seen> seen = new HashMap<>();
+    /** The newest version that each host process has served, and when that was observed. */
+    private final Map<String, Observed> observed = new HashMap<>();
 
-    private record Seen(int version, long sinceNanos) {}
+    private record Observed(int version, long sinceNanos) {}
 
-    ConfigChecks(Facts facts, Findings found) {
-        this.facts = facts;
-        this.found = found;
+    ConfigChecks(HistoryIndex index, Findings findings) {
+        this.index = index;
+        this.findings = findings;
     }
 
     void check() {
-        List<History.Probe> probes = new ArrayList<>(facts.history().all(History.Probe.class));
+        List<History.Probe> probes = new ArrayList<>(index.history().all(History.Probe.class));
         probes.sort(Comparator.comparingLong(it -> it.call().endNanos()));
         for (History.Probe probe : probes) {
             Call call = probe.call();
             boolean served = call.succeeded();
-            boolean unknown = call.end() == Call.End.WHOLE && call.status() == 404;
-            if (served || unknown) {
-                checkOne(probe, served);
+            boolean notFound = call.end() == Call.End.COMPLETE && call.status() == 404;
+            if (served || notFound) {
+                checkProbe(probe, served);
             }
         }
     }
 
-    private void checkOne(History.Probe probe, boolean served) {
+    private void checkProbe(History.Probe probe, boolean served) {
         Call call = probe.call();
-        String life = probe.host() + "." + probe.life();
-        int newest = newest(it -> it.sentNanos() <= call.endNanos());
-        int least = leastBySeen(life, call);
-        String why = "a version of before came back";
-        int due = newest(it -> it.acknowledgedNanos() + APPLY_NANOS < call.sentNanos());
-        if (due > least && facts.isInTouch(probe.host(), call.sentNanos(), call.endNanos())) {
-            least = due;
-            why = "version %d is not in force".formatted(due);
+        String process = probe.host() + "." + probe.startCount();
+        int maxVersion = newestVersion(it -> it.sentNanos() <= call.endNanos());
+        int minVersion = minObserved(process, call);
+        String reason = "an older version came back into force";
+        int dueVersion =
+                newestVersion(it -> it.acknowledgedNanos() + APPLY_NANOS < call.sentNanos());
+        if (dueVersion > minVersion
+                && index.isUndisturbed(probe.host(), call.sentNanos(), call.endNanos())) {
+            minVersion = dueVersion;
+            reason = "version %d is not in force".formatted(dueVersion);
         }
-        if (!isAllowed(probe.route(), served, least, newest)) {
-            found.add(
+        if (!isAllowed(probe.route(), served, minVersion, maxVersion)) {
+            findings.add(
                     "CONFIG",
                     call.id(),
                     "%s: route %d answered %d with versions %d to %d"
-                            .formatted(why, probe.route(), call.status(), least, newest));
+                            .formatted(
+                                    reason, probe.route(), call.status(), minVersion, maxVersion));
         }
         if (served) {
-            seen.merge(
-                    life,
-                    new Seen(probe.route(), call.endNanos()),
+            observed.merge(
+                    process,
+                    new Observed(probe.route(), call.endNanos()),
                     (old, newer) -> newer.version() > old.version() ? newer : old);
         }
     }
 
-    /** A route is in its own version and in the next one. */
-    private static boolean isAllowed(int route, boolean served, int least, int newest) {
-        for (int version = least; version <= newest; version++) {
-            boolean has = route == version || route == version - 1;
-            if (has == served) {
+    /** A route exists in the version of its number and in the next one. */
+    private static boolean isAllowed(int route, boolean served, int minVersion, int maxVersion) {
+        for (int version = minVersion; version <= maxVersion; version++) {
+            boolean hasRoute = route == version || route == version - 1;
+            if (hasRoute == served) {
                 return true;
             }
         }
         return false;
     }
 
-    private int leastBySeen(String life, Call call) {
-        Seen before = seen.get(life);
-        boolean counts = before != null && call.sentNanos() > before.sinceNanos() + REVERT_NANOS;
-        return counts ? before.version() : 0;
+    private int minObserved(String process, Call call) {
+        Observed previous = observed.get(process);
+        boolean isBinding =
+                previous != null && call.sentNanos() > previous.sinceNanos() + REVERT_NANOS;
+        return isBinding ? previous.version() : 0;
     }
 
-    private int newest(Predicate<History.ConfigWrite> which) {
-        return facts.history().all(History.ConfigWrite.class).stream()
-                .filter(which)
+    private int newestVersion(Predicate<History.ConfigWrite> filter) {
+        return index.history().all(History.ConfigWrite.class).stream()
+                .filter(filter)
                 .mapToInt(History.ConfigWrite::version)
                 .max()
                 .orElse(0);
--- a/src/test/java/org/orioleshed/soak/Fault.java
+++ b/src/test/java/org/orioleshed/soak/Fault.java
@@ -1,8 +1,8 @@
 package org.orioleshed.soak;
 
-/** What may befall the fleet; each ends by itself. */
+/** A fault or a planned operation on the fleet, which ends after its own time. */
 sealed interface Fault {
-    /** A planned stop, and a new start. */
+    /** A planned stop of a host, and its restart. */
     record StopHost(int host) implements Fault {}
 
     record KillHost(int host, long downMillis) implements Fault {}
@@ -13,17 +13,26 @@
 
     record WriteConfig() implements Fault {}
 
-    /** A server leaves as planned, and another one comes. */
+    /**
+     * A planned drain of a server, which another one replaces.
+     *
+     * @param choice the server's position among the current ones, modulo their number
+     * @param beyondMillis the time for which the server stays beyond the least time of a drain
+     */
     record DrainServer(int choice, long beyondMillis) implements Fault {}
 
-    /** A server is gone without a word, and another one comes. */
-    record LoseServer(int choice, long entryMillis) implements Fault {}
+    /**
+     * A crash of a server, which another one replaces.
+     *
+     * @param entryMillis the time for which the server's entry stays in the store
+     */
+    record CrashServer(int choice, long entryMillis) implements Fault {}
 
-    /** A server names for a while how many requests a second it takes. */
+    /** A server states a limit of requests per second in its responses for a while. */
     record LimitServer(int choice, double perSecond, long millis) implements Fault {}
 
-    record CutServer(int choice, FaultProxy.Mode mode, long millis) implements Fault {}
+    record ImpairServer(int choice, FaultProxy.Mode mode, long millis) implements Fault {}
 
-    /** The store is away for one host, or for all where {@code host} is -1. */
-    record CutStore(int host, FaultProxy.Mode mode, long millis) implements Fault {}
+    /** The store is impaired for one host, or for all where {@code host} is -1. */
+    record ImpairStore(int host, FaultProxy.Mode mode, long millis) implements Fault {}
 }
--- a/src/test/java/org/orioleshed/soak/FaultPlayer.java
+++ b/src/test/java/org/orioleshed/soak/FaultInjector.java
@@ -5,41 +5,41 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Plays the faults of a plan at their times, beside each other, and waits for their ends. */
-final class FaultPlayer {
+/** Injects the faults of a plan at their times, concurrently, and waits for their ends. */
+final class FaultInjector {
     private static final long RESTART_MILLIS = 300;
 
-    /** Longer than the bound on drains: a server goes on for a little after its word. */
-    private static final long LEAST_DRAIN_MILLIS = 3_000;
+    /** Longer than the bound on drains: a draining server still serves for a short time. */
+    private static final long MIN_DRAIN_MILLIS = 3_000;
 
     private static final long DRAIN_POLL_MILLIS = 50;
 
-    /** In place of a host: a fault that concerns all. */
-    private static final int ALL = -1;
+    /** The host index of a fault that concerns all hosts. */
+    private static final int ALL_HOSTS = -1;
 
     private final SoakFleet fleet;
     private final History history;
 
-    FaultPlayer(SoakFleet fleet, History history) {
+    FaultInjector(SoakFleet fleet, History history) {
         this.fleet = fleet;
         this.history = history;
     }
 
-    /** Plays all; returns when the last fault is over. */
-    void play(List<FaultPlan.Step> steps) throws InterruptedException {
-        long beginNanos = System.nanoTime();
+    /** Injects all faults; returns when the last one is over. */
+    void inject(List<FaultPlan.Step> steps) throws InterruptedException {
+        long startNanos = System.nanoTime();
         List<Thread> threads = new ArrayList<>();
         for (FaultPlan.Step step : steps) {
-            long sinceMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beginNanos);
+            long sinceMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
             Thread.sleep(Math.max(0, step.atMillis() - sinceMillis));
-            threads.add(Thread.ofVirtual().start(() -> playOne(step.fault())));
+            threads.add(Thread.ofVirtual().start(() -> injectOne(step.fault())));
         }
         for (Thread thread : threads) {
             thread.join();
         }
     }
 
-    private void playOne(Fault fault) {
+    private void injectOne(Fault fault) {
         try {
             switch (fault) {
                 case Fault.StopHost it -> stop(host(it.host()));
@@ -48,13 +48,13 @@
                 case Fault.ChangeSettings it -> changeSettings(host(it.host()));
                 case Fault.WriteConfig it -> fleet.operator().writeNext();
                 case Fault.DrainServer it -> drain(it);
-                case Fault.LoseServer it -> lose(it);
+                case Fault.CrashServer it -> crash(it);
                 case Fault.LimitServer it -> limit(it);
-                case Fault.CutServer it -> cutServer(it);
-                case Fault.CutStore it -> cutStore(it);
+                case Fault.ImpairServer it -> impairServer(it);
+                case Fault.ImpairStore it -> impairStore(it);
             }
         } catch (IOException e) {
-            history.problem("fault " + fault + ": " + e);
+            history.addProblem("injecting " + fault + " failed: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -71,7 +71,10 @@
         }
     }
 
-    /** A process that is not ready yet takes no signal as it should; it finds the file changed. */
+    /**
+     * Changes a host's settings file. A process that isn't ready yet gets no signal, since it may
+     * not handle it; it reads the changed file at its start.
+     */
     private static void changeSettings(SoakHost host) throws IOException {
         host.changeSettings(Balancer.isReady(host));
     }
@@ -81,7 +84,7 @@
         if (host.kill()) {
             Thread.sleep(downMillis);
             host.start();
-            impaired("KILL", host.index(), fromNanos);
+            addImpairment("KILL", host.index(), fromNanos);
         }
     }
 
@@ -93,65 +96,69 @@
         }
         Thread.sleep(millis);
         frozen.signal("CONT");
-        impaired("STOP", host.index(), fromNanos);
+        addImpairment("STOP", host.index(), fromNanos);
     }
 
-    /** A server leaves as planned, and another one comes. */
     private void drain(Fault.DrainServer fault) throws IOException, InterruptedException {
         SoakServer server = fleet.replace(fault.choice());
         fleet.drain(server);
-        Thread.sleep(LEAST_DRAIN_MILLIS + fault.beyondMillis());
+        Thread.sleep(MIN_DRAIN_MILLIS + fault.beyondMillis());
         while (!server.isIdle()) {
             Thread.sleep(DRAIN_POLL_MILLIS);
         }
-        fleet.forget(server);
+        fleet.deregister(server);
         server.close();
     }
 
-    private void lose(Fault.LoseServer fault) throws IOException, InterruptedException {
+    private void crash(Fault.CrashServer fault) throws IOException, InterruptedException {
         long fromNanos = System.nanoTime();
         SoakServer server = fleet.replace(fault.choice());
         server.close();
         Thread.sleep(fault.entryMillis());
-        fleet.forget(server);
-        impaired("server lost " + server.id(), ALL, fromNanos);
+        fleet.deregister(server);
+        addImpairment("server lost " + server.id(), ALL_HOSTS, fromNanos);
     }
 
     private void limit(Fault.LimitServer fault) throws InterruptedException {
         SoakServer server = fleet.server(fault.choice());
         long fromNanos = System.nanoTime();
-        server.limit(fault.perSecond());
+        server.setLimit(fault.perSecond());
         Thread.sleep(fault.millis());
-        server.noLimit();
+        server.clearLimit();
         history.add(
                 new History.Limit(server.id(), fault.perSecond(), fromNanos, System.nanoTime()));
     }
 
-    private void cutServer(Fault.CutServer fault) throws InterruptedException {
+    private void impairServer(Fault.ImpairServer fault) throws InterruptedException {
         SoakServer server = fleet.server(fault.choice());
-        cut(List.of(server.proxy()), fault.mode(), fault.millis(), "server " + server.id(), ALL);
+        impair(
+                List.of(server.proxy()),
+                fault.mode(),
+                fault.millis(),
+                "server " + server.id(),
+                ALL_HOSTS);
     }
 
-    private void cutStore(Fault.CutStore fault) throws InterruptedException {
-        List<FaultProxy> ways =
+    private void impairStore(Fault.ImpairStore fault) throws InterruptedException {
+        List<FaultProxy> proxies =
                 fleet.hosts().stream()
-                        .filter(it -> fault.host() == ALL || fault.host() == it.index())
-                        .map(SoakHost::store)
+                        .filter(it -> fault.host() == ALL_HOSTS || fault.host() == it.index())
+                        .map(SoakHost::storeProxy)
                         .toList();
-        cut(ways, fault.mode(), fault.millis(), "store", fault.host());
+        impair(proxies, fault.mode(), fault.millis(), "store", fault.host());
     }
 
-    private void cut(
-            List<FaultProxy> ways, FaultProxy.Mode mode, long millis, String what, int host)
+    private void impair(
+            List<FaultProxy> proxies, FaultProxy.Mode mode, long millis, String name, int host)
             throws InterruptedException {
         long fromNanos = System.nanoTime();
-        ways.forEach(way -> way.mode(mode));
+        proxies.forEach(proxy -> proxy.setMode(mode));
         Thread.sleep(millis);
-        ways.forEach(way -> way.mode(FaultProxy.Mode.PASS));
-        impaired(what + " " + mode, host, fromNanos);
+        proxies.forEach(proxy -> proxy.setMode(FaultProxy.Mode.PASS));
+        addImpairment(name + " " + mode, host, fromNanos);
     }
 
-    private void impaired(String what, int host, long fromNanos) {
-        history.add(new History.Impairment(what, host, fromNanos, System.nanoTime()));
+    private void addImpairment(String name, int host, long fromNanos) {
+        history.add(new History.Impairment(name, host, fromNanos, System.nanoTime()));
     }
 }
--- a/src/test/java/org/orioleshed/soak/FaultPlan.java
+++ b/src/test/java/org/orioleshed/soak/FaultPlan.java
@@ -7,42 +7,45 @@
 import java.util.Random;
 
 /**
- * The faults of a soak, and the load beside them, as they follow from a seed.
+ * The faults and the load of a soak, derived from a seed.
  *
- * @param places the places of each server
- * @param pressers callers beyond what the servers have places for
+ * @param slots the slots of each server
+ * @param overloadCallers the additional callers that exceed the servers' slots
  */
-record FaultPlan(Profile profile, int places, int pressers, List<Step> steps) {
-    private static final List<FaultProxy.Mode> CUTS =
+record FaultPlan(Profile profile, int slots, int overloadCallers, List<Step> steps) {
+    private static final List<FaultProxy.Mode> IMPAIRMENT_MODES =
             List.of(FaultProxy.Mode.REFUSE, FaultProxy.Mode.SILENCE, FaultProxy.Mode.DELAY);
-    private static final int FULL_PLACES = 2;
-    private static final int USUAL_PLACES = 7;
-    private static final int FULL_PRESSERS = 40;
+    private static final int FULL_SLOTS = 2;
+    private static final int DEFAULT_SLOTS = 7;
+    private static final int FULL_OVERLOAD_CALLERS = 40;
     private static final double[] LIMITS_PER_SECOND = {0.5, 1.3, 4.2};
-    private static final long MOST_LIMIT_START_MILLIS = 2_000;
+    private static final long MAX_LIMIT_START_MILLIS = 2_000;
     private static final long LIMIT_MILLIS = 9_000;
 
-    /** Draws of limits stand apart, so that the other faults of a seed stay what they were. */
-    private static final long LIMITS_OF_SEED = 1_000_003;
+    /**
+     * Limits are drawn from a separate generator, so that the other faults of a seed don't depend
+     * on them.
+     */
+    private static final long LIMIT_SEED_OFFSET = 1_000_003;
 
-    private static final long SPAN_MILLIS = 11_000;
+    private static final long DURATION_MILLIS = 11_000;
     private static final long FIRST_STOP_MILLIS = 800;
-    private static final long LEAST_STOP_STEP_MILLIS = 1_200;
-    private static final int MORE_STOP_STEP_MILLIS = 700;
+    private static final long MIN_STOP_INTERVAL_MILLIS = 1_200;
+    private static final int STOP_INTERVAL_RANGE_MILLIS = 700;
 
-    /** Which faults come. */
+    /** Selects the faults of a plan. */
     enum Profile {
-        /** Only what operators plan. */
+        /** Only planned operations. */
         PLANNED,
-        /** What operators plan, with more load than places. */
+        /** Planned operations, with more load than slots. */
         FULL,
-        /** Kills, freezes and cuts. */
+        /** Configuration changes and drains, with unplanned faults instead of planned stops. */
         UNPLANNED,
-        /** All of it. */
+        /** Planned operations and unplanned faults. */
         ALL
     }
 
-    /** A fault and when it comes. */
+    /** A fault and its time, from the start of the plan. */
     record Step(long atMillis, Fault fault) {}
 
     static FaultPlan of(long seed) {
@@ -50,20 +53,20 @@
         Profile profile =
                 Profile.values()[(int) Math.floorMod(seed, (long) Profile.values().length)];
         List<Step> steps = new ArrayList<>();
-        addChanges(random, steps);
+        addPlannedChanges(random, steps);
         if (profile != Profile.UNPLANNED) {
             addStops(random, steps);
         }
         if (profile == Profile.UNPLANNED || profile == Profile.ALL) {
-            addBreaks(random, profile == Profile.ALL ? 7 : 10, steps);
+            addUnplannedFaults(random, profile == Profile.ALL ? 7 : 10, steps);
         }
-        addLimits(new Random(seed + LIMITS_OF_SEED), steps);
+        addLimits(new Random(seed + LIMIT_SEED_OFFSET), steps);
         steps.sort(Comparator.comparingLong(Step::atMillis));
         boolean full = profile == Profile.FULL || (profile == Profile.ALL && random.nextBoolean());
         return new FaultPlan(
                 profile,
-                full ? FULL_PLACES : USUAL_PLACES,
-                full ? FULL_PRESSERS : 0,
+                full ? FULL_SLOTS : DEFAULT_SLOTS,
+                full ? FULL_OVERLOAD_CALLERS : 0,
                 List.copyOf(steps));
     }
 
@@ -76,20 +79,23 @@
         long atMillis = FIRST_STOP_MILLIS;
         for (int host : order) {
             steps.add(new Step(atMillis, new Fault.StopHost(host)));
-            atMillis += LEAST_STOP_STEP_MILLIS + random.nextInt(MORE_STOP_STEP_MILLIS);
+            atMillis += MIN_STOP_INTERVAL_MILLIS + random.nextInt(STOP_INTERVAL_RANGE_MILLIS);
         }
     }
 
-    private static void addChanges(Random random, List<Step> steps) {
+    private static void addPlannedChanges(Random random, List<Step> steps) {
         for (int i = 0; i < 4; i++) {
-            steps.add(new Step(at(random), new Fault.WriteConfig()));
-            steps.add(new Step(at(random), new Fault.ChangeSettings(host(random))));
+            steps.add(new Step(randomTimeMillis(random), new Fault.WriteConfig()));
+            steps.add(
+                    new Step(
+                            randomTimeMillis(random),
+                            new Fault.ChangeSettings(randomHost(random))));
         }
         for (int i = 0; i < 2; i++) {
             int beyondMillis = random.nextInt(3_000);
             steps.add(
                     new Step(
-                            at(random),
+                            randomTimeMillis(random),
                             new Fault.DrainServer(
                                     random.nextInt(SoakFleet.SERVERS), beyondMillis)));
         }
@@ -98,39 +104,41 @@
     private static void addLimits(Random random, List<Step> steps) {
         int server = random.nextInt(SoakFleet.SERVERS);
         double perSecond = LIMITS_PER_SECOND[random.nextInt(LIMITS_PER_SECOND.length)];
-        long atMillis = random.nextInt((int) MOST_LIMIT_START_MILLIS);
+        long atMillis = random.nextInt((int) MAX_LIMIT_START_MILLIS);
         steps.add(new Step(atMillis, new Fault.LimitServer(server, perSecond, LIMIT_MILLIS)));
     }
 
-    private static void addBreaks(Random random, int count, List<Step> steps) {
+    private static void addUnplannedFaults(Random random, int count, List<Step> steps) {
         for (int i = 0; i < count; i++) {
-            steps.add(new Step(at(random), broken(random)));
+            steps.add(new Step(randomTimeMillis(random), unplannedFault(random)));
         }
     }
 
-    private static Fault broken(Random random) {
+    private static Fault unplannedFault(Random random) {
         long millis = 300L + random.nextInt(3_000);
         int server = random.nextInt(SoakFleet.SERVERS);
         return switch (random.nextInt(8)) {
-            case 0, 1 -> new Fault.KillHost(host(random), 200 + millis / 2);
-            case 2, 3 -> new Fault.FreezeHost(host(random), millis);
-            case 4 -> new Fault.LoseServer(server, millis);
-            case 5, 6 -> new Fault.CutServer(server, mode(random), millis);
+            case 0, 1 -> new Fault.KillHost(randomHost(random), 200 + millis / 2);
+            case 2, 3 -> new Fault.FreezeHost(randomHost(random), millis);
+            case 4 -> new Fault.CrashServer(server, millis);
+            case 5, 6 -> new Fault.ImpairServer(server, randomMode(random), millis);
             default ->
-                    new Fault.CutStore(
-                            random.nextBoolean() ? -1 : host(random), mode(random), millis);
+                    new Fault.ImpairStore(
+                            random.nextBoolean() ? -1 : randomHost(random),
+                            randomMode(random),
+                            millis);
         };
     }
 
-    private static FaultProxy.Mode mode(Random random) {
-        return CUTS.get(random.nextInt(CUTS.size()));
+    private static FaultProxy.Mode randomMode(Random random) {
+        return IMPAIRMENT_MODES.get(random.nextInt(IMPAIRMENT_MODES.size()));
     }
 
-    private static int host(Random random) {
+    private static int randomHost(Random random) {
         return random.nextInt(SoakFleet.HOSTS);
     }
 
-    private static long at(Random random) {
-        return random.nextInt((int) SPAN_MILLIS);
+    private static long randomTimeMillis(Random random) {
+        return random.nextInt((int) DURATION_MILLIS);
     }
 }
--- a/src/test/java/org/orioleshed/soak/FaultProxy.java
+++ b/src/test/java/org/orioleshed/soak/FaultProxy.java
@@ -10,27 +10,27 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Passes connections on to an address, and refuses, resets, silences or delays them on demand. */
+/** A TCP proxy to one address that resets, stalls or delays connections on demand. */
 final class FaultProxy implements AutoCloseable {
     private static final int BACKLOG = 200;
     private static final int BUFFER_BYTES = 16_384;
     private static final long POLL_MILLIS = 10;
     private static final long DELAY_MILLIS = 400;
 
-    /** What happens to connections. */
+    /** How connections are handled. */
     enum Mode {
         PASS,
-        /** All connections are reset. */
+        /** Open and new connections are reset. */
         REFUSE,
-        /** Bytes and new connections wait. */
+        /** Bytes and new connections are held back until the mode changes. */
         SILENCE,
-        /** Bytes and new connections are late. */
+        /** Bytes and new connections are delayed. */
         DELAY
     }
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private volatile Mode mode = Mode.PASS;
 
     FaultProxy(InetSocketAddress target) throws IOException {
@@ -43,10 +43,10 @@
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
-    void mode(Mode newMode) {
+    void setMode(Mode newMode) {
         mode = newMode;
         if (newMode == Mode.REFUSE) {
-            open.forEach(FaultProxy::reset);
+            openSockets.forEach(FaultProxy::reset);
         }
     }
 
@@ -55,7 +55,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
             return;
         }
     }
@@ -64,25 +64,25 @@
         while (!listener.isClosed()) {
             try {
                 Socket caller = listener.accept();
-                Thread.ofVirtual().start(() -> join(caller));
+                Thread.ofVirtual().start(() -> relay(caller));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void join(Socket caller) {
+    private void relay(Socket caller) {
         if (mode == Mode.REFUSE) {
             reset(caller);
             return;
         }
         try {
-            open.add(caller);
-            awaitPassing();
+            openSockets.add(caller);
+            awaitForwarding();
             Socket server = new Socket(target.getAddress(), target.getPort());
             server.setTcpNoDelay(true);
             caller.setTcpNoDelay(true);
-            open.add(server);
+            openSockets.add(server);
             Thread.ofVirtual().start(() -> pump(caller, server));
             pump(server, caller);
         } catch (IOException e) {
@@ -90,7 +90,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(caller);
+            openSockets.remove(caller);
         }
     }
 
@@ -100,10 +100,10 @@
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
-                awaitPassing();
+                awaitForwarding();
                 out.write(buffer, 0, read);
             }
-            awaitPassing();
+            awaitForwarding();
             to.shutdownOutput();
         } catch (IOException e) {
             reset(from);
@@ -111,11 +111,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(from);
+            openSockets.remove(from);
         }
     }
 
-    private void awaitPassing() throws InterruptedException {
+    private void awaitForwarding() throws InterruptedException {
         if (mode == Mode.DELAY) {
             Thread.sleep(DELAY_MILLIS);
         }
@@ -127,6 +127,6 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        mode(Mode.REFUSE);
+        setMode(Mode.REFUSE);
     }
 }
--- a/src/test/java/org/orioleshed/soak/FaultSoakTest.java
+++ b/src/test/java/org/orioleshed/soak/FaultSoakTest.java
@@ -10,28 +10,30 @@
 import org.testng.annotations.Test;
 
 /**
- * Plays soaks of some seeds: a few fixed ones in each build, and those of {@code -Dsoak.seeds},
- * such as {@code 1-50} or {@code 3,17}, by hand.
+ * Guards against requests that are lost, run twice, answered wrongly or sent beyond a drain, a
+ * limit or a quota, and against late or outdated configurations, while hosts, servers and the store
+ * stop or fail. Each build runs a few fixed seeds; {@code -Dsoak.seeds} selects others, such as
+ * {@code 1-50} or {@code 3,17}.
  */
 public class FaultSoakTest {
     private static final String SEEDS_PROPERTY = "soak.seeds";
 
     /**
-     * All faults at once (7). All that operators plan, under more load than places: found requests
-     * that a stopping host took too late or dropped while they waited, and once a host that never
-     * heard of a drain (13). The same under usual load: found late ones, and once a workspace
-     * beyond its quota (32).
+     * 7: planned operations and unplanned faults together. 13: planned operations with more load
+     * than slots; found requests that a stopping host accepted too late or dropped from its queue,
+     * and once a host that never received a drain. 32: planned operations under normal load; found
+     * requests accepted too late, and once a workspace beyond its quota.
      */
-    private static final String USUAL_SEEDS = "7,13,32";
+    private static final String DEFAULT_SEEDS = "7,13,32";
 
     @DataProvider
     public Object[][] seeds() {
         List<Object[]> rows = new ArrayList<>();
-        String text = System.getProperty(SEEDS_PROPERTY, USUAL_SEEDS);
-        for (String part : Splitter.on(',').split(text)) {
-            List<String> ends = Splitter.on('-').splitToList(part);
-            long last = Long.parseLong(ends.getLast());
-            for (long seed = Long.parseLong(ends.getFirst()); seed <= last; seed++) {
+        String seeds = System.getProperty(SEEDS_PROPERTY, DEFAULT_SEEDS);
+        for (String part : Splitter.on(',').split(seeds)) {
+            List<String> bounds = Splitter.on('-').splitToList(part);
+            long last = Long.parseLong(bounds.getLast());
+            for (long seed = Long.parseLong(bounds.getFirst()); seed <= last; seed++) {
                 rows.add(new Object[] {seed});
             }
         }
@@ -41,8 +43,8 @@
     @Test(dataProvider = "seeds")
     public void promisesHoldUnderFaults(long seed) throws IOException, InterruptedException {
         Soak soak = new Soak(seed);
-        String broken = soak.play();
+        String report = soak.run();
         System.out.println(soak.summary());
-        assertTrue(broken.isEmpty(), broken);
+        assertTrue(report.isEmpty(), report);
     }
 }
--- a/src/test/java/org/orioleshed/soak/Findings.java
+++ b/src/test/java/org/orioleshed/soak/Findings.java
@@ -6,24 +6,30 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The promises that were found broken. */
+/** The violations that the checks found. */
 final class Findings {
-    private final List<Broken> all = new ArrayList<>();
+    private final List<Violation> all = new ArrayList<>();
 
-    /** A broken promise; {@code callId} is empty where it concerns no call. */
-    record Broken(String rule, String callId, String text) {}
+    /**
+     * A violation of a rule.
+     *
+     * @param callId the call or server that it concerns; empty where there is none
+     */
+    record Violation(String rule, String callId, String text) {}
 
     void add(String rule, String callId, String text) {
-        all.add(new Broken(rule, callId, text));
+        all.add(new Violation(rule, callId, text));
     }
 
-    List<Broken> all() {
+    List<Violation> all() {
         return all;
     }
 
-    /** Returns how often each rule was broken. */
+    /** Returns the number of violations of each rule. */
     Map<String, Long> counts() {
         return all.stream()
-                .collect(Collectors.groupingBy(Broken::rule, TreeMap::new, Collectors.counting()));
+                .collect(
+                        Collectors.groupingBy(
+                                Violation::rule, TreeMap::new, Collectors.counting()));
     }
 }
--- a/src/test/java/org/orioleshed/soak/Facts.java
+++ b/src/test/java/org/orioleshed/soak/HistoryIndex.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** What the checks look up in a history that is over. */
-final class Facts {
-    /** A fault is no longer felt after this time. */
-    private static final long STABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
+/** Lookups of the checks in the history of a finished soak. */
+final class HistoryIndex {
+    /** The time after its end for which a fault may still have effects. */
+    private static final long FAULT_EFFECT_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
-    /** A host that stopped is started again within this time. */
+    /** The time within which a stopped host is started again. */
     private static final long RESTART_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
     private final History history;
@@ -19,7 +19,7 @@
     private final Map<String, List<Run>> runs = new HashMap<>();
     private final List<History.Stop> stops;
 
-    Facts(History history) {
+    HistoryIndex(History history) {
         this.history = history;
         this.stops = history.all(History.Stop.class);
         history.all(Call.class).forEach(call -> calls.put(call.id(), call));
@@ -40,13 +40,13 @@
         return history.all(Run.class);
     }
 
-    /** Returns the arrivals of a call at servers. */
+    /** Returns the arrivals of a call at servers, also those that were refused. */
     List<Run> runs(String id) {
         return runs.getOrDefault(id, List.of());
     }
 
-    /** Returns how often a call was worked on. */
-    long timesRun(String id) {
+    /** Returns how many times servers started work on a call. */
+    long runCount(String id) {
         return runs(id).stream().filter(Run::hasRun).count();
     }
 
@@ -54,52 +54,55 @@
         return stops;
     }
 
-    /** Returns whether no unplanned fault was felt in a span. */
-    boolean isCalm(long fromNanos, long toNanos) {
+    /** Returns whether no unplanned fault of any host could have effects in an interval. */
+    boolean isFaultFree(long fromNanos, long toNanos) {
         return history.all(History.Impairment.class).stream()
-                .noneMatch(it -> it.isWithin(fromNanos - STABLE_NANOS, toNanos));
+                .noneMatch(it -> it.isWithin(fromNanos - FAULT_EFFECT_NANOS, toNanos));
     }
 
-    /** Returns whether a host, and what it needs, had neither a fault nor a stop in a span. */
-    boolean isInTouch(int host, long fromNanos, long toNanos) {
-        long feltNanos = fromNanos - STABLE_NANOS;
+    /**
+     * Returns whether neither a stop of a host, nor a fault of it or of all hosts, could have
+     * effects on it in an interval.
+     */
+    boolean isUndisturbed(int host, long fromNanos, long toNanos) {
+        long effectFromNanos = fromNanos - FAULT_EFFECT_NANOS;
         boolean stopped =
                 stops.stream()
-                        .filter(it -> it.host() == host && it.signalNanos() <= toNanos)
-                        .anyMatch(it -> it.endNanos() + RESTART_NANOS >= feltNanos);
+                        .filter(it -> it.host() == host && it.beforeSignalNanos() <= toNanos)
+                        .anyMatch(it -> it.endNanos() + RESTART_NANOS >= effectFromNanos);
         return !stopped
                 && history.all(History.Impairment.class).stream()
                         .filter(it -> it.host() == host || it.host() < 0)
-                        .noneMatch(it -> it.isWithin(feltNanos, toNanos));
+                        .noneMatch(it -> it.isWithin(effectFromNanos, toNanos));
     }
 
-    /** Returns all that is known of a call. */
-    String story(String id) {
-        StringBuilder story = new StringBuilder();
+    /** Returns the recorded attempt and runs of a call, one a line. */
+    String timeline(String id) {
+        StringBuilder timeline = new StringBuilder();
         Call call = calls.get(id);
         if (call != null) {
-            story.append(
-                    "  %7d to %d ms: caller %s host=%d kept=%s end=%s status=%d %s%n"
+            timeline.append(
+                    "  %7d to %d ms: caller %s host=%d keepAlive=%s end=%s status=%d %s%n"
                             .formatted(
                                     history.millis(call.sentNanos()),
                                     history.millis(call.endNanos()),
-                                    call.ask().work().path(),
+                                    call.request().work().path(),
                                     call.host(),
-                                    call.kept(),
+                                    call.keepAlive(),
                                     call.end(),
                                     call.status(),
                                     call.detail()));
         }
         for (Run run : runs(id)) {
-            story.append(
+            timeline.append(
                     "  %7d ms: arrived at %s, work from %d to %d ms, %s%n"
                             .formatted(
                                     history.millis(run.arrivedNanos()),
                                     run.server(),
-                                    run.hasRun() ? history.millis(run.beganNanos()) : -1,
+                                    run.hasRun() ? history.millis(run.startedNanos()) : -1,
                                     history.millis(run.endNanos()),
                                     run.end()));
         }
-        return story.toString();
+        return timeline.toString();
     }
 }
--- a/src/test/java/org/orioleshed/soak/HostCost.java
+++ b/src/test/java/org/orioleshed/soak/HostCost.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Measures what a host's process costs beside others, thread by thread; run by hand: {@code
- * HostCost HOSTS SECONDS REQUESTS_PER_SECOND_AND_HOST}.
+ * Measures the processor time of host processes by thread name, at the start and after a time under
+ * load. Started manually as {@code HostCost HOSTS SECONDS REQUESTS_PER_SECOND_AND_HOST}.
  */
 public final class HostCost {
-    private static final int PLACES = 12;
+    private static final int SLOTS = 12;
     private static final int EVENTS = 12;
     private static final long PAUSE_MILLIS = 30;
     private static final long DEADLINE_MILLIS = 5_000;
@@ -31,33 +31,33 @@
         double rate = Double.parseDouble(arguments[2]);
         Path directory = Files.createTempDirectory("host-cost");
         History history = new History();
-        try (SoakFleet fleet = new SoakFleet(directory, hosts, PLACES, history)) {
+        try (SoakFleet fleet = new SoakFleet(directory, hosts, SLOTS, history)) {
             fleet.start();
             print("start", hosts);
-            AtomicInteger answered = new AtomicInteger();
+            AtomicInteger succeeded = new AtomicInteger();
             long pauseMillis = (long) (1_000 / rate);
             for (SoakHost host : fleet.hosts()) {
-                Thread.ofVirtual().start(() -> call(host, pauseMillis, answered));
+                Thread.ofVirtual().start(() -> sendCalls(host, pauseMillis, succeeded));
             }
             Thread.sleep(seconds * 1_000L);
-            print("after %d s, %d answers".formatted(seconds, answered.get()), hosts);
+            print("after %d s, %d successful responses".formatted(seconds, succeeded.get()), hosts);
         }
         System.exit(0);
     }
 
-    private static void call(SoakHost host, long pauseMillis, AtomicInteger answered) {
+    private static void sendCalls(SoakHost host, long pauseMillis, AtomicInteger succeeded) {
         for (int number = 0; ; number++) {
             CallKind kind = CallKind.ALL.get(number % CallKind.ALL.size());
             Work work = Work.of(kind.prefix(), EVENTS, PAUSE_MILLIS);
-            Call.Ask ask =
-                    Call.Ask.staying(
-                            kind, work, Operator.PLAIN_KEY, PROMPT_TOKENS, DEADLINE_MILLIS);
+            Call.Request request =
+                    Call.Request.of(kind, work, Operator.PLAIN_KEY, PROMPT_TOKENS, DEADLINE_MILLIS);
             String id = "c%d-%d".formatted(host.index(), number);
             Thread.ofVirtual()
                     .start(
                             () -> {
-                                if (CallerSocket.makeAlone(id, ask, host).succeeded()) {
-                                    answered.incrementAndGet();
+                                if (CallerSocket.callOnNewConnection(id, request, host)
+                                        .succeeded()) {
+                                    succeeded.incrementAndGet();
                                 }
                             });
             try {
@@ -69,15 +69,15 @@
     }
 
     private static void print(String when, int hosts) throws IOException {
-        Map<String, Double> total = new TreeMap<>();
+        Map<String, Double> millisByThread = new TreeMap<>();
         for (ProcessHandle child : ProcessHandle.current().children().toList()) {
             for (Path task : tasks(child.pid())) {
-                add(Files.readString(task.resolve("stat")), total);
+                addTicks(Files.readString(task.resolve("stat")), millisByThread);
             }
         }
-        double sum = total.values().stream().mapToDouble(it -> it).sum();
-        System.out.printf("%s: %.0f ms a host%n", when, sum / hosts);
-        total.entrySet().stream()
+        double sumMillis = millisByThread.values().stream().mapToDouble(it -> it).sum();
+        System.out.printf("%s: %.0f ms of processor time per host%n", when, sumMillis / hosts);
+        millisByThread.entrySet().stream()
                 .filter(entry -> entry.getValue() > hosts)
                 .forEach(e -> System.out.printf("  %8.1f %s%n", e.getValue() / hosts, e.getKey()));
     }
@@ -91,10 +91,10 @@
         return result;
     }
 
-    private static void add(String stat, Map<String, Double> total) {
+    private static void addTicks(String stat, Map<String, Double> millisByThread) {
         String name = stat.substring(stat.indexOf('(') + 1, stat.lastIndexOf(')'));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
         long ticks = Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
-        total.merge(name, ticks * 1_000 / TICKS_PER_SECOND, Double::sum);
+        millisByThread.merge(name, ticks * 1_000 / TICKS_PER_SECOND, Double::sum);
     }
 }
--- a/src/test/java/org/orioleshed/soak/HostMain.java
+++ b/src/test/java/org/orioleshed/soak/HostMain.java
@@ -4,26 +4,26 @@
 import java.io.OutputStream;
 import org.orioleshed.platform.PlatformMain;
 
-/** Runs the product's program, and ends at once when the soak that started it is gone. */
+/** Runs {@link PlatformMain}, and halts when the soak process that started it has ended. */
 public final class HostMain {
-    private static final int ORPHANED = 3;
+    private static final int ORPHANED_EXIT_STATUS = 3;
 
     private HostMain() {}
 
-    /** Runs it. */
+    /** Starts the host. */
     public static void main(String[] arguments) {
-        Thread watcher = new Thread(HostMain::awaitParentsEnd, "parent");
+        Thread watcher = new Thread(HostMain::haltAfterParent, "parent");
         watcher.setDaemon(true);
         watcher.start();
         PlatformMain.main(arguments);
     }
 
-    private static void awaitParentsEnd() {
+    private static void haltAfterParent() {
         try {
             var unused = System.in.transferTo(OutputStream.nullOutputStream());
         } catch (IOException e) {
             System.err.println("error: " + e.getMessage());
         }
-        Runtime.getRuntime().halt(ORPHANED);
+        Runtime.getRuntime().halt(ORPHANED_EXIT_STATUS);
     }
 }
--- a/src/test/java/org/orioleshed/soak/HostProcess.java
+++ b/src/test/java/org/orioleshed/soak/HostProcess.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One life of a host: a process of the product's program, whose log lines get the time. */
+/** A process of a host, which copies its output to a log with the time of each line. */
 final class HostProcess {
-    private static final List<String> OPTIONS =
+    private static final List<String> JVM_OPTIONS =
             List.of(
                     "-Xmx96m",
                     "-Xss256k",
@@ -26,13 +26,15 @@
                     "-Dio.netty.allocator.numHeapArenas=1",
                     "-Dio.netty.allocator.numDirectArenas=1");
 
-    /** What runs a host's main class, for measurements of other runtimes and options. */
+    /**
+     * The command that runs a host's main class, for measurements of other runtimes and options.
+     */
     private static final String COMMAND = System.getProperty("soak.command", "");
 
-    private static final long LOG_END_MILLIS = 2_000;
+    private static final long LOG_COPY_MILLIS = 2_000;
 
     private final Process process;
-    private final Thread reader;
+    private final Thread logCopier;
     private final Path log;
     private final History history;
 
@@ -40,30 +42,30 @@
         this.log = log;
         this.history = history;
         ProcessBuilder builder = new ProcessBuilder();
-        builder.command().addAll(runtime());
+        builder.command().addAll(javaCommand());
         builder.command().add(HostMain.class.getName());
         builder.environment().put("ORIOLESHED_BOOT", settings.toString());
         builder.environment().remove("JAVA_TOOL_OPTIONS");
         builder.redirectErrorStream(true);
         process = builder.start();
-        reader = Thread.ofPlatform().daemon().name("log").start(this::copyLog);
+        logCopier = Thread.ofPlatform().daemon().name("log").start(this::copyLog);
     }
 
-    private static List<String> runtime() {
+    private static List<String> javaCommand() {
         if (!COMMAND.isEmpty()) {
             return Splitter.on(' ').omitEmptyStrings().splitToList(COMMAND);
         }
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(OPTIONS);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of("-cp", classPath()));
         return command;
     }
 
-    /** The classes where the test runner hides them in a manifest. */
+    /** Returns the class path, also where Surefire passes it in the manifest of a jar. */
     private static String classPath() {
-        String tests = System.getProperty("surefire.test.class.path");
-        return tests == null ? System.getProperty("java.class.path") : tests;
+        String testClassPath = System.getProperty("surefire.test.class.path");
+        return testClassPath == null ? System.getProperty("java.class.path") : testClassPath;
     }
 
     private void copyLog() {
@@ -80,7 +82,7 @@
             }
             out.write("%7d ended%n".formatted(nowMillis()));
         } catch (IOException e) {
-            history.problem("log " + log + ": " + e.getMessage());
+            history.addProblem("copying to the log " + log + " failed: " + e.getMessage());
         }
     }
 
@@ -96,7 +98,7 @@
         var unused = process.toHandle().destroy();
     }
 
-    /** Sends a signal for which the runtime has no call. */
+    /** Sends a signal through {@code kill}, since {@link Process} has no method for it. */
     void signal(String name) {
         if (!isAlive()) {
             return;
@@ -104,20 +106,22 @@
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
         } catch (IOException e) {
-            history.problem("signal " + name + ": " + e.getMessage());
+            history.addProblem("sending the signal " + name + " failed: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits for its end, ends it hard after a time, and waits until its log is whole. */
-    void endWithin(long millis) throws InterruptedException {
+    /**
+     * Waits for the process to exit, kills it after a time, and waits until its log is complete.
+     */
+    void awaitExitOrKill(long millis) throws InterruptedException {
         try {
             var unused = process.waitFor(millis, TimeUnit.MILLISECONDS);
         } finally {
             var unused = process.toHandle().destroyForcibly();
         }
         process.waitFor();
-        reader.join(LOG_END_MILLIS);
+        logCopier.join(LOG_COPY_MILLIS);
     }
 }
--- a/src/test/java/org/orioleshed/soak/HostSettings.java
+++ b/src/test/java/org/orioleshed/soak/HostSettings.java
@@ -11,10 +11,10 @@
 final class HostSettings {
     static final long GRACE_SECONDS = 6;
     static final long QUOTA_WINDOW_SECONDS = 8;
-    static final double QUOTA_OVER = 0.1;
+    static final double QUOTA_OVER_RATIO = 0.1;
     static final long QUOTA_SLACK_TOKENS = 2_000;
     private static final int MAX_SEEDS = 3;
-    private static final String TEXT =
+    private static final String TEMPLATE =
             """
             {"ip":"%1$s","zone":"%2$s","port-range":[%3$d,%4$d],"seeds":[%5$s],
              "zones":{"z0":"r","z1":"r","z2":"r"},
@@ -28,9 +28,9 @@
     private HostSettings() {}
 
     /**
-     * Writes them at once, so that no reader sees a part.
+     * Writes the file atomically, so that no reader sees a part of it.
      *
-     * @param retrySlack what a changed file changes
+     * @param retrySlack the value of {@code retry-slack}, in which versions of the file differ
      */
     static void write(
             Path file, List<String> ips, String ip, String zone, int storePort, int retrySlack)
@@ -41,7 +41,7 @@
                         .map(it -> "\"%s:%d\"".formatted(it, HostAddresses.PEER_PORT))
                         .collect(Collectors.joining(","));
         String text =
-                TEXT.formatted(
+                TEMPLATE.formatted(
                         ip,
                         zone,
                         HostAddresses.PEER_PORT,
@@ -51,11 +51,15 @@
                         HostAddresses.READY_PORT,
                         GRACE_SECONDS,
                         retrySlack,
-                        QUOTA_OVER,
+                        QUOTA_OVER_RATIO,
                         QUOTA_SLACK_TOKENS,
                         storePort);
-        Path part = file.resolveSibling(file.getFileName() + ".part");
-        Files.writeString(part, text);
-        Files.move(part, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path partFile = file.resolveSibling(file.getFileName() + ".part");
+        Files.writeString(partFile, text);
+        Files.move(
+                partFile,
+                file,
+                StandardCopyOption.REPLACE_EXISTING,
+                StandardCopyOption.ATOMIC_MOVE);
     }
 }
--- a/src/test/java/org/orioleshed/soak/Operator.java
+++ b/src/test/java/org/orioleshed/soak/Operator.java
@@ -4,21 +4,22 @@
 import java.util.List;
 import org.orioleshed.platform.StoreFake;
 
-/**
- * Writes configurations, each with a version and with a route that only it and the next one have.
- */
+/** Writes configurations, each with a version and a route that only it and the next one have. */
 final class Operator {
     static final String PLAIN_KEY = "plain-key";
     static final String LIMITED_KEY = "limited-key";
-    static final String PLAIN = "plain";
-    static final String LIMITED = "limited";
-    static final long LIMITED_PER_SECOND = 400;
-    static final long LIMITED_BURST = 800;
+    static final String PLAIN_WORKSPACE = "plain";
+    static final String LIMITED_WORKSPACE = "limited";
+    static final long LIMITED_TOKENS_PER_SECOND = 400;
+    static final long LIMITED_BURST_TOKENS = 800;
     private static final long TIMEOUT_MILLIS = 15_000;
     private static final long STREAM_TARGET_MILLIS = 2_000;
 
-    /** Plain work takes up to this long, and a host leaves a server that is silent for longer. */
-    private static final long PLAIN_TARGET_MILLIS = 7_000;
+    /**
+     * A response that isn't streamed takes up to this long; a host abandons a server that sends
+     * nothing for longer.
+     */
+    private static final long RESPONSE_TARGET_MILLIS = 7_000;
 
     private static final int ATTEMPTS = 3;
 
@@ -35,7 +36,7 @@
         return "/i/only%d/".formatted(route);
     }
 
-    /** Returns the newest version that was sent. */
+    /** Returns the newest version whose write was started. */
     synchronized int version() {
         return version;
     }
@@ -66,16 +67,16 @@
                 .formatted(
                         version,
                         String.join(",", routes),
-                        PLAIN,
+                        PLAIN_WORKSPACE,
                         PLAIN_KEY,
-                        LIMITED,
+                        LIMITED_WORKSPACE,
                         LIMITED_KEY,
-                        LIMITED_PER_SECOND,
-                        LIMITED_BURST);
+                        LIMITED_TOKENS_PER_SECOND,
+                        LIMITED_BURST_TOKENS);
     }
 
     private static String route(String name, CallKind kind, String prefix) {
-        String word =
+        String kindName =
                 switch (kind) {
                     case RESUMABLE, STREAM -> "stream";
                     case ONCE -> "non_idempotent";
@@ -87,10 +88,10 @@
                 .formatted(
                         name,
                         prefix,
-                        word,
+                        kindName,
                         kind == CallKind.RESUMABLE,
                         TIMEOUT_MILLIS,
-                        kind.streams() ? STREAM_TARGET_MILLIS : PLAIN_TARGET_MILLIS,
+                        kind.streams() ? STREAM_TARGET_MILLIS : RESPONSE_TARGET_MILLIS,
                         kind.mayRunAgain() ? ATTEMPTS : 1);
     }
 }
--- a/src/test/java/org/orioleshed/soak/Run.java
+++ b/src/test/java/org/orioleshed/soak/Run.java
@@ -1,30 +1,30 @@
 package org.orioleshed.soak;
 
 /**
- * One arrival of a request at a server, and the work on it if there was any.
+ * One arrival of a request at a server, and its execution there if it was not refused.
  *
- * @param beganNanos when the work began; 0 where it never did
- * @param workspace whose the server was told it is
- * @param keyPassed whether the server got the caller's key
+ * @param startedNanos the start time of the execution; 0 where it was refused
+ * @param workspace the workspace that the request's header named; empty where it named none
+ * @param keyPassed whether the request had the caller's API key
  */
 record Run(
         String id,
         String server,
         long arrivedNanos,
-        long beganNanos,
+        long startedNanos,
         long endNanos,
         String workspace,
         boolean keyPassed,
         End end) {
-    /** How the work ended. */
+    /** How the execution ended. */
     enum End {
         REFUSED,
         COMPLETE,
         DEADLINE,
-        CUT
+        ABORTED
     }
 
     boolean hasRun() {
-        return beganNanos != 0;
+        return startedNanos != 0;
     }
 }
--- a/src/test/java/org/orioleshed/soak/Soak.java
+++ b/src/test/java/org/orioleshed/soak/Soak.java
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One soak: a fleet, its callers and the faults of a seed, and the checks after them. */
+/** One soak: a fleet, its callers and the faults of a seed, followed by the checks. */
 final class Soak {
     private static final long WARM_UP_MILLIS = 1_500;
-    private static final int MOST_TOLD = 8;
+    private static final int MAX_DETAILED = 8;
 
     private final long seed;
     private final FaultPlan plan;
     private final Path directory;
     private final History history = new History();
-    private final Findings found = new Findings();
+    private final Findings findings = new Findings();
 
     Soak(long seed) throws IOException {
         this.seed = seed;
@@ -25,35 +25,35 @@
                         Path.of("target", "soak", Long.toString(seed)).toAbsolutePath());
     }
 
-    /** Plays it and returns the story of what went wrong; empty where nothing did. */
-    String play() throws IOException, InterruptedException {
-        try (SoakFleet fleet = new SoakFleet(directory, SoakFleet.HOSTS, plan.places(), history)) {
+    /** Runs the soak and the checks; returns a report of the violations, empty without any. */
+    String run() throws IOException, InterruptedException {
+        try (SoakFleet fleet = new SoakFleet(directory, SoakFleet.HOSTS, plan.slots(), history)) {
             fleet.start();
-            play(fleet);
+            run(fleet);
         }
-        Facts facts = new Facts(history);
-        new RunChecks(facts, found).check();
-        new StopChecks(facts, found).check();
-        new ConfigChecks(facts, found).check();
-        history.all(History.Problem.class).forEach(it -> found.add("PROBLEM", "", it.text()));
+        HistoryIndex index = new HistoryIndex(history);
+        new RunChecks(index, findings).check();
+        new StopChecks(index, findings).check();
+        new ConfigChecks(index, findings).check();
+        history.all(History.Problem.class).forEach(it -> findings.add("PROBLEM", "", it.text()));
         List<String> logLines = logLines();
         logLines.stream()
                 .filter(line -> line.contains("event=fault "))
-                .forEach(line -> found.add("FAULT", "", line));
-        String report = report(facts, logLines);
+                .forEach(line -> findings.add("FAULT", "", line));
+        String report = report(index, logLines);
         Files.writeString(directory.resolve("report.txt"), report);
-        return found.all().isEmpty() ? "" : report;
+        return findings.all().isEmpty() ? "" : report;
     }
 
-    private void play(SoakFleet fleet) throws InterruptedException {
+    private void run(SoakFleet fleet) throws InterruptedException {
         Balancer balancer = new Balancer(fleet.hosts());
         Callers callers = new Callers(fleet, balancer, history, seed);
         Prober prober = new Prober(fleet, history, seed);
         balancer.start();
-        callers.start(plan.pressers());
+        callers.start(plan.overloadCallers());
         prober.start();
         Thread.sleep(WARM_UP_MILLIS);
-        new FaultPlayer(fleet, history).play(plan.steps());
+        new FaultInjector(fleet, history).inject(plan.steps());
         callers.finish();
         prober.checkRecovery();
         callers.awaitEnd();
@@ -62,7 +62,7 @@
         balancer.stop();
     }
 
-    /** Returns the lines of all hosts' logs, each with its file's name. */
+    /** Returns the lines of all hosts' logs, each prefixed with the file name. */
     private List<String> logLines() throws IOException {
         List<String> lines = new ArrayList<>();
         for (int host = 0; host < SoakFleet.HOSTS; host++) {
@@ -73,46 +73,46 @@
         return lines;
     }
 
-    /** Returns counts of what was played. */
+    /** Returns the summary line with the counts of calls, runs, stops and violations. */
     String summary() {
         List<Call> calls = history.all(Call.class);
-        long whole = calls.stream().filter(Call::succeeded).count();
-        long promises = calls.stream().filter(Call::isPromise).count();
+        long succeeded = calls.stream().filter(Call::succeeded).count();
+        long refused = calls.stream().filter(Call::confirmsNotRun).count();
         long broken = calls.stream().filter(it -> it.end() == Call.End.BROKEN).count();
         return "seed=%d profile=%s calls=%d succeeded=%d refused=%d broken=%d runs=%d stops=%d violations=%s"
                 .formatted(
                         seed,
                         plan.profile(),
                         calls.size(),
-                        whole,
-                        promises,
+                        succeeded,
+                        refused,
                         broken,
                         history.all(Run.class).size(),
                         history.all(History.Stop.class).size(),
-                        found.counts());
+                        findings.counts());
     }
 
-    private String report(Facts facts, List<String> logLines) {
+    private String report(HistoryIndex index, List<String> logLines) {
         StringBuilder report = new StringBuilder(summary()).append('\n');
-        int told = 0;
-        for (Findings.Broken broken : found.all()) {
-            report.append(broken).append('\n');
-            if (told++ < MOST_TOLD) {
-                tell(broken.callId(), facts, logLines, report);
+        int detailed = 0;
+        for (Findings.Violation violation : findings.all()) {
+            report.append(violation).append('\n');
+            if (detailed++ < MAX_DETAILED) {
+                addDetails(violation.callId(), index, logLines, report);
             }
         }
         report.append("faults:\n");
-        history.faults().forEach(it -> report.append("  ").append(it).append('\n'));
+        history.describeFaults().forEach(it -> report.append("  ").append(it).append('\n'));
         return report.toString();
     }
 
-    /** Tells the story of a call, also from the hosts' own logs. */
-    private static void tell(
-            String callId, Facts facts, List<String> logLines, StringBuilder report) {
-        report.append(facts.story(callId));
-        String word = "request=%s ".formatted(callId);
+    /** Adds the timeline of a call and the lines of the hosts' logs that name it. */
+    private static void addDetails(
+            String callId, HistoryIndex index, List<String> logLines, StringBuilder report) {
+        report.append(index.timeline(callId));
+        String marker = "request=%s ".formatted(callId);
         logLines.stream()
-                .filter(line -> line.contains(word))
+                .filter(line -> line.contains(marker))
                 .forEach(line -> report.append(line).append('\n'));
     }
 }
--- a/src/test/java/org/orioleshed/soak/SoakFleet.java
+++ b/src/test/java/org/orioleshed/soak/SoakFleet.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.orioleshed.platform.StoreFake;
 
-/** Hosts in failure domains, back-end servers, the store, and what connects them. */
+/** Hosts in failure domains, backend servers, the store, and the proxies between them. */
 final class SoakFleet implements AutoCloseable {
     static final List<String> ZONES = List.of("z0", "z1", "z2");
     static final int HOSTS = 6;
@@ -22,21 +22,21 @@
     private final Operator operator;
     private final List<SoakHost> hosts = new ArrayList<>();
     private final List<SoakServer> servers = new CopyOnWriteArrayList<>();
-    private final Thread hook = new Thread(this::closeHosts);
-    private final int places;
-    private final List<SoakServer> everStarted = new CopyOnWriteArrayList<>();
+    private final Thread shutdownHook = new Thread(this::closeHosts);
+    private final int slots;
+    private final List<SoakServer> allServers = new CopyOnWriteArrayList<>();
 
-    /** Makes the fleet; nothing is started yet. */
-    SoakFleet(Path directory, int hostCount, int places, History history) throws IOException {
+    /** Creates the fleet without starting its hosts and servers. */
+    SoakFleet(Path directory, int hostCount, int slots, History history) throws IOException {
         this.history = history;
-        this.places = places;
+        this.slots = slots;
         this.operator = new Operator(store, history);
         List<String> ips = HostAddresses.choose(hostCount);
         for (int host = 0; host < hostCount; host++) {
             Files.deleteIfExists(directory.resolve(SoakHost.logName(host)));
-            FaultProxy toStore = new FaultProxy(store.address());
+            FaultProxy storeProxy = new FaultProxy(store.address());
             String zone = ZONES.get(host % ZONES.size());
-            hosts.add(new SoakHost(host, ips, zone, directory, toStore, history));
+            hosts.add(new SoakHost(host, ips, zone, directory, storeProxy, history));
         }
     }
 
@@ -50,7 +50,7 @@
 
     /** Starts everything and waits until all hosts are ready. */
     void start() throws IOException, InterruptedException {
-        Runtime.getRuntime().addShutdownHook(hook);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         store.takeWrites();
         operator.writeNext();
         for (int server = 0; server < SERVERS; server++) {
@@ -62,7 +62,8 @@
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(START_SECONDS);
         while (!hosts.stream().allMatch(Balancer::isReady)) {
             if (System.nanoTime() > endNanos) {
-                throw new IllegalStateException("a host never became ready");
+                throw new IllegalStateException(
+                        "a host did not become ready within %d s".formatted(START_SECONDS));
             }
             Thread.sleep(POLL_MILLIS);
         }
@@ -70,41 +71,43 @@
 
     /** Starts one more server and returns it. */
     synchronized SoakServer addServer() throws IOException {
-        String zone = ZONES.get(everStarted.size() % ZONES.size());
-        SoakServer server = new SoakServer("i-" + everStarted.size(), zone, places, history);
-        everStarted.add(server);
+        String zone = ZONES.get(allServers.size() % ZONES.size());
+        SoakServer server = new SoakServer("i-" + allServers.size(), zone, slots, history);
+        allServers.add(server);
         servers.add(server);
         store.put(server.key(), server.entry());
         return server;
     }
 
-    /** Takes a server out of those that faults choose from, and starts another one. */
+    /**
+     * Removes a server from those that faults select, starts another one, and returns the first.
+     */
     synchronized SoakServer replace(int choice) throws IOException {
         SoakServer server = servers.remove(choice % servers.size());
         addServer();
         return server;
     }
 
-    /** Returns a server that stays. */
+    /** Returns one of the current servers without replacing it. */
     synchronized SoakServer server(int choice) {
         return servers.get(choice % servers.size());
     }
 
-    /** A server says that it is leaving. */
+    /** Writes a server's draining state to the store. */
     void drain(SoakServer server) {
-        server.leaving();
+        server.setDraining();
         store.put(server.key(), server.entry());
         history.add(new History.Drain(server.id(), System.nanoTime()));
     }
 
-    /** The entry of a server that is gone. */
-    void forget(SoakServer server) {
+    /** Deletes a server's entry from the store. */
+    void deregister(SoakServer server) {
         store.delete(server.key());
     }
 
-    /** Waits until no server works any more. */
+    /** Waits until no server has running or waiting requests. */
     void awaitIdle() throws InterruptedException {
-        while (!everStarted.stream().allMatch(SoakServer::isIdle)) {
+        while (!allServers.stream().allMatch(SoakServer::isIdle)) {
             Thread.sleep(POLL_MILLIS);
         }
     }
@@ -114,7 +117,8 @@
             try {
                 host.close();
             } catch (IOException e) {
-                history.problem("close: " + e.getMessage());
+                history.addProblem(
+                        "closing host %d failed: %s".formatted(host.index(), e.getMessage()));
             }
         }
     }
@@ -122,7 +126,7 @@
     @Override
     public void close() throws IOException {
         closeHosts();
-        var unused = Runtime.getRuntime().removeShutdownHook(hook);
+        var unused = Runtime.getRuntime().removeShutdownHook(shutdownHook);
         for (SoakServer server : servers) {
             server.close();
         }
--- a/src/test/java/org/orioleshed/soak/SoakHost.java
+++ b/src/test/java/org/orioleshed/soak/SoakHost.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A host over all of its lives, and the way from it to the store. */
+/** A host with its successive processes, and its proxy to the store. */
 final class SoakHost implements AutoCloseable {
     private final int index;
     private final List<String> ips;
     private final String zone;
     private final Path directory;
-    private final FaultProxy store;
+    private final FaultProxy storeProxy;
     private final History history;
     private int retrySlack = 40;
     private HostProcess process;
-    private volatile int life;
+    private volatile int startCount;
     private volatile boolean up;
     private volatile long signalNanos;
 
@@ -26,13 +26,13 @@
             List<String> ips,
             String zone,
             Path directory,
-            FaultProxy store,
+            FaultProxy storeProxy,
             History history) {
         this.index = index;
         this.ips = ips;
         this.zone = zone;
         this.directory = directory;
-        this.store = store;
+        this.storeProxy = storeProxy;
         this.history = history;
     }
 
@@ -48,36 +48,36 @@
         return zone;
     }
 
-    /** Returns how often it was started; 0 before. */
-    int life() {
-        return life;
+    /** Returns the number of starts so far. */
+    int startCount() {
+        return startCount;
     }
 
-    /** Returns whether it runs and was not told to stop. */
+    /** Returns whether the host runs and no stop was requested. */
     boolean isUp() {
         return up;
     }
 
-    /** Returns when it was told to stop; 0 where it was not. */
+    /** Returns the time when a stop was requested; 0 where none was since the last start. */
     long signalNanos() {
         return signalNanos;
     }
 
-    FaultProxy store() {
-        return store;
+    FaultProxy storeProxy() {
+        return storeProxy;
     }
 
-    InetSocketAddress callers() {
+    InetSocketAddress callerAddress() {
         return new InetSocketAddress(ips.get(index), HostAddresses.CALLERS_PORT);
     }
 
-    InetSocketAddress ready() {
+    InetSocketAddress readyAddress() {
         return new InetSocketAddress(ips.get(index), HostAddresses.READY_PORT);
     }
 
     synchronized void start() throws IOException {
         Path settings = writeSettings();
-        life++;
+        startCount++;
         signalNanos = 0;
         Path log = directory.resolve(logName(index));
         process = new HostProcess(settings, log, history);
@@ -87,52 +87,60 @@
     private Path writeSettings() throws IOException {
         Path settings = directory.resolve("host-%d.json".formatted(index));
         HostSettings.write(
-                settings, ips, ips.get(index), zone, store.address().getPort(), retrySlack);
+                settings, ips, ips.get(index), zone, storeProxy.address().getPort(), retrySlack);
         return settings;
     }
 
-    /** Changes the settings file, and tells the process so where {@code signals}. */
-    synchronized void changeSettings(boolean signals) throws IOException {
+    /** Changes the settings file, and sends a HUP signal where {@code sendsSignal}. */
+    synchronized void changeSettings(boolean sendsSignal) throws IOException {
         retrySlack++;
         writeSettings();
-        if (signals) {
+        if (sendsSignal) {
             process.signal("HUP");
         }
     }
 
-    private synchronized Optional<HostProcess> takeDown() {
+    private synchronized Optional<HostProcess> markDown() {
         Optional<HostProcess> running = Optional.ofNullable(up ? process : null);
         up = false;
         return running;
     }
 
-    /** Stops it as planned, with the hard end after the grace period; false where it was down. */
+    /** Stops the host, and kills it after the grace period; returns false where it was down. */
     boolean stop() throws InterruptedException {
-        Optional<HostProcess> running = takeDown();
+        Optional<HostProcess> running = markDown();
         if (running.isEmpty()) {
             return false;
         }
-        long beforeNanos = System.nanoTime();
+        long beforeSignalNanos = System.nanoTime();
         running.get().terminate();
-        long afterNanos = System.nanoTime();
-        signalNanos = afterNanos;
+        long afterSignalNanos = System.nanoTime();
+        signalNanos = afterSignalNanos;
         long graceMillis = TimeUnit.SECONDS.toMillis(HostSettings.GRACE_SECONDS);
-        running.get().endWithin(graceMillis);
+        running.get().awaitExitOrKill(graceMillis);
         history.add(
-                new History.Stop(index, beforeNanos, afterNanos, System.nanoTime(), graceMillis));
+                new History.Stop(
+                        index,
+                        beforeSignalNanos,
+                        afterSignalNanos,
+                        System.nanoTime(),
+                        graceMillis));
         return true;
     }
 
-    /** Ends it without a word; false where it was down or leaves. */
+    /** Kills the host; returns false where it was down or stopping. */
     boolean kill() throws InterruptedException {
-        Optional<HostProcess> running = takeDown();
+        Optional<HostProcess> running = markDown();
         if (running.isPresent()) {
-            running.get().endWithin(0);
+            running.get().awaitExitOrKill(0);
         }
         return running.isPresent();
     }
 
-    /** Freezes the process and returns it, to be continued; null where it was down or leaves. */
+    /**
+     * Suspends the process and returns it, for the caller to resume; returns null where it was down
+     * or stopping.
+     */
     synchronized HostProcess freeze() {
         if (!up) {
             return null;
@@ -141,25 +149,26 @@
         return process;
     }
 
-    /** Notes a process that ended though nobody ended it. */
+    /** Records a problem where the process exited although no stop or kill was requested. */
     synchronized void checkAlive() {
         if (up && !process.isAlive()) {
             up = false;
-            history.problem("host %d ended by itself in life %d".formatted(index, life));
+            history.addProblem(
+                    "host %d exited unexpectedly in process %d".formatted(index, startCount));
         }
     }
 
-    /** Ends the process, also one that leaves. */
+    /** Kills the process, also one that is stopping. */
     @Override
     public synchronized void close() throws IOException {
         up = false;
         try {
             if (process != null) {
-                process.endWithin(0);
+                process.awaitExitOrKill(0);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        store.close();
+        storeProxy.close();
     }
 }
--- a/src/test/java/org/orioleshed/soak/SoakServer.java
+++ b/src/test/java/org/orioleshed/soak/SoakServer.java
@@ -9,29 +9,29 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.orioleshed.platform.WorkerFake;
 
-/** A back-end server behind a proxy: has so many places, queues a few more, and notes its runs. */
+/** A backend server behind a proxy, with a few slots and a short queue, which records its runs. */
 final class SoakServer implements AutoCloseable {
     private static final int MAX_WAITING = 3;
     private static final String NOT_RUN = "X-Not-Executed: 1\r\n";
 
     private final String id;
     private final String zone;
-    private final int places;
+    private final int slots;
     private final History history;
     private final WorkerFake worker = new WorkerFake();
     private final FaultProxy proxy = new FaultProxy(worker.address());
-    private final Semaphore free;
+    private final Semaphore freeSlots;
     private final AtomicInteger waiting = new AtomicInteger();
-    private volatile boolean leaving;
-    private volatile String limitField = "";
+    private volatile boolean draining;
+    private volatile String limitHeader = "";
 
-    SoakServer(String id, String zone, int places, History history) throws IOException {
+    SoakServer(String id, String zone, int slots, History history) throws IOException {
         this.id = id;
         this.zone = zone;
-        this.places = places;
+        this.slots = slots;
         this.history = history;
-        this.free = new Semaphore(places, true);
-        worker.script(this::play);
+        this.freeSlots = new Semaphore(slots, true);
+        worker.script(this::handle);
     }
 
     String id() {
@@ -46,34 +46,34 @@
         return "servers/" + id;
     }
 
-    void leaving() {
-        leaving = true;
+    void setDraining() {
+        draining = true;
     }
 
-    /** Names a limit in all answers from now on. */
-    void limit(double perSecond) {
-        limitField = "Server-Limit: %.2f\r\n".formatted(perSecond);
+    /** States a limit in all responses from now on. */
+    void setLimit(double perSecond) {
+        limitHeader = "Server-Limit: %.2f\r\n".formatted(perSecond);
     }
 
-    void noLimit() {
-        limitField = "";
+    void clearLimit() {
+        limitHeader = "";
     }
 
     private String head(WorkerFake.Request request, int status, boolean signed) {
-        return WorkerFake.head(request, status, signed) + limitField;
+        return WorkerFake.head(request, status, signed) + limitHeader;
     }
 
     boolean isIdle() {
-        return free.availablePermits() == places && waiting.get() == 0;
+        return freeSlots.availablePermits() == slots && waiting.get() == 0;
     }
 
     String entry() {
         return ("{\"service\":\"pool\",\"address\":\"127.0.0.1:%d\",\"zone\":\"%s\","
                         + "\"version\":\"v1\",\"batch-slots\":%d,\"state\":\"%s\",\"seq\":1}")
-                .formatted(proxy.address().getPort(), zone, places, leaving ? "draining" : "ready");
+                .formatted(proxy.address().getPort(), zone, slots, draining ? "draining" : "ready");
     }
 
-    private boolean play(WorkerFake.Request request, OutputStream out, InputStream in)
+    private boolean handle(WorkerFake.Request request, OutputStream out, InputStream in)
             throws IOException, InterruptedException {
         Map<String, String> headers = request.headers();
         if (!headers.getOrDefault("x-expect-instance", id).equals(id)) {
@@ -82,16 +82,16 @@
         }
         long arrivedNanos = System.nanoTime();
         long deadlineMillis = Long.parseLong(headers.getOrDefault("x-deadline-ms", "0"));
-        boolean taken = takePlace(deadlineMillis);
-        long beganNanos = taken ? System.nanoTime() : 0;
-        Run.End end = taken ? Run.End.CUT : Run.End.REFUSED;
+        boolean acquired = acquireSlot(deadlineMillis);
+        long startedNanos = acquired ? System.nanoTime() : 0;
+        Run.End end = acquired ? Run.End.ABORTED : Run.End.REFUSED;
         try {
-            if (!taken) {
+            if (!acquired) {
                 refuse(request, 503, out);
                 return true;
             }
             long endNanos = arrivedNanos + TimeUnit.MILLISECONDS.toNanos(deadlineMillis);
-            end = work(request, endNanos, out) ? Run.End.COMPLETE : Run.End.DEADLINE;
+            end = execute(request, endNanos, out) ? Run.End.COMPLETE : Run.End.DEADLINE;
             return end == Run.End.COMPLETE;
         } finally {
             history.add(
@@ -99,13 +99,13 @@
                             request.id(),
                             id,
                             arrivedNanos,
-                            beganNanos,
+                            startedNanos,
                             System.nanoTime(),
                             headers.getOrDefault("x-tenant", ""),
                             headers.containsKey("api-key"),
                             end));
-            if (taken) {
-                free.release();
+            if (acquired) {
+                freeSlots.release();
             }
         }
     }
@@ -116,8 +116,8 @@
         out.write(WorkerFake.bytes(head + NOT_RUN + WorkerFake.length("")));
     }
 
-    private boolean takePlace(long millis) throws InterruptedException {
-        if (free.tryAcquire()) {
+    private boolean acquireSlot(long millis) throws InterruptedException {
+        if (freeSlots.tryAcquire()) {
             return true;
         }
         if (waiting.incrementAndGet() > MAX_WAITING) {
@@ -125,30 +125,30 @@
             return false;
         }
         try {
-            return free.tryAcquire(millis, TimeUnit.MILLISECONDS);
+            return freeSlots.tryAcquire(millis, TimeUnit.MILLISECONDS);
         } finally {
             waiting.decrementAndGet();
         }
     }
 
-    /** Works on a request; false where its deadline came before the end. */
-    private boolean work(WorkerFake.Request request, long endNanos, OutputStream out)
+    /** Executes a request; returns false where its deadline passed before the end. */
+    private boolean execute(WorkerFake.Request request, long endNanos, OutputStream out)
             throws IOException, InterruptedException {
-        Work work = Work.read(request.line());
+        Work work = Work.parse(request.line());
         String path = work.path();
         boolean streams =
                 path.startsWith(CallKind.RESUMABLE.prefix())
                         || path.startsWith(CallKind.STREAM.prefix());
         return streams
                 ? stream(request, work, endNanos, out)
-                : answer(request, work, endNanos, out);
+                : respond(request, work, endNanos, out);
     }
 
     private boolean stream(WorkerFake.Request request, Work work, long endNanos, OutputStream out)
             throws IOException, InterruptedException {
-        int done = Integer.parseInt(request.headers().getOrDefault("last-event-id", "0"));
+        int lastSent = Integer.parseInt(request.headers().getOrDefault("last-event-id", "0"));
         out.write(WorkerFake.bytes(head(request, 200, true) + WorkerFake.STREAM));
-        for (int part = done + 1; part <= work.parts(); part++) {
+        for (int part = lastSent + 1; part <= work.parts(); part++) {
             Thread.sleep(work.pauseMillis());
             if (System.nanoTime() > endNanos) {
                 return false;
@@ -159,9 +159,9 @@
         return true;
     }
 
-    private boolean answer(WorkerFake.Request request, Work work, long endNanos, OutputStream out)
+    private boolean respond(WorkerFake.Request request, Work work, long endNanos, OutputStream out)
             throws IOException, InterruptedException {
-        Thread.sleep(work.millis());
+        Thread.sleep(work.totalMillis());
         String body = work.body(request.id(), false);
         int status = System.nanoTime() > endNanos ? 504 : 200;
         String text = status == 200 ? body : "";
--- a/src/test/java/org/orioleshed/soak/Work.java
+++ b/src/test/java/org/orioleshed/soak/Work.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * What a call asks of its server, as its path tells it; what is answered follows from it and from
- * the call's id alone.
+ * The work that a call requests from its server, encoded in its path. The response depends only on
+ * the work and the call's id.
  *
- * @param path the path, which ends with the three numbers
- * @param parts the events of a stream, or the lines of a plain answer
+ * @param path the path, which ends with the other two numbers
+ * @param parts the number of events of a stream, or of lines of another response
  * @param pauseMillis the time that the server takes for each part
  */
 record Work(String path, int parts, long pauseMillis) {
-    /** Returns the work of a call under a route's prefix. */
+    /** Returns work with a path under a route's prefix. */
     static Work of(String prefix, int parts, long pauseMillis) {
         return new Work("%s%d/%d".formatted(prefix, parts, pauseMillis), parts, pauseMillis);
     }
 
-    /** Reads the work from a request's first line. */
-    static Work read(String line) {
+    /** Reads the work from a request line. */
+    static Work parse(String line) {
         String path = line.split(" ", -1)[1];
-        List<String> words = Splitter.on('/').splitToList(path);
-        int last = words.size() - 1;
+        List<String> segments = Splitter.on('/').splitToList(path);
+        int last = segments.size() - 1;
         return new Work(
-                path, Integer.parseInt(words.get(last - 1)), Long.parseLong(words.get(last)));
+                path, Integer.parseInt(segments.get(last - 1)), Long.parseLong(segments.get(last)));
     }
 
-    long millis() {
+    long totalMillis() {
         return parts * pauseMillis;
     }
 
@@ -34,7 +34,7 @@
         return "id: %d\ndata: %s-%d\n\n".formatted(number, id, number);
     }
 
-    /** Returns the whole body that a caller must get. */
+    /** Returns the complete body that the caller must receive. */
     String body(String id, boolean streams) {
         StringBuilder body = new StringBuilder();
         for (int part = 1; part <= parts; part++) {
