--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -40,28 +40,31 @@
 import org.orioleshed.settings.SettingsTree;
 import org.orioleshed.store.Store;
 
-/** Joins the machines of the control duty; used by its thread alone. */
+/**
+ * Connects the state machines for membership, settings and rollouts to peers and store. Confined to
+ * the control thread.
+ */
 final class ControlCore {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long MOVES_NANOS = 100 * NANOS_PER_MILLI;
-    private static final long STATUS_NANOS = 1_000 * NANOS_PER_MILLI;
+    private static final long ROLLOUT_TICK_NANOS = 100 * NANOS_PER_MILLI;
+    private static final long STATUS_TIMEOUT_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    private final EntrySettings own;
+    private final EntrySettings ownSettings;
     private final PeerPort peers;
     private final Consumer<FleetSnapshot> snapshots;
     private final InstantSource wallClock;
     private final Membership membership;
-    private final SettingsPropagation spread;
-    private final PlatformLists lists = new PlatformLists();
-    private final Map<FollowedKey, FollowedStore> followed = new LinkedHashMap<>();
+    private final SettingsPropagation propagation;
+    private final PlatformLists platformLists = new PlatformLists();
+    private final Map<FollowedKey, FollowedStore> followedStores = new LinkedHashMap<>();
     private final Proposals proposals;
     private final RolloutDriver rollouts;
     private final long incarnation;
     private final MembershipCodec membershipCodec = new MembershipCodec();
     private final SettingsCodec settingsCodec = new SettingsCodec();
-    private final Map<Long, StatusRound> rounds = new HashMap<>();
-    private long lastTicket;
+    private final Map<Long, StatusCollector> statusCollectors = new HashMap<>();
+    private long lastStatusTicket;
     private SettingsTree tree;
     private long revision;
     private long settingsStoreRevision;
@@ -71,41 +74,41 @@
     private long nowNanos;
 
     ControlCore(
-            EntrySettings own,
+            EntrySettings ownSettings,
             long incarnation,
             Store store,
             PeerPort peers,
             Consumer<FleetSnapshot> snapshots,
             InstantSource wallClock,
-            Consumer<ControlEvent> ring,
+            Consumer<ControlEvent> eventSink,
             ServerOrders orders,
             RandomGenerator random) {
-        this.own = own;
+        this.ownSettings = ownSettings;
         this.peers = peers;
         this.snapshots = snapshots;
         this.wallClock = wallClock;
         Member self =
                 new Member(
-                        own.host(),
-                        own.domain(),
-                        own.peerAddress(),
+                        ownSettings.host(),
+                        ownSettings.domain(),
+                        ownSettings.peerAddress(),
                         incarnation,
                         0,
                         false,
                         Member.Health.ALIVE);
         this.membership = new Membership(self, MembershipOptions.DEFAULT, random);
-        this.spread = new SettingsPropagation(random);
-        this.proposals = new Proposals(store, ring, this::accepted);
+        this.propagation = new SettingsPropagation(random);
+        this.proposals = new Proposals(store, eventSink, this::onAccepted);
         this.incarnation = incarnation;
-        this.rollouts = new RolloutDriver(store, peers, orders, ring);
+        this.rollouts = new RolloutDriver(store, peers, orders, eventSink);
         for (FollowedKey key : FollowedKey.values()) {
-            followed.put(key, new FollowedStore(key, store, ring, random));
+            followedStores.put(key, new FollowedStore(key, store, eventSink, random));
         }
     }
 
     void start(long now) {
         nowNanos = now;
-        seed();
+        updateSeeds();
         viewChanged();
         tick(now);
     }
@@ -114,25 +117,25 @@
         nowNanos = now;
         onMembership(new MembershipEvent.Tick());
         onSettings(new SettingsEvent.Tick());
-        for (FollowedStore each : followed.values()) {
+        for (FollowedStore each : followedStores.values()) {
             each.on(now, new StoreFollower.Event.Tick());
         }
         proposals.tick(now);
         if (now >= nextRolloutsNanos) {
-            nextRolloutsNanos = now + MOVES_NANOS;
+            nextRolloutsNanos = now + ROLLOUT_TICK_NANOS;
             rollouts.tick(now, wallClock.millis());
         }
-        finishRounds();
+        finishStatusCollectors();
     }
 
     void on(long now, ControlEvent event) {
         nowNanos = now;
         switch (event) {
-            case ControlEvent.PeerMessage message -> receive(message);
-            case ControlEvent.ReadAnswered read -> takeRead(read.key(), read.result());
-            case ControlEvent.WatchTold told -> takeWatch(told);
-            case ControlEvent.WatchBroke broke ->
-                    followed.get(broke.key()).broke(now, broke.watch());
+            case ControlEvent.PeerMessage message -> onPeerMessage(message);
+            case ControlEvent.ReadAnswered read -> onReadAnswered(read.key(), read.result());
+            case ControlEvent.WatchChanged changed -> onWatchChanged(changed);
+            case ControlEvent.WatchClosed closed ->
+                    followedStores.get(closed.key()).watchClosed(now, closed.watch());
             case ControlEvent.ProposalAnswered answered ->
                     proposals.on(
                             now,
@@ -145,31 +148,32 @@
                             revision,
                             wallClock.millis(),
                             proposed.answer());
-            case ControlEvent.StatusWanted wanted -> startRound(wanted.answer());
-            case ControlEvent.DocumentWanted wanted -> wanted.answer().complete(spread.document());
-            case ControlEvent.RolloutHappened happened -> rollouts.on(now, happened.event());
-            case ControlEvent.RolloutWanted wanted ->
-                    rollouts.start(now, wanted.wish(), wanted.answer());
+            case ControlEvent.StatusRequested requested -> collectStatus(requested.answer());
+            case ControlEvent.DocumentRequested requested ->
+                    requested.answer().complete(propagation.document());
+            case ControlEvent.RolloutEventReceived received -> rollouts.on(now, received.event());
+            case ControlEvent.RolloutWriteRequested requested ->
+                    rollouts.start(now, requested.command(), requested.answer());
             case ControlEvent.RolloutWriteAnswered answered ->
                     rollouts.onWrite(
                             now,
                             answered.write(),
                             new RolloutWrite.Event.Answered(answered.result()));
-            case ControlEvent.RolloutsWanted wanted ->
-                    wanted.answer().complete(rollouts.status(now));
-            case ControlEvent.NoticesWanted wanted ->
+            case ControlEvent.RolloutStatusRequested requested ->
+                    requested.answer().complete(rollouts.status(now));
+            case ControlEvent.NoticesRequested requested ->
                     rollouts.await(
-                            wanted.after(),
-                            now + wanted.waitMillis() * NANOS_PER_MILLI,
-                            wanted.answer());
-            case ControlEvent.DrainRequested asked ->
+                            requested.after(),
+                            now + requested.waitMillis() * NANOS_PER_MILLI,
+                            requested.answer());
+            case ControlEvent.DrainRequested requested ->
                     onMembership(new MembershipEvent.LeaveRequested());
         }
     }
 
-    /** Hands the fleet snapshot on if anything in it changed. */
+    /** Publishes a new fleet snapshot if anything in it changed. */
     void publish() {
-        fleetChanged |= rollouts.takeSplitChanged();
+        fleetChanged |= rollouts.pollSplitChanged();
         if (!fleetChanged) {
             return;
         }
@@ -199,13 +203,17 @@
     }
 
     void close() {
-        followed.values().forEach(FollowedStore::close);
+        followedStores.values().forEach(FollowedStore::close);
         proposals.close();
         rollouts.close();
-        rounds.values().forEach(round -> round.finish(Long.MAX_VALUE, spread.status(nowNanos)));
+        statusCollectors
+                .values()
+                .forEach(
+                        collector ->
+                                collector.finish(Long.MAX_VALUE, propagation.status(nowNanos)));
     }
 
-    private void receive(ControlEvent.PeerMessage message) {
+    private void onPeerMessage(ControlEvent.PeerMessage message) {
         try {
             byte[] body = message.body().toBytes();
             switch (message.kind()) {
@@ -252,17 +260,19 @@
         hosts = view;
         fleetChanged = true;
         List<HostId> others = new ArrayList<>(view.keySet());
-        others.remove(own.host());
+        others.remove(ownSettings.host());
         onSettings(new SettingsEvent.PeersChanged(others));
-        boolean watches = StoreWatchers.includes(own.host(), own.domain(), view.values());
-        StoreFollower.Mode mode = watches ? StoreFollower.Mode.FOLLOW : StoreFollower.Mode.ONCE;
-        for (FollowedStore each : followed.values()) {
+        boolean watchesStore =
+                StoreWatchers.includes(ownSettings.host(), ownSettings.domain(), view.values());
+        StoreFollower.Mode mode =
+                watchesStore ? StoreFollower.Mode.FOLLOW : StoreFollower.Mode.ONCE;
+        for (FollowedStore each : followedStores.values()) {
             each.on(nowNanos, new StoreFollower.Event.ModeChanged(mode));
         }
     }
 
     private void onSettings(SettingsEvent event) {
-        for (SettingsAction action : spread.on(nowNanos, event)) {
+        for (SettingsAction action : propagation.on(nowNanos, event)) {
             switch (action) {
                 case SettingsAction.Send send ->
                         peers.send(
@@ -272,61 +282,63 @@
                 case SettingsAction.Adopt adopt -> adopt(adopt);
                 case SettingsAction.Alarm alarm ->
                         logger.atSevere().log("event=settings_refused reason=%s", alarm.detail());
-                case SettingsAction.StatusReceived told -> {
-                    StatusRound round = rounds.get(told.ticket());
-                    if (round != null) {
-                        round.tell(told.from(), told.status());
+                case SettingsAction.StatusReceived received -> {
+                    StatusCollector collector = statusCollectors.get(received.ticket());
+                    if (collector != null) {
+                        collector.record(received.from(), received.status());
                     }
                 }
             }
         }
     }
 
-    private void adopt(SettingsAction.Adopt adopted) {
-        tree = adopted.tree();
+    private void adopt(SettingsAction.Adopt adoption) {
+        tree = adoption.tree();
         rollouts.begin(this::rolloutCore);
-        revision = adopted.number();
+        revision = adoption.number();
         fleetChanged = true;
         logger.atInfo().log(
                 "event=settings_in_force revision=%d change=%s unconfirmed=%s",
-                adopted.number(), adopted.changeId(), spread.status(nowNanos).unconfirmed());
+                adoption.number(), adoption.changeId(), propagation.status(nowNanos).unconfirmed());
     }
 
     private RolloutCore rolloutCore() {
-        RolloutLimits limits = RolloutLimitsFrom.settings(tree.limits());
-        return new RolloutCore(own.host(), own.domain(), incarnation, limits);
+        RolloutLimits limits = RolloutLimitsMapper.toRolloutLimits(tree.limits());
+        return new RolloutCore(ownSettings.host(), ownSettings.domain(), incarnation, limits);
     }
 
-    private void accepted(ProposalResult.Accepted accepted) {
-        if (accepted.value().size() > 0) {
-            onSettings(new SettingsEvent.StoreValueReceived(Optional.of(accepted.value())));
+    private void onAccepted(ProposalResult.Accepted result) {
+        if (result.value().size() > 0) {
+            onSettings(new SettingsEvent.StoreValueReceived(Optional.of(result.value())));
             return;
         }
-        followed.get(FollowedKey.SETTINGS).on(nowNanos, new StoreFollower.Event.ReadWanted());
+        followedStores
+                .get(FollowedKey.SETTINGS)
+                .on(nowNanos, new StoreFollower.Event.RefreshRequested());
     }
 
-    private void takeRead(FollowedKey key, Store.Result result) {
+    private void onReadAnswered(FollowedKey key, Store.Result result) {
         if (result instanceof Store.Result.Entries entries) {
             switch (key) {
-                case SETTINGS -> takeSettings(entries);
+                case SETTINGS -> onSettingsRead(entries);
                 case PLATFORM -> {
-                    lists.takeAll(entries).forEach(this::onMembership);
-                    seed();
+                    platformLists.replaceAll(entries).forEach(this::onMembership);
+                    updateSeeds();
                 }
             }
         } else if (key == FollowedKey.SETTINGS) {
             onSettings(new SettingsEvent.StoreUnavailable());
         }
-        followed.get(key).on(nowNanos, new StoreFollower.Event.ReadAnswered(result));
+        followedStores.get(key).on(nowNanos, new StoreFollower.Event.ReadAnswered(result));
     }
 
-    private void takeSettings(Store.Result.Entries entries) {
+    private void onSettingsRead(Store.Result.Entries entries) {
         Optional<Store.Entry> entry = entries.entries().stream().findFirst();
-        boolean same =
+        boolean unchanged =
                 settingsStoreRevision > 0
                         && entries.storeRevision() >= settingsStoreRevision
                         && (entry.isEmpty() || entry.get().revision() == settingsStoreRevision);
-        if (same) {
+        if (unchanged) {
             onSettings(new SettingsEvent.StoreValueUnchanged());
             return;
         }
@@ -334,48 +346,54 @@
         onSettings(new SettingsEvent.StoreValueReceived(entry.map(Store.Entry::value)));
     }
 
-    private void takeWatch(ControlEvent.WatchTold told) {
-        if (!followed.get(told.key()).isOpen(told.watch())) {
+    private void onWatchChanged(ControlEvent.WatchChanged change) {
+        if (!followedStores.get(change.key()).isOpen(change.watch())) {
             return;
         }
-        switch (told.key()) {
+        switch (change.key()) {
             case SETTINGS -> {
-                settingsStoreRevision = told.value().isPresent() ? told.revision() : 0;
-                onSettings(new SettingsEvent.StoreValueReceived(told.value()));
+                settingsStoreRevision = change.value().isPresent() ? change.revision() : 0;
+                onSettings(new SettingsEvent.StoreValueReceived(change.value()));
             }
             case PLATFORM -> {
-                lists.take(told.storeKey(), told.value(), told.revision())
+                platformLists
+                        .update(change.storeKey(), change.value(), change.revision())
                         .forEach(this::onMembership);
-                seed();
+                updateSeeds();
             }
         }
     }
 
-    private void seed() {
+    private void updateSeeds() {
         Map<HostId, MembershipEvent.Seed> seeds = new LinkedHashMap<>();
-        for (PeerSeed peer : own.peers()) {
+        for (PeerSeed peer : ownSettings.peers()) {
             seeds.put(peer.id(), new MembershipEvent.Seed(peer.id(), peer.peerAddress()));
         }
-        for (MembershipEvent.Seed listed : lists.seeds()) {
+        for (MembershipEvent.Seed listed : platformLists.seeds()) {
             seeds.put(listed.id(), listed);
         }
-        seeds.remove(own.host());
+        seeds.remove(ownSettings.host());
         onMembership(new MembershipEvent.Seeded(List.copyOf(seeds.values())));
     }
 
-    private void startRound(CompletableFuture<ControlStatus> answer) {
-        long ticket = ++lastTicket;
-        List<EntryHost> asked = List.copyOf(hosts.values());
-        rounds.put(ticket, new StatusRound(own.host(), asked, nowNanos + STATUS_NANOS, answer));
-        byte[] question = settingsCodec.encode(new SettingsMessage.StatusRequest(ticket));
-        for (EntryHost host : asked) {
-            if (!host.id().equals(own.host())) {
-                peers.send(host.id(), MessageKind.SETTINGS, question);
+    private void collectStatus(CompletableFuture<ControlStatus> answer) {
+        long ticket = ++lastStatusTicket;
+        List<EntryHost> queried = List.copyOf(hosts.values());
+        statusCollectors.put(
+                ticket,
+                new StatusCollector(
+                        ownSettings.host(), queried, nowNanos + STATUS_TIMEOUT_NANOS, answer));
+        byte[] query = settingsCodec.encode(new SettingsMessage.StatusRequest(ticket));
+        for (EntryHost host : queried) {
+            if (!host.id().equals(ownSettings.host())) {
+                peers.send(host.id(), MessageKind.SETTINGS, query);
             }
         }
     }
 
-    private void finishRounds() {
-        rounds.values().removeIf(round -> round.finish(nowNanos, spread.status(nowNanos)));
+    private void finishStatusCollectors() {
+        statusCollectors
+                .values()
+                .removeIf(collector -> collector.finish(nowNanos, propagation.status(nowNanos)));
     }
 }
--- a/src/main/java/org/orioleshed/control/ControlDuty.java
+++ b/src/main/java/org/orioleshed/control/ControlDuty.java
@@ -33,21 +33,22 @@
 import org.orioleshed.store.Store;
 
 /**
- * The control duty of one entry host: one thread that keeps membership, settings, the platform's
- * lists and rollouts, and hands on a new {@link FleetSnapshot} whenever one of them changes. Serves
- * with the store away. All methods may be called from any thread and none blocks, but for {@link
- * #close}.
+ * The control duty of one entry host: a single thread that maintains membership, settings, the
+ * platform's lists and rollouts, and publishes a new {@link FleetSnapshot} whenever one of them
+ * changes. Keeps working while the store is unavailable. All methods are thread-safe; none blocks
+ * except {@link #close}.
  */
 public final class ControlDuty implements AutoCloseable {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RING_SIZE = 8_192;
-    private static final int STORE_RING_SIZE = 4_096;
-    private static final int BATCH = 256;
+    private static final int QUEUE_CAPACITY = 8_192;
+    private static final int STORE_QUEUE_CAPACITY = 4_096;
+    private static final int MAX_BATCH_EVENTS = 256;
     private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final long CLOSE_MILLIS = 2_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 2_000;
 
-    private final MpscArrayQueue<ControlEvent> ring = new MpscArrayQueue<>(RING_SIZE);
-    private final MpscArrayQueue<ControlEvent> storeRing = new MpscArrayQueue<>(STORE_RING_SIZE);
+    private final MpscArrayQueue<ControlEvent> events = new MpscArrayQueue<>(QUEUE_CAPACITY);
+    private final MpscArrayQueue<ControlEvent> storeEvents =
+            new MpscArrayQueue<>(STORE_QUEUE_CAPACITY);
     private final LongAdder dropped = new LongAdder();
     private final AtomicInteger waiting = new AtomicInteger();
     private final LongSupplier nanoClock;
@@ -57,17 +58,17 @@
     private volatile boolean stopping;
 
     /**
-     * Makes the duty; {@link #start} sets it going.
+     * Creates the duty without starting its thread; see {@link #start}.
      *
-     * @param settings the host's own file
-     * @param incarnation grows with each start of this host
-     * @param store the platform's key-value service; not closed by the duty
-     * @param peers sends to other entry hosts; told of their addresses
-     * @param orders gives orders to backend servers
-     * @param snapshots called on the duty's thread with each new fleet snapshot; must not block
+     * @param settings the host's own settings file
+     * @param incarnation the host's incarnation, which increases with each start
+     * @param store the platform's key-value service; not closed by this class
+     * @param peers sends messages to other entry hosts; receives their addresses
+     * @param orders sends orders to backend servers
+     * @param snapshots called on the control thread with each new fleet snapshot; must not block
      * @param nanoClock the monotonic clock, in nanoseconds
-     * @param wallClock the wall clock, for the time of changes
-     * @param random spreads load and chooses peers
+     * @param wallClock the wall clock, for the timestamps of changes
+     * @param random adds jitter to the timing of store calls and selects peers
      */
     public ControlDuty(
             EntrySettings settings,
@@ -89,7 +90,7 @@
                         peers,
                         snapshots,
                         wallClock,
-                        this::offerStore,
+                        this::offerStoreEvent,
                         orders,
                         random);
         this.thread = Thread.ofPlatform().name("control").daemon().unstarted(this::run);
@@ -101,23 +102,23 @@
     }
 
     /**
-     * Takes a message from a peer. Dropped, and counted, when the duty is far behind: peers repeat
-     * what matters.
+     * Queues a message from a peer. A message that finds the queue full is dropped and counted,
+     * since peers repeat messages that must arrive.
      */
     public void peerReceived(HostId from, MessageKind kind, byte[] body) {
         offer(new ControlEvent.PeerMessage(from, kind, Payload.of(body)));
     }
 
-    /** Says that this host is about to stop: its peers take it out of their choices. */
+    /** Announces that this host is about to stop, so that its peers no longer choose it. */
     public void drain() {
         if (!offer(new ControlEvent.DrainRequested())) {
-            offerStore(new ControlEvent.DrainRequested());
+            offerStoreEvent(new ControlEvent.DrainRequested());
         }
     }
 
     /**
-     * Proposes a change of the settings. The future never fails; when the duty is far behind it is
-     * {@link ProposalResult.Refused}.
+     * Proposes a change of the settings. The future never completes exceptionally; it completes
+     * with {@link ProposalResult.Refused} if the queue is full.
      */
     public CompletableFuture<ProposalResult> propose(ProposedChange change) {
         CompletableFuture<ProposalResult> answer = new CompletableFuture<>();
@@ -128,108 +129,109 @@
     }
 
     /**
-     * Asks every host of the view which revision it has in force; done within about a second. Fails
-     * with {@link IllegalStateException} when the duty is far behind.
+     * Queries every host of the membership view for the revision in force there; completes within
+     * about a second. Fails with {@link IllegalStateException} if the queue is full.
      */
     public CompletableFuture<ControlStatus> status() {
         CompletableFuture<ControlStatus> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.StatusWanted(answer), answer);
+        return offerOrFail(new ControlEvent.StatusRequested(answer), answer);
     }
 
-    /** Returns the settings' document in force; empty when there is none yet. */
+    /** Returns the settings document in force; empty if there is none yet. */
     public CompletableFuture<Optional<SettingsDocument>> document() {
         CompletableFuture<Optional<SettingsDocument>> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.DocumentWanted(answer), answer);
+        return offerOrFail(new ControlEvent.DocumentRequested(answer), answer);
     }
 
     /**
-     * Tells of a run that this host accepted and that ended on a backend server, as evidence for
-     * rollouts. Dropped, and counted, when the duty is far behind.
+     * Reports the result of a run on a backend server, for a request that this host accepted, as
+     * evidence for rollouts. Dropped and counted if the queue is full.
      */
     public void observed(RouteId route, VersionId version, ServerId server, RunResult result) {
         offer(
-                new ControlEvent.RolloutHappened(
+                new ControlEvent.RolloutEventReceived(
                         new RolloutEvent.Observed(route, version, server, result)));
     }
 
     /** Records a new rollout. */
     public CompletableFuture<RolloutWriteResult> planRollout(RolloutRecord planned) {
         CompletableFuture<RolloutWriteResult> answer = new CompletableFuture<>();
-        return ask(
-                new ControlEvent.RolloutWanted(new RolloutWrite.Wish.Plan(planned), answer),
+        return offerOrFail(
+                new ControlEvent.RolloutWriteRequested(
+                        new RolloutWrite.Command.Plan(planned), answer),
                 answer);
     }
 
-    /** Takes a rollout back that has no outcome yet. */
+    /** Rolls back a rollout that has no outcome yet. */
     public CompletableFuture<RolloutWriteResult> rollBack(
             RolloutId rollout, String author, String reason) {
         CompletableFuture<RolloutWriteResult> answer = new CompletableFuture<>();
-        RolloutWrite.Wish wish =
-                new RolloutWrite.Wish.RollBack(rollout, author, reason, wallClock.millis());
-        return ask(new ControlEvent.RolloutWanted(wish, answer), answer);
+        RolloutWrite.Command command =
+                new RolloutWrite.Command.RollBack(rollout, author, reason, wallClock.millis());
+        return offerOrFail(new ControlEvent.RolloutWriteRequested(command, answer), answer);
     }
 
-    /** Returns how this host sees each rollout. */
+    /** Returns the status of each rollout, as seen by this host. */
     public CompletableFuture<List<RolloutStatus>> rollouts() {
         CompletableFuture<List<RolloutStatus>> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.RolloutsWanted(answer), answer);
+        return offerOrFail(new ControlEvent.RolloutStatusRequested(answer), answer);
     }
 
     /**
-     * Returns the notices of rollouts after a sequence number, once there are any or the time is
-     * over.
+     * Returns the rollout notices after a sequence number, as soon as there are any; an empty list
+     * after {@code waitMillis}.
      *
-     * @param after the sequence number of the last notice seen; zero for none
+     * @param after the sequence number of the last notice received; zero for none
      * @param waitMillis how long to wait, in milliseconds
      */
     public CompletableFuture<List<RolloutNotice>> notices(long after, long waitMillis) {
         CompletableFuture<List<RolloutNotice>> answer = new CompletableFuture<>();
-        return ask(new ControlEvent.NoticesWanted(after, waitMillis, answer), answer);
+        return offerOrFail(new ControlEvent.NoticesRequested(after, waitMillis, answer), answer);
     }
 
-    private <T> CompletableFuture<T> ask(ControlEvent event, CompletableFuture<T> answer) {
+    private <T> CompletableFuture<T> offerOrFail(ControlEvent event, CompletableFuture<T> answer) {
         if (!offer(event)) {
             answer.completeExceptionally(new IllegalStateException("this host is overloaded"));
         }
         return answer;
     }
 
-    /** Returns how many messages of peers were dropped because the ring was full. */
+    /** Returns the number of events dropped because a queue was full or the duty was stopping. */
     public long droppedMessages() {
         return dropped.sum();
     }
 
-    /** Stops the thread; open questions are answered. */
+    /** Stops the thread and completes pending requests; waits at most two seconds. */
     @Override
     public void close() {
         stopping = true;
         LockSupport.unpark(thread);
         try {
-            thread.join(CLOSE_MILLIS);
+            thread.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     private boolean offer(ControlEvent event) {
-        if (stopping || !ring.offer(event)) {
+        if (stopping || !events.offer(event)) {
             dropped.increment();
             return false;
         }
-        wake();
+        unparkIfWaiting();
         return true;
     }
 
-    /** Takes the store's answers, whose number the duty itself bounds, and the words of watches. */
-    private void offerStore(ControlEvent event) {
-        if (!storeRing.offer(event)) {
-            logger.atSevere().log("event=control_ring_full");
+    /** Queues answers of the store, whose number the duty itself bounds, and events of watches. */
+    private void offerStoreEvent(ControlEvent event) {
+        if (!storeEvents.offer(event)) {
+            logger.atSevere().log("event=control_queue_full");
             dropped.increment();
         }
-        wake();
+        unparkIfWaiting();
     }
 
-    private void wake() {
+    private void unparkIfWaiting() {
         if (waiting.get() != 0) {
             LockSupport.unpark(thread);
         }
@@ -240,42 +242,42 @@
         core.publish();
         long nextTickNanos = nanoClock.getAsLong() + TICK_NANOS;
         while (!stopping) {
-            boolean busy = drainRings();
+            boolean busy = drainQueues();
             long now = nanoClock.getAsLong();
             if (now >= nextTickNanos) {
-                guarded(() -> core.tick(nanoClock.getAsLong()));
+                runGuarded(() -> core.tick(nanoClock.getAsLong()));
                 nextTickNanos = now + TICK_NANOS;
             }
-            guarded(core::publish);
+            runGuarded(core::publish);
             if (!busy) {
                 await(nextTickNanos - now);
             }
         }
-        while (drainRings()) {
-            // What was taken in before the stop needs its answer, too.
+        while (drainQueues()) {
+            // Events queued before the stop are answered, too.
         }
         core.close();
     }
 
-    private boolean drainRings() {
+    private boolean drainQueues() {
         boolean busy = false;
-        for (int i = 0; i < BATCH; i++) {
-            ControlEvent event = storeRing.poll();
+        for (int i = 0; i < MAX_BATCH_EVENTS; i++) {
+            ControlEvent event = storeEvents.poll();
             if (event == null) {
-                event = ring.poll();
+                event = events.poll();
             }
             if (event == null) {
                 return busy;
             }
             busy = true;
-            ControlEvent taken = event;
-            guarded(() -> core.on(nanoClock.getAsLong(), taken));
+            ControlEvent polled = event;
+            runGuarded(() -> core.on(nanoClock.getAsLong(), polled));
         }
         return busy;
     }
 
-    /** A fault in one event must not end the thread that all others need. */
-    private static void guarded(Runnable step) {
+    /** Logs a runtime exception, so that one faulty event does not end the thread. */
+    private static void runGuarded(Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -285,7 +287,7 @@
 
     private void await(long nanos) {
         waiting.set(1);
-        if (ring.isEmpty() && storeRing.isEmpty() && !stopping) {
+        if (events.isEmpty() && storeEvents.isEmpty() && !stopping) {
             LockSupport.parkNanos(this, Math.max(1, nanos));
         }
         waiting.set(0);
--- a/src/main/java/org/orioleshed/control/ControlEvent.java
+++ b/src/main/java/org/orioleshed/control/ControlEvent.java
@@ -13,57 +13,60 @@
 import org.orioleshed.settings.SettingsDocument;
 import org.orioleshed.store.Store;
 
-/** What reaches the control thread through its ring. */
+/** An event for the control thread. */
 sealed interface ControlEvent {
     /** A message from a peer. */
     record PeerMessage(HostId from, MessageKind kind, Payload body) implements ControlEvent {}
 
-    /** The store answered a follower's read. */
+    /** The store answered a read of a followed key. */
     record ReadAnswered(FollowedKey key, Store.Result result) implements ControlEvent {}
 
-    /** A follower's watch told a change. */
-    record WatchTold(
+    /** A watch reported a change. */
+    record WatchChanged(
             FollowedKey key, long watch, String storeKey, Optional<Payload> value, long revision)
             implements ControlEvent {}
 
-    /** A follower's watch broke off. */
-    record WatchBroke(FollowedKey key, long watch) implements ControlEvent {}
+    /** A watch ended unexpectedly. */
+    record WatchClosed(FollowedKey key, long watch) implements ControlEvent {}
 
     /** The store answered a proposal. */
     record ProposalAnswered(long proposal, Store.Result result) implements ControlEvent {}
 
-    /** An operator proposes a change. */
+    /** An operator proposed a change of the settings. */
     record ChangeProposed(ProposedChange change, CompletableFuture<ProposalResult> answer)
             implements ControlEvent {}
 
-    /** Someone wants to know how the fleet stands. */
-    record StatusWanted(CompletableFuture<ControlStatus> answer) implements ControlEvent {}
+    /** The settings status of the fleet was requested. */
+    record StatusRequested(CompletableFuture<ControlStatus> answer) implements ControlEvent {}
 
-    /** Something happened to moves. */
-    record RolloutHappened(RolloutEvent event) implements ControlEvent {}
+    /** An event for the rollout state machine. */
+    record RolloutEventReceived(RolloutEvent event) implements ControlEvent {}
 
-    /** An operator wants something of a rollout. */
-    record RolloutWanted(RolloutWrite.Wish wish, CompletableFuture<RolloutWriteResult> answer)
+    /** An operator requested a write to a rollout record. */
+    record RolloutWriteRequested(
+            RolloutWrite.Command command, CompletableFuture<RolloutWriteResult> answer)
             implements ControlEvent {}
 
-    /** The store answered an operator's wish about a rollout. */
+    /** The store answered a call of a rollout write. */
     record RolloutWriteAnswered(long write, Store.Result result) implements ControlEvent {}
 
-    /** Someone wants to know how moves stand. */
-    record RolloutsWanted(CompletableFuture<List<RolloutStatus>> answer) implements ControlEvent {}
+    /** The status of all rollouts was requested. */
+    record RolloutStatusRequested(CompletableFuture<List<RolloutStatus>> answer)
+            implements ControlEvent {}
 
-    /** Someone waits for notices of rollouts. */
-    record NoticesWanted(long after, long waitMillis, CompletableFuture<List<RolloutNotice>> answer)
+    /** Rollout notices after a sequence number were requested. */
+    record NoticesRequested(
+            long after, long waitMillis, CompletableFuture<List<RolloutNotice>> answer)
             implements ControlEvent {}
 
-    /** Someone wants the settings' document in force. */
-    record DocumentWanted(CompletableFuture<Optional<SettingsDocument>> answer)
+    /** The settings document in force was requested. */
+    record DocumentRequested(CompletableFuture<Optional<SettingsDocument>> answer)
             implements ControlEvent {}
 
-    /** This host is about to stop. */
+    /** The host was asked to stop. */
     record DrainRequested() implements ControlEvent {}
 
-    /** The parts of the store that the control duty follows. */
+    /** A key or prefix of the store that the control duty follows. */
     enum FollowedKey {
         /** The settings tree. */
         SETTINGS("orioleshed/settings/tree", 1_500),
--- a/src/main/java/org/orioleshed/control/ControlStatus.java
+++ b/src/main/java/org/orioleshed/control/ControlStatus.java
@@ -8,11 +8,11 @@
 import org.orioleshed.settings.SettingsStatus;
 
 /**
- * How the fleet stands with the settings, seen from one host.
+ * The settings status of every host, as collected by one host.
  *
- * @param self the host that asked
- * @param own how it stands itself
- * @param hosts every host of its view, itself included
+ * @param self the host that collected the status
+ * @param own its own status
+ * @param hosts the status of every host of its membership view, itself included
  */
 public record ControlStatus(HostId self, SettingsStatus own, List<HostStatus> hosts) {
     /** Copies the list. */
@@ -21,20 +21,20 @@
     }
 
     /**
-     * How one host stands.
+     * The settings status of one host.
      *
      * @param host the host
-     * @param settings its word; empty when it did not answer
+     * @param settings its status; empty if it did not answer
      */
     public record HostStatus(EntryHost host, Optional<SettingsStatus> settings) {}
 
-    /** Returns the hosts that did not say that this host's revision is in force there. */
+    /** Returns the hosts that did not report this host's revision, or a later one, as in force. */
     public List<HostId> missing() {
         List<HostId> missing = new ArrayList<>();
         for (HostStatus status : hosts) {
-            boolean same =
-                    status.settings().filter(told -> told.number() >= own.number()).isPresent();
-            if (!same) {
+            boolean inForce =
+                    status.settings().filter(other -> other.number() >= own.number()).isPresent();
+            if (!inForce) {
                 missing.add(status.host().id());
             }
         }
--- a/src/main/java/org/orioleshed/control/FollowedStore.java
+++ b/src/main/java/org/orioleshed/control/FollowedStore.java
@@ -7,22 +7,25 @@
 import org.orioleshed.model.Payload;
 import org.orioleshed.store.Store;
 
-/** Carries out what one {@link StoreFollower} decides. */
+/** Executes the actions of one {@link StoreFollower}. */
 final class FollowedStore {
-    private static final long TIMEOUT_MILLIS = 2_000;
+    private static final long READ_TIMEOUT_MILLIS = 2_000;
 
     private final FollowedKey key;
     private final Store store;
-    private final Consumer<ControlEvent> ring;
+    private final Consumer<ControlEvent> eventSink;
     private final StoreFollower follower;
-    private Store.Watch open;
-    private long watch;
+    private Store.Watch openWatch;
+    private long watchId;
 
     FollowedStore(
-            FollowedKey key, Store store, Consumer<ControlEvent> ring, RandomGenerator random) {
+            FollowedKey key,
+            Store store,
+            Consumer<ControlEvent> eventSink,
+            RandomGenerator random) {
         this.key = key;
         this.store = store;
-        this.ring = ring;
+        this.eventSink = eventSink;
         this.follower = new StoreFollower(key.pollMillis(), random);
     }
 
@@ -30,45 +33,46 @@
         for (StoreFollower.Action action : follower.on(nowNanos, event)) {
             switch (action) {
                 case StoreFollower.Action.Read read -> read(read);
-                case StoreFollower.Action.Watch from -> watch(from.fromRevision());
-                case StoreFollower.Action.Unwatch end -> close();
+                case StoreFollower.Action.Watch watch -> watch(watch.fromRevision());
+                case StoreFollower.Action.CloseWatch close -> close();
             }
         }
     }
 
-    /** Returns whether a word of a watch comes from the one that is open. */
-    boolean isOpen(long told) {
-        return open != null && told == watch;
+    /** Returns whether {@code id} names the open watch; events of earlier watches are stale. */
+    boolean isOpen(long id) {
+        return openWatch != null && id == watchId;
     }
 
-    void broke(long nowNanos, long broken) {
-        if (broken == watch) {
-            open = null;
-            on(nowNanos, new StoreFollower.Event.Broke());
+    void watchClosed(long nowNanos, long id) {
+        if (id == watchId) {
+            openWatch = null;
+            on(nowNanos, new StoreFollower.Event.WatchClosed());
         }
     }
 
     void close() {
-        watch++;
-        if (open != null) {
-            open.close();
-            open = null;
+        watchId++;
+        if (openWatch != null) {
+            openWatch.close();
+            openWatch = null;
         }
     }
 
     private void read(StoreFollower.Action.Read read) {
-        boolean prefix = key == FollowedKey.PLATFORM;
-        var asked =
-                prefix
-                        ? store.list(key.key(), TIMEOUT_MILLIS)
-                        : store.getNewer(key.key(), read.afterRevision(), TIMEOUT_MILLIS);
+        boolean isPrefix = key == FollowedKey.PLATFORM;
+        var call =
+                isPrefix
+                        ? store.list(key.key(), READ_TIMEOUT_MILLIS)
+                        : store.getNewer(key.key(), read.afterRevision(), READ_TIMEOUT_MILLIS);
         var unused =
-                asked.thenAccept(result -> ring.accept(new ControlEvent.ReadAnswered(key, result)));
+                call.thenAccept(
+                        result -> eventSink.accept(new ControlEvent.ReadAnswered(key, result)));
     }
 
     private void watch(long fromRevision) {
-        long mine = ++watch;
-        open =
+        long id = ++watchId;
+        openWatch =
                 store.watch(
                         key.key(),
                         fromRevision,
@@ -76,14 +80,14 @@
                             @Override
                             public void onChange(
                                     String changed, Optional<Payload> value, long revision) {
-                                ring.accept(
-                                        new ControlEvent.WatchTold(
-                                                key, mine, changed, value, revision));
+                                eventSink.accept(
+                                        new ControlEvent.WatchChanged(
+                                                key, id, changed, value, revision));
                             }
 
                             @Override
                             public void onBreak(String detail) {
-                                ring.accept(new ControlEvent.WatchBroke(key, mine));
+                                eventSink.accept(new ControlEvent.WatchClosed(key, id));
                             }
                         });
     }
--- a/src/main/java/org/orioleshed/control/HttpServerOrders.java
+++ b/src/main/java/org/orioleshed/control/HttpServerOrders.java
@@ -16,7 +16,7 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.rollout.ServerOrder;
 
-/** Gives orders over HTTP. Orders are idempotent, so a lost answer needs no care here. */
+/** Sends orders over HTTP. Orders are idempotent, so a lost answer needs no handling here. */
 public final class HttpServerOrders implements ServerOrders {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -25,7 +25,7 @@
     private final HttpClient client;
 
     /**
-     * Makes one.
+     * Creates the sender of orders.
      *
      * @param client an HTTP/1.1 client that follows no redirects
      */
@@ -57,8 +57,8 @@
     private CompletableFuture<Optional<String>> send(HttpRequest request) {
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
                 .handle(
-                        (response, problem) ->
-                                problem == null && response.statusCode() == HTTP_OK
+                        (response, error) ->
+                                error == null && response.statusCode() == HTTP_OK
                                         ? Optional.of(response.body())
                                         : Optional.empty());
     }
--- a/src/main/java/org/orioleshed/control/PlatformLists.java
+++ b/src/main/java/org/orioleshed/control/PlatformLists.java
@@ -18,9 +18,9 @@
 import org.orioleshed.settings.HostPorts;
 import org.orioleshed.store.Store;
 
-/** Reads the platform's lists of live and leaving hosts and servers. */
+/** The platform's lists of live and leaving hosts and servers. */
 final class PlatformLists {
-    /** The prefix of both lists. */
+    /** The key prefix of both lists. */
     static final String PREFIX = "platform/";
 
     private static final String HOSTS = PREFIX + "hosts/";
@@ -30,22 +30,22 @@
     private final Map<String, InetSocketAddress> addressByHost = new LinkedHashMap<>();
     private final Set<String> keys = new HashSet<>();
 
-    /** Takes both lists whole; returns what changed. */
-    List<MembershipEvent> takeAll(Store.Result.Entries entries) {
+    /** Replaces the content of both lists; returns the resulting membership events. */
+    List<MembershipEvent> replaceAll(Store.Result.Entries entries) {
         List<MembershipEvent> events = new ArrayList<>();
-        Set<String> gone = new HashSet<>(keys);
+        Set<String> removed = new HashSet<>(keys);
         for (Store.Entry entry : entries.entries()) {
-            gone.remove(entry.key());
-            events.addAll(take(entry.key(), Optional.of(entry.value()), entry.revision()));
+            removed.remove(entry.key());
+            events.addAll(update(entry.key(), Optional.of(entry.value()), entry.revision()));
         }
-        for (String key : gone) {
-            events.addAll(take(key, Optional.empty(), entries.storeRevision()));
+        for (String key : removed) {
+            events.addAll(update(key, Optional.empty(), entries.storeRevision()));
         }
         return events;
     }
 
-    /** Takes one entry; an empty value means that it was deleted. */
-    List<MembershipEvent> take(String key, Optional<Payload> value, long revision) {
+    /** Updates one entry; an empty value means that the key was deleted. */
+    List<MembershipEvent> update(String key, Optional<Payload> value, long revision) {
         boolean host = key.startsWith(HOSTS);
         String id = key.substring(host ? HOSTS.length() : Math.min(key.length(), SERVERS.length()));
         if (id.isBlank() || !(host || key.startsWith(SERVERS))) {
@@ -59,14 +59,14 @@
         JsonNode entry = value.map(PlatformLists::parse).orElse(null);
         boolean leaving = entry == null || entry.path("state").asText().equals("leaving");
         if (host) {
-            takeAddress(id, entry);
+            updateAddress(id, entry);
         }
         PlatformMark.Kind kind = host ? PlatformMark.Kind.HOST : PlatformMark.Kind.SERVER;
         PlatformMark mark = new PlatformMark(kind, id, leaving, revision);
         return List.of(new MembershipEvent.Marked(mark));
     }
 
-    /** Returns the entry hosts of the list. */
+    /** Returns the listed entry hosts with their peer addresses. */
     List<MembershipEvent.Seed> seeds() {
         List<MembershipEvent.Seed> seeds = new ArrayList<>();
         addressByHost.forEach(
@@ -74,7 +74,7 @@
         return seeds;
     }
 
-    private void takeAddress(String id, JsonNode entry) {
+    private void updateAddress(String id, JsonNode entry) {
         if (entry == null) {
             addressByHost.remove(id);
             return;
--- a/src/main/java/org/orioleshed/control/Proposals.java
+++ b/src/main/java/org/orioleshed/control/Proposals.java
@@ -14,27 +14,27 @@
 import org.orioleshed.settings.ProposedChange;
 import org.orioleshed.store.Store;
 
-/** Carries out the proposals under way. */
+/** Executes the actions of all pending proposals. */
 final class Proposals {
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long DEADLINE_NANOS = 10_000 * NANOS_PER_MILLI;
+    private static final long PROPOSAL_TIMEOUT_NANOS = 10_000 * NANOS_PER_MILLI;
     private static final long CALL_TIMEOUT_MILLIS = 2_000;
     private static final int MAX_OPEN = 16;
 
     private record Open(Proposal proposal, CompletableFuture<ProposalResult> answer) {}
 
     private final Store store;
-    private final Consumer<ControlEvent> ring;
+    private final Consumer<ControlEvent> eventSink;
     private final Consumer<ProposalResult.Accepted> onAccepted;
     private final Map<Long, Open> open = new HashMap<>();
-    private long last;
+    private long lastNumber;
 
     Proposals(
             Store store,
-            Consumer<ControlEvent> ring,
+            Consumer<ControlEvent> eventSink,
             Consumer<ProposalResult.Accepted> onAccepted) {
         this.store = store;
-        this.ring = ring;
+        this.eventSink = eventSink;
         this.onAccepted = onAccepted;
     }
 
@@ -49,9 +49,9 @@
             return;
         }
         Proposal proposal =
-                new Proposal(change, inForceNumber, atMillis, nowNanos + DEADLINE_NANOS);
-        open.put(++last, new Open(proposal, answer));
-        on(nowNanos, last, new ProposalEvent.Tick());
+                new Proposal(change, inForceNumber, atMillis, nowNanos + PROPOSAL_TIMEOUT_NANOS);
+        open.put(++lastNumber, new Open(proposal, answer));
+        on(nowNanos, lastNumber, new ProposalEvent.Tick());
     }
 
     void tick(long nowNanos) {
@@ -63,16 +63,17 @@
     }
 
     void on(long nowNanos, long number, ProposalEvent event) {
-        Open found = open.get(number);
-        if (found == null) {
+        Open pending = open.get(number);
+        if (pending == null) {
             return;
         }
-        for (ProposalAction action : found.proposal().on(nowNanos, event)) {
+        for (ProposalAction action : pending.proposal().on(nowNanos, event)) {
             switch (action) {
                 case ProposalAction.ReadStore read ->
-                        ask(number, store.get(FollowedKey.SETTINGS.key(), CALL_TIMEOUT_MILLIS));
+                        forwardAnswer(
+                                number, store.get(FollowedKey.SETTINGS.key(), CALL_TIMEOUT_MILLIS));
                 case ProposalAction.CompareAndSwap swap ->
-                        ask(
+                        forwardAnswer(
                                 number,
                                 store.swap(
                                         FollowedKey.SETTINGS.key(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Answers all that is open; a change may still be written. */
+    /** Completes all pending proposals as in doubt, since their changes may still be written. */
     void close() {
         for (Open each : open.values()) {
             each.answer().complete(new ProposalResult.InDoubt("the host is stopping"));
@@ -101,9 +102,11 @@
         settled.answer().complete(result);
     }
 
-    private void ask(long number, CompletableFuture<Store.Result> call) {
+    private void forwardAnswer(long number, CompletableFuture<Store.Result> call) {
         var unused =
                 call.thenAccept(
-                        result -> ring.accept(new ControlEvent.ProposalAnswered(number, result)));
+                        result ->
+                                eventSink.accept(
+                                        new ControlEvent.ProposalAnswered(number, result)));
     }
 }
--- a/src/main/java/org/orioleshed/control/RolloutDriver.java
+++ b/src/main/java/org/orioleshed/control/RolloutDriver.java
@@ -28,20 +28,21 @@
 import org.orioleshed.store.Store;
 
 /**
- * Carries out what {@link RolloutCore} and operators want of rollouts; used by one thread alone.
+ * Executes the actions of {@link RolloutCore} and the rollout writes of operators. Confined to one
+ * thread.
  */
 final class RolloutDriver {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final long STORE_TIMEOUT_MILLIS = 1_000;
-    private static final long WRITE_NANOS = 10_000_000_000L;
+    private static final long WRITE_TIMEOUT_NANOS = 10_000_000_000L;
     private static final int MAX_WRITES = 16;
 
-    private record Write(RolloutWrite machine, CompletableFuture<RolloutWriteResult> answer) {}
+    private record Write(RolloutWrite stateMachine, CompletableFuture<RolloutWriteResult> answer) {}
 
     private final Store store;
     private final PeerPort peers;
     private final ServerOrders orders;
-    private final Consumer<ControlEvent> ring;
+    private final Consumer<ControlEvent> eventSink;
     private final RolloutCodec codec = new RolloutCodec();
     private final RolloutNotices notices = new RolloutNotices();
     private final Map<Long, Write> writes = new HashMap<>();
@@ -52,27 +53,28 @@
     private RolloutAction.SplitChanged split =
             new RolloutAction.SplitChanged(Map.of(), Map.of(), Set.of());
 
-    RolloutDriver(Store store, PeerPort peers, ServerOrders orders, Consumer<ControlEvent> ring) {
+    RolloutDriver(
+            Store store, PeerPort peers, ServerOrders orders, Consumer<ControlEvent> eventSink) {
         this.store = store;
         this.peers = peers;
         this.orders = orders;
-        this.ring = ring;
+        this.eventSink = eventSink;
     }
 
-    /** Sets moves going, once their limits are known; later calls change nothing. */
-    void begin(Supplier<RolloutCore> maker) {
+    /** Creates the rollout core once its limits are available; later calls have no effect. */
+    void begin(Supplier<RolloutCore> factory) {
         if (core == null) {
-            core = maker.get();
+            core = factory.get();
         }
     }
 
-    /** Returns how traffic divides now. */
+    /** Returns the traffic split in force. */
     RolloutAction.SplitChanged split() {
         return split;
     }
 
-    /** Returns whether the division changed since the last time this was asked. */
-    boolean takeSplitChanged() {
+    /** Returns whether the traffic split changed since the previous call. */
+    boolean pollSplitChanged() {
         boolean changed = splitChanged;
         splitChanged = false;
         return changed;
@@ -103,14 +105,17 @@
     }
 
     void start(
-            long nowNanos, RolloutWrite.Wish wish, CompletableFuture<RolloutWriteResult> answer) {
+            long nowNanos,
+            RolloutWrite.Command command,
+            CompletableFuture<RolloutWriteResult> answer) {
         if (writes.size() >= MAX_WRITES) {
             answer.complete(
-                    new RolloutWriteResult.StoreAway("too many writes at once on this host"));
+                    new RolloutWriteResult.StoreUnavailable(
+                            "too many writes at once on this host"));
             return;
         }
-        RolloutWrite machine = new RolloutWrite(wish, nowNanos + WRITE_NANOS);
-        writes.put(++lastWrite, new Write(machine, answer));
+        RolloutWrite stateMachine = new RolloutWrite(command, nowNanos + WRITE_TIMEOUT_NANOS);
+        writes.put(++lastWrite, new Write(stateMachine, answer));
         onWrite(nowNanos, lastWrite, new RolloutWrite.Event.Tick());
     }
 
@@ -119,13 +124,13 @@
         if (write == null) {
             return;
         }
-        String key = RolloutRecord.key(write.machine().rollout());
-        for (RolloutWrite.Action action : write.machine().on(nowNanos, event)) {
+        String key = RolloutRecord.key(write.stateMachine().rollout());
+        for (RolloutWrite.Action action : write.stateMachine().on(nowNanos, event)) {
             switch (action) {
                 case RolloutWrite.Action.Read read ->
-                        answerWrite(number, store.get(key, STORE_TIMEOUT_MILLIS));
+                        forwardWriteAnswer(number, store.get(key, STORE_TIMEOUT_MILLIS));
                 case RolloutWrite.Action.Swap swap ->
-                        answerWrite(
+                        forwardWriteAnswer(
                                 number,
                                 store.swap(
                                         key,
@@ -153,8 +158,8 @@
         for (RolloutAction action : core.on(nowNanos, event)) {
             switch (action) {
                 case RolloutAction.SwapRecord swap -> swap(swap);
-                case RolloutAction.ReadRecord read -> read(read.rollout());
-                case RolloutAction.ListRecords list -> list();
+                case RolloutAction.ReadRecord read -> readRecord(read.rollout());
+                case RolloutAction.ListRecords list -> listRecords();
                 case RolloutAction.GrantLease grant ->
                         lease(
                                 grant.ticket(),
@@ -167,14 +172,14 @@
                     split = changed;
                     splitChanged = true;
                 }
-                case RolloutAction.Notice notice -> tell(notice);
+                case RolloutAction.Notice notice -> publishNotice(notice);
                 case RolloutAction.Order order -> order(order);
                 case RolloutAction.ReadState state -> readState(state.server());
             }
         }
     }
 
-    private void tell(RolloutAction.Notice notice) {
+    private void publishNotice(RolloutAction.Notice notice) {
         notices.add(notice);
         logger.atInfo().log(
                 "event=move_notice move=%s kind=%s detail=%s",
@@ -193,25 +198,26 @@
         write.answer().complete(settled.result());
     }
 
-    private void answerWrite(long number, CompletableFuture<Store.Result> call) {
+    private void forwardWriteAnswer(long number, CompletableFuture<Store.Result> call) {
         var unused =
                 call.thenAccept(
                         result ->
-                                ring.accept(new ControlEvent.RolloutWriteAnswered(number, result)));
+                                eventSink.accept(
+                                        new ControlEvent.RolloutWriteAnswered(number, result)));
     }
 
-    private void answer(CompletableFuture<? extends RolloutEvent> call) {
+    private void forwardEvent(CompletableFuture<? extends RolloutEvent> call) {
         var unused =
                 call.thenAccept(
                         event -> {
                             if (event != null) {
-                                ring.accept(new ControlEvent.RolloutHappened(event));
+                                eventSink.accept(new ControlEvent.RolloutEventReceived(event));
                             }
                         });
     }
 
     private void swap(RolloutAction.SwapRecord swap) {
-        answer(
+        forwardEvent(
                 store.swap(
                                 swap.key(),
                                 swap.expectedRevision(),
@@ -236,26 +242,32 @@
                     new RolloutEvent.SwapAnswer.Unavailable(unavailable.detail());
             case Store.Result.Unknown unknown ->
                     new RolloutEvent.SwapAnswer.Unknown(unknown.detail());
-            case Store.Result.Entries entries -> new RolloutEvent.SwapAnswer.Unknown("entries");
-            case Store.Result.Lease lease -> new RolloutEvent.SwapAnswer.Unknown("a lease");
+            case Store.Result.Entries entries ->
+                    new RolloutEvent.SwapAnswer.Unknown(
+                            "unexpected answer to a compare-and-swap: entries");
+            case Store.Result.Lease lease ->
+                    new RolloutEvent.SwapAnswer.Unknown(
+                            "unexpected answer to a compare-and-swap: lease");
         };
     }
 
     private void lease(long ticket, CompletableFuture<Store.Result> call) {
-        answer(call.thenApply(result -> new RolloutEvent.LeaseResult(ticket, leaseAnswer(result))));
+        forwardEvent(
+                call.thenApply(
+                        result -> new RolloutEvent.LeaseResult(ticket, leaseAnswer(result))));
     }
 
     private static RolloutEvent.LeaseAnswer leaseAnswer(Store.Result result) {
         if (result instanceof Store.Result.Lease lease) {
             return lease.ttlMillis() > 0
                     ? new RolloutEvent.LeaseAnswer.Held(lease.leaseId(), lease.ttlMillis())
-                    : new RolloutEvent.LeaseAnswer.Lost("the lease ran out");
+                    : new RolloutEvent.LeaseAnswer.Lost("the lease expired");
         }
         return new RolloutEvent.LeaseAnswer.Unavailable(result.toString());
     }
 
-    private void read(RolloutId rollout) {
-        answer(
+    private void readRecord(RolloutId rollout) {
+        forwardEvent(
                 store.get(RolloutRecord.key(rollout), STORE_TIMEOUT_MILLIS)
                         .thenApply(result -> recordRead(rollout, result)));
     }
@@ -271,8 +283,8 @@
                 entry.map(Store.Entry::revision).orElse(0L));
     }
 
-    private void list() {
-        answer(
+    private void listRecords() {
+        forwardEvent(
                 store.list(RolloutRecord.KEY_PREFIX, STORE_TIMEOUT_MILLIS)
                         .thenApply(RolloutDriver::recordsListed));
     }
@@ -298,12 +310,12 @@
         if (server == null) {
             return;
         }
-        answer(
+        forwardEvent(
                 orders.order(server, order.order(), order.fence())
                         .thenApply(
-                                taken ->
+                                accepted ->
                                         new RolloutEvent.OrderAnswered(
-                                                order.server(), order.fence(), taken)));
+                                                order.server(), order.fence(), accepted)));
     }
 
     private void readState(ServerId id) {
@@ -311,7 +323,7 @@
         if (server == null) {
             return;
         }
-        answer(
+        forwardEvent(
                 orders.version(server)
                         .thenApply(version -> new RolloutEvent.StateRead(id, version)));
     }
--- a/src/main/java/org/orioleshed/control/RolloutNotice.java
+++ b/src/main/java/org/orioleshed/control/RolloutNotice.java
@@ -4,13 +4,13 @@
 import org.orioleshed.rollout.RolloutAction;
 
 /**
- * What operators are told of a rollout.
+ * A notice to operators about a rollout.
  *
- * @param sequence grows by one with each notice of this host's incarnation, from one
+ * @param sequence the notice's number within this host's incarnation, from one
  * @param rollout the rollout
  * @param kind what happened
- * @param epochMillis when, in milliseconds since 1970
- * @param detail a sentence
+ * @param epochMillis when it happened, in milliseconds since 1970
+ * @param detail a description for operators
  */
 public record RolloutNotice(
         long sequence,
--- a/src/main/java/org/orioleshed/control/RolloutNotices.java
+++ b/src/main/java/org/orioleshed/control/RolloutNotices.java
@@ -7,35 +7,38 @@
 import java.util.concurrent.CompletableFuture;
 import org.orioleshed.rollout.RolloutAction;
 
-/** The latest notices of rollouts, and those who wait for the next. */
+/** The latest rollout notices, and the pending requests for new ones. */
 final class RolloutNotices {
-    private static final int KEPT = 500;
+    private static final int MAX_NOTICES = 500;
     private static final int MAX_WAITERS = 64;
 
     private record Waiter(
             long after, long deadlineNanos, CompletableFuture<List<RolloutNotice>> answer) {}
 
-    private final ArrayDeque<RolloutNotice> kept = new ArrayDeque<>();
+    private final ArrayDeque<RolloutNotice> notices = new ArrayDeque<>();
     private final List<Waiter> waiters = new ArrayList<>();
-    private long last;
+    private long lastSequence;
 
     void add(RolloutAction.Notice notice) {
-        kept.addLast(
+        notices.addLast(
                 new RolloutNotice(
-                        ++last,
+                        ++lastSequence,
                         notice.rollout(),
                         notice.kind(),
                         notice.epochMillis(),
                         notice.detail()));
-        if (kept.size() > KEPT) {
-            kept.removeFirst();
+        if (notices.size() > MAX_NOTICES) {
+            notices.removeFirst();
         }
     }
 
-    /** Answers with the notices after a sequence number, at the latest at the deadline. */
+    /**
+     * Completes {@code answer} with the notices after a sequence number once there are any, and at
+     * the deadline at the latest.
+     */
     void await(long after, long deadlineNanos, CompletableFuture<List<RolloutNotice>> answer) {
         if (waiters.size() >= MAX_WAITERS) {
-            answer.complete(after(after));
+            answer.complete(noticesAfter(after));
             return;
         }
         waiters.add(new Waiter(after, deadlineNanos, answer));
@@ -45,15 +48,15 @@
         Iterator<Waiter> each = waiters.iterator();
         while (each.hasNext()) {
             Waiter waiter = each.next();
-            List<RolloutNotice> news = after(waiter.after());
-            if (!news.isEmpty() || nowNanos >= waiter.deadlineNanos()) {
+            List<RolloutNotice> newNotices = noticesAfter(waiter.after());
+            if (!newNotices.isEmpty() || nowNanos >= waiter.deadlineNanos()) {
                 each.remove();
-                waiter.answer().complete(news);
+                waiter.answer().complete(newNotices);
             }
         }
     }
 
-    private List<RolloutNotice> after(long sequence) {
-        return kept.stream().filter(notice -> notice.sequence() > sequence).toList();
+    private List<RolloutNotice> noticesAfter(long sequence) {
+        return notices.stream().filter(notice -> notice.sequence() > sequence).toList();
     }
 }
--- a/src/main/java/org/orioleshed/control/RolloutWrite.java
+++ b/src/main/java/org/orioleshed/control/RolloutWrite.java
@@ -10,37 +10,38 @@
 import org.orioleshed.store.Store;
 
 /**
- * Brings an operator's wish about one rollout into the store; a lost answer is settled by reading.
+ * Writes an operator's command about one rollout to the store. If the answer to a write is lost,
+ * reads the record to find out whether it took effect.
  */
 final class RolloutWrite implements StateMachine<RolloutWrite.Event, RolloutWrite.Action> {
-    /** What an operator wants. */
-    sealed interface Wish {
-        /** Returns the rollout. */
+    /** A command of an operator. */
+    sealed interface Command {
+        /** Returns the rollout that the command is about. */
         RolloutId rollout();
 
-        /** A new rollout. */
-        record Plan(RolloutRecord record) implements Wish {
+        /** Record a new rollout. */
+        record Plan(RolloutRecord record) implements Command {
             @Override
             public RolloutId rollout() {
                 return record.id();
             }
         }
 
-        /** Take a rollout back that has no outcome. */
+        /** Roll back a rollout that has no outcome. */
         record RollBack(RolloutId rollout, String author, String reason, long atMillis)
-                implements Wish {}
+                implements Command {}
     }
 
-    /** What can happen. */
+    /** An event of the state machine. */
     sealed interface Event {
-        /** Time passed, or the write starts. */
+        /** Time passed, or the write started. */
         record Tick() implements Event {}
 
         /** The store answered the last action. */
         record Answered(Store.Result result) implements Event {}
     }
 
-    /** What to do. */
+    /** An action of the state machine. */
     sealed interface Action {
         /** Read the record. */
         record Read() implements Action {}
@@ -48,128 +49,128 @@
         /** Replace the record if it is still at {@code expectedRevision}. */
         record Swap(long expectedRevision, RolloutRecord record) implements Action {}
 
-        /** The last action; the revision is zero when it is not known. */
+        /** Report the result, the last action; {@code revision} is zero if unknown. */
         record Settled(RolloutWriteResult result, long revision) implements Action {}
     }
 
     private static final long RETRY_NANOS = 100_000_000;
 
-    private final Wish wish;
+    private final Command command;
     private final long deadlineNanos;
-    private boolean waiting;
-    private boolean mayBeWritten;
-    private RolloutRecord wanted;
+    private boolean awaitingAnswer;
+    private boolean writeInDoubt;
+    private RolloutRecord attemptedRecord;
     private long retryNanos;
 
-    RolloutWrite(Wish wish, long deadlineNanos) {
-        this.wish = wish;
+    RolloutWrite(Command command, long deadlineNanos) {
+        this.command = command;
         this.deadlineNanos = deadlineNanos;
     }
 
     RolloutId rollout() {
-        return wish.rollout();
+        return command.rollout();
     }
 
     @Override
     public List<Action> on(long nowNanos, Event event) {
         return switch (event) {
             case Event.Tick tick -> tick(nowNanos);
-            case Event.Answered answered -> take(nowNanos, answered.result());
+            case Event.Answered answered -> onAnswer(nowNanos, answered.result());
         };
     }
 
     private List<Action> tick(long nowNanos) {
-        if (waiting || nowNanos < retryNanos) {
+        if (awaitingAnswer || nowNanos < retryNanos) {
             return List.of();
         }
         if (nowNanos >= deadlineNanos) {
-            return giveUp("no answer in time");
+            return fail("the store did not answer before the deadline");
         }
-        waiting = true;
+        awaitingAnswer = true;
         return List.of(new Action.Read());
     }
 
-    private List<Action> take(long nowNanos, Store.Result result) {
+    private List<Action> onAnswer(long nowNanos, Store.Result result) {
         return switch (result) {
-            case Store.Result.Entries entries -> judge(entries.entries().stream().findFirst());
-            case Store.Result.Conflict conflict -> judge(conflict.present());
+            case Store.Result.Entries entries -> decide(entries.entries().stream().findFirst());
+            case Store.Result.Conflict conflict -> decide(conflict.present());
             case Store.Result.Swapped swapped ->
-                    settle(new RolloutWriteResult.Written(wanted), swapped.revision());
-            case Store.Result.Unavailable unavailable when !mayBeWritten ->
-                    giveUp(unavailable.detail());
+                    settle(new RolloutWriteResult.Written(attemptedRecord), swapped.revision());
+            case Store.Result.Unavailable unavailable when !writeInDoubt ->
+                    fail(unavailable.detail());
             default -> {
-                mayBeWritten |= wanted != null;
-                waiting = false;
+                writeInDoubt |= attemptedRecord != null;
+                awaitingAnswer = false;
                 retryNanos = nowNanos + RETRY_NANOS;
                 yield List.of();
             }
         };
     }
 
-    private List<Action> judge(Optional<Store.Entry> entry) {
+    private List<Action> decide(Optional<Store.Entry> entry) {
         try {
-            return switch (wish) {
-                case Wish.Plan plan -> judgePlan(plan.record(), entry);
-                case Wish.RollBack back -> judgeRollBack(back, entry);
+            return switch (command) {
+                case Command.Plan plan -> decidePlan(plan.record(), entry);
+                case Command.RollBack rollBack -> decideRollBack(rollBack, entry);
             };
         } catch (BadRecordException e) {
             return settle(new RolloutWriteResult.Unreadable(String.valueOf(e.getMessage())), 0);
         }
     }
 
-    private List<Action> judgePlan(RolloutRecord planned, Optional<Store.Entry> entry)
+    private List<Action> decidePlan(RolloutRecord planned, Optional<Store.Entry> entry)
             throws BadRecordException {
         if (entry.isEmpty()) {
             return swap(0, planned);
         }
         RolloutRecord present = RolloutRecord.parse(entry.get().value());
-        boolean own =
+        boolean ownWrite =
                 present.plannedMillis() == planned.plannedMillis()
                         && present.author().equals(planned.author())
                         && present.completeByMillis() == planned.completeByMillis();
-        return own && mayBeWritten
+        return ownWrite && writeInDoubt
                 ? settle(new RolloutWriteResult.Written(present), entry.get().revision())
                 : settle(new RolloutWriteResult.Exists(present), entry.get().revision());
     }
 
-    private List<Action> judgeRollBack(Wish.RollBack back, Optional<Store.Entry> entry)
+    private List<Action> decideRollBack(Command.RollBack rollBack, Optional<Store.Entry> entry)
             throws BadRecordException {
         if (entry.isEmpty()) {
-            return settle(new RolloutWriteResult.NotFound(back.rollout()), 0);
+            return settle(new RolloutWriteResult.NotFound(rollBack.rollout()), 0);
         }
         RolloutRecord present = RolloutRecord.parse(entry.get().value());
         if (!present.state().isOutcome()) {
-            RolloutRecord taken =
+            RolloutRecord rolledBack =
                     present.decided(
                             RolloutState.TAKEN_BACK,
-                            back.atMillis(),
+                            rollBack.atMillis(),
                             present.fence(),
-                            back.author(),
-                            back.reason());
-            return swap(entry.get().revision(), taken);
+                            rollBack.author(),
+                            rollBack.reason());
+            return swap(entry.get().revision(), rolledBack);
         }
-        boolean own = mayBeWritten && present.equals(wanted);
-        return own
+        boolean ownWrite = writeInDoubt && present.equals(attemptedRecord);
+        return ownWrite
                 ? settle(new RolloutWriteResult.Written(present), entry.get().revision())
                 : settle(new RolloutWriteResult.Decided(present), entry.get().revision());
     }
 
     private List<Action> swap(long expectedRevision, RolloutRecord record) {
-        wanted = record;
-        waiting = true;
+        attemptedRecord = record;
+        awaitingAnswer = true;
         return List.of(new Action.Swap(expectedRevision, record));
     }
 
-    private List<Action> giveUp(String detail) {
+    private List<Action> fail(String detail) {
         return settle(
-                mayBeWritten
+                writeInDoubt
                         ? new RolloutWriteResult.InDoubt(detail)
-                        : new RolloutWriteResult.StoreAway(detail),
+                        : new RolloutWriteResult.StoreUnavailable(detail),
                 0);
     }
 
     private List<Action> settle(RolloutWriteResult result, long revision) {
-        waiting = true;
+        awaitingAnswer = true;
         return List.of(new Action.Settled(result, revision));
     }
 }
--- a/src/main/java/org/orioleshed/control/ServerOrders.java
+++ b/src/main/java/org/orioleshed/control/ServerOrders.java
@@ -6,16 +6,16 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.rollout.ServerOrder;
 
-/** A port to backend servers that take orders. Futures never fail. */
+/** Sends orders to backend servers. Futures never complete exceptionally. */
 public interface ServerOrders {
     /**
-     * Gives an order.
+     * Sends an order.
      *
-     * @param fence the fencing number of whoever gives it
-     * @return whether the server took it; false also when that can't be told
+     * @param fence the sender's fencing number
+     * @return whether the server accepted the order; also false if unknown
      */
     CompletableFuture<Boolean> order(BackendServer server, ServerOrder order, long fence);
 
-    /** Reads which version a server runs; empty when it can't be told. */
+    /** Reads the version that a server runs; empty if unknown. */
     CompletableFuture<Optional<VersionId>> version(BackendServer server);
 }
--- a/src/main/java/org/orioleshed/control/StatusRound.java
+++ b/src/main/java/org/orioleshed/control/StatusCollector.java
@@ -10,15 +10,15 @@
 import org.orioleshed.model.HostId;
 import org.orioleshed.settings.SettingsStatus;
 
-/** One question to all hosts, and the answers so far. */
-final class StatusRound {
+/** Collects the answers of all hosts to one status query. */
+final class StatusCollector {
     private final HostId self;
     private final List<EntryHost> hosts;
-    private final Map<HostId, SettingsStatus> told = new HashMap<>();
+    private final Map<HostId, SettingsStatus> statusByHost = new HashMap<>();
     private final long deadlineNanos;
     private final CompletableFuture<ControlStatus> answer;
 
-    StatusRound(
+    StatusCollector(
             HostId self,
             List<EntryHost> hosts,
             long deadlineNanos,
@@ -29,19 +29,21 @@
         this.answer = answer;
     }
 
-    void tell(HostId host, SettingsStatus status) {
-        told.put(host, status);
+    void record(HostId host, SettingsStatus status) {
+        statusByHost.put(host, status);
     }
 
-    /** Ends the round when all have answered or the time is over; returns whether it ended. */
+    /**
+     * Completes the answer if all hosts answered or the deadline passed; returns whether it did.
+     */
     boolean finish(long nowNanos, SettingsStatus own) {
-        if (told.size() < hosts.size() - 1 && nowNanos < deadlineNanos) {
+        if (statusByHost.size() < hosts.size() - 1 && nowNanos < deadlineNanos) {
             return false;
         }
-        told.put(self, own);
+        statusByHost.put(self, own);
         List<ControlStatus.HostStatus> statuses = new ArrayList<>();
         for (EntryHost host : hosts) {
-            Optional<SettingsStatus> status = Optional.ofNullable(told.get(host.id()));
+            Optional<SettingsStatus> status = Optional.ofNullable(statusByHost.get(host.id()));
             statuses.add(new ControlStatus.HostStatus(host, status));
         }
         answer.complete(new ControlStatus(self, own, statuses));
--- a/src/main/java/org/orioleshed/control/StoreFollower.java
+++ b/src/main/java/org/orioleshed/control/StoreFollower.java
@@ -6,69 +6,69 @@
 import org.orioleshed.store.Store;
 
 /**
- * Decides when to read and watch one key or prefix of the store. A host that follows reads at
- * intervals, whatever its watch says, since a watch may have gone silent; any other host reads once
- * after its start. Failures are retried after a growing, uneven time.
+ * Decides when to read and watch one key or prefix of the store. A following host also polls at
+ * intervals, because a watch may stop delivering without an error; any other host reads once after
+ * its start. Failed reads are retried with exponential backoff and jitter.
  */
 final class StoreFollower implements StateMachine<StoreFollower.Event, StoreFollower.Action> {
-    /** How much a host asks of the store. */
+    /** How long a host keeps reading from the store. */
     enum Mode {
-        /** Until the store answered once. */
+        /** Until one read succeeded. */
         ONCE,
-        /** Always, with a watch. */
+        /** Permanently, with a watch. */
         FOLLOW
     }
 
-    /** What can happen. */
+    /** An event of the state machine. */
     sealed interface Event {
         /** Time passed. */
         record Tick() implements Event {}
 
-        /** The host's part changed. */
+        /** The host's mode changed. */
         record ModeChanged(Mode mode) implements Event {}
 
         /** The store answered the last read. */
         record ReadAnswered(Store.Result result) implements Event {}
 
-        /** The store's answer is wanted again soon. */
-        record ReadWanted() implements Event {}
+        /** The value must be read again without delay. */
+        record RefreshRequested() implements Event {}
 
-        /** The watch broke off. */
-        record Broke() implements Event {}
+        /** The watch ended unexpectedly. */
+        record WatchClosed() implements Event {}
     }
 
-    /** What to do. */
+    /** An action of the state machine. */
     sealed interface Action {
-        /** Read: the whole, or only what changed after {@code afterRevision}. */
-        record Read(boolean whole, long afterRevision) implements Action {}
+        /** Read everything, or only what changed after {@code afterRevision}. */
+        record Read(boolean full, long afterRevision) implements Action {}
 
-        /** Watch from a revision on. */
+        /** Watch for changes from a revision on. */
         record Watch(long fromRevision) implements Action {}
 
-        /** End the watch. */
-        record Unwatch() implements Action {}
+        /** Close the watch. */
+        record CloseWatch() implements Action {}
     }
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final long FIRST_RETRY_NANOS = 250 * NANOS_PER_MILLI;
-    private static final long LAST_RETRY_NANOS = 8_000 * NANOS_PER_MILLI;
+    private static final long MIN_BACKOFF_NANOS = 250 * NANOS_PER_MILLI;
+    private static final long MAX_BACKOFF_NANOS = 8_000 * NANOS_PER_MILLI;
     private static final int MAX_DOUBLINGS = 5;
-    private static final long START_SPREAD_NANOS = 100 * NANOS_PER_MILLI;
+    private static final long START_JITTER_NANOS = 100 * NANOS_PER_MILLI;
 
     private final long pollNanos;
     private final RandomGenerator random;
     private Mode mode = Mode.ONCE;
     private boolean reading;
-    private boolean readingWhole;
-    private boolean wantWhole = true;
+    private boolean readingFull;
+    private boolean needsFullRead = true;
     private boolean answered;
     private boolean watching;
     private int failures;
-    private long knownRevision;
+    private long lastRevision;
     private long nextReadNanos;
 
     /**
-     * Makes one that reads at once.
+     * Creates a follower that reads on its first tick.
      *
      * @param pollMillis the time between reads while the host follows, in milliseconds
      */
@@ -82,17 +82,17 @@
         return switch (event) {
             case Event.Tick tick -> tick(nowNanos);
             case Event.ModeChanged changed -> changeMode(nowNanos, changed.mode());
-            case Event.ReadAnswered read -> take(nowNanos, read.result());
-            case Event.ReadWanted wanted -> {
+            case Event.ReadAnswered read -> onReadAnswered(nowNanos, read.result());
+            case Event.RefreshRequested requested -> {
                 answered = false;
                 nextReadNanos = nowNanos;
                 yield tick(nowNanos);
             }
-            case Event.Broke broke -> {
+            case Event.WatchClosed closed -> {
                 watching = false;
-                wantWhole = true;
+                needsFullRead = true;
                 if (failures == 0) {
-                    nextReadNanos = nowNanos + random.nextLong(FIRST_RETRY_NANOS);
+                    nextReadNanos = nowNanos + random.nextLong(MIN_BACKOFF_NANOS);
                 }
                 yield List.of();
             }
@@ -100,13 +100,13 @@
     }
 
     private List<Action> tick(long nowNanos) {
-        boolean wanted = mode == Mode.FOLLOW || !answered;
-        if (reading || !wanted || nowNanos < nextReadNanos) {
+        boolean needsRead = mode == Mode.FOLLOW || !answered;
+        if (reading || !needsRead || nowNanos < nextReadNanos) {
             return List.of();
         }
         reading = true;
-        readingWhole = wantWhole;
-        return List.of(new Action.Read(wantWhole, wantWhole ? 0 : knownRevision));
+        readingFull = needsFullRead;
+        return List.of(new Action.Read(needsFullRead, needsFullRead ? 0 : lastRevision));
     }
 
     private List<Action> changeMode(long nowNanos, Mode next) {
@@ -115,31 +115,31 @@
         }
         mode = next;
         if (next == Mode.FOLLOW) {
-            nextReadNanos = Math.max(nextReadNanos, nowNanos + random.nextLong(START_SPREAD_NANOS));
+            nextReadNanos = Math.max(nextReadNanos, nowNanos + random.nextLong(START_JITTER_NANOS));
             return List.of();
         }
         boolean open = watching;
         watching = false;
-        return open ? List.of(new Action.Unwatch()) : List.of();
+        return open ? List.of(new Action.CloseWatch()) : List.of();
     }
 
-    private List<Action> take(long nowNanos, Store.Result result) {
+    private List<Action> onReadAnswered(long nowNanos, Store.Result result) {
         reading = false;
         if (!(result instanceof Store.Result.Entries entries)) {
             failures = Math.min(failures + 1, MAX_DOUBLINGS);
-            long retryNanos = Math.min(LAST_RETRY_NANOS, FIRST_RETRY_NANOS << (failures - 1));
-            nextReadNanos = nowNanos + retryNanos / 2 + random.nextLong(retryNanos);
+            long backoffNanos = Math.min(MAX_BACKOFF_NANOS, MIN_BACKOFF_NANOS << (failures - 1));
+            nextReadNanos = nowNanos + backoffNanos / 2 + random.nextLong(backoffNanos);
             return List.of();
         }
         failures = 0;
-        if (!readingWhole && entries.storeRevision() < knownRevision) {
-            wantWhole = true;
+        if (!readingFull && entries.storeRevision() < lastRevision) {
+            needsFullRead = true;
             nextReadNanos = nowNanos;
             return List.of();
         }
         answered = true;
-        wantWhole = false;
-        knownRevision = latest(entries);
+        needsFullRead = false;
+        lastRevision = latest(entries);
         nextReadNanos = nowNanos + pollNanos - random.nextLong(pollNanos / 5);
         if (mode == Mode.FOLLOW && !watching) {
             watching = true;
@@ -149,7 +149,7 @@
     }
 
     private long latest(Store.Result.Entries entries) {
-        long latest = readingWhole ? 0 : knownRevision;
+        long latest = readingFull ? 0 : lastRevision;
         for (Store.Entry entry : entries.entries()) {
             latest = Math.max(latest, entry.revision());
         }
--- a/src/main/java/org/orioleshed/control/StoreWatchers.java
+++ b/src/main/java/org/orioleshed/control/StoreWatchers.java
@@ -8,25 +8,27 @@
 import org.orioleshed.model.FailureDomain;
 import org.orioleshed.model.HostId;
 
-/** Chooses the hosts of a failure domain that wait on the store for all others. */
+/** Chooses the hosts of a failure domain that watch the store on behalf of the others. */
 final class StoreWatchers {
-    private static final String ITEM = "store-watcher";
-    private static final int PER_DOMAIN = 2;
+    private static final String RENDEZVOUS_ITEM = "store-watcher";
+    private static final int WATCHERS_PER_DOMAIN = 2;
 
     private StoreWatchers() {}
 
     /** Returns whether {@code self} is among the hosts of {@code domain} that watch. */
     static boolean includes(HostId self, FailureDomain domain, Collection<EntryHost> hosts) {
-        List<HostId> rivals = new ArrayList<>();
-        rivals.add(self);
-        boolean stays = true;
+        List<HostId> candidates = new ArrayList<>();
+        candidates.add(self);
+        boolean selfTakesWork = true;
         for (EntryHost host : hosts) {
             boolean isSelf = host.id().equals(self);
-            stays &= !isSelf || host.takesWork();
+            selfTakesWork &= !isSelf || host.takesWork();
             if (!isSelf && host.domain().equals(domain) && host.takesWork()) {
-                rivals.add(host.id());
+                candidates.add(host.id());
             }
         }
-        return stays && Rendezvous.ranked(rivals, ITEM).indexOf(self) < PER_DOMAIN;
+        return selfTakesWork
+                && Rendezvous.ranked(candidates, RENDEZVOUS_ITEM).indexOf(self)
+                        < WATCHERS_PER_DOMAIN;
     }
 }
--- a/src/main/java/org/orioleshed/control/package-info.java
+++ b/src/main/java/org/orioleshed/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The duty that keeps one entry host's picture of the fleet: membership, settings, the platform's
- * lists and moves, on one thread that alone talks to the store about them.
+ * The control duty of an entry host: maintains its fleet snapshot from membership, settings, the
+ * platform's lists and rollouts, on a single thread that makes all store calls for them.
  */
 package org.orioleshed.control;
--- a/src/main/java/org/orioleshed/entry/AdminReplies.java
+++ b/src/main/java/org/orioleshed/entry/AdminReplies.java
@@ -56,7 +56,8 @@
             case RolloutWriteResult.NotFound missing ->
                     new AdminReply.NotFound("move " + missing.rollout());
             case RolloutWriteResult.Unreadable bad -> new AdminReply.StoreAway(bad.detail());
-            case RolloutWriteResult.StoreAway away -> new AdminReply.StoreAway(away.detail());
+            case RolloutWriteResult.StoreUnavailable away ->
+                    new AdminReply.StoreAway(away.detail());
             case RolloutWriteResult.InDoubt doubt -> new AdminReply.Unknown("", doubt.detail());
         };
     }
--- a/src/test/java/org/orioleshed/control/ControlCostMain.java
+++ b/src/test/java/org/orioleshed/control/ControlCostMain.java
@@ -9,14 +9,14 @@
 import org.orioleshed.settings.LargeTree;
 
 /**
- * Prints what the control duty costs a host at several sizes of the fleet, with the slope, and what
- * a large tree of settings costs. The fleet runs on a stepped clock in one thread, so the processor
- * time includes the harness and all codecs, but no sockets.
+ * Prints the cost of the control duty per host at several fleet sizes, with the slope, and the cost
+ * of a large settings tree. The fleet runs on a stepped clock in one thread, so the CPU time
+ * includes the test harness and all codecs, but no sockets.
  */
 final class ControlCostMain {
     private static final int[] SIZES = {8, 45, 133, 400};
-    private static final int QUIET_SECONDS = 30;
-    private static final int FRAME_BYTES = 40;
+    private static final int IDLE_SECONDS = 30;
+    private static final int FRAME_OVERHEAD_BYTES = 40;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final int ROUNDS = 30;
     private static final int WORKSPACES = 7_100;
@@ -40,7 +40,7 @@
     }
 
     private static void measure(
-            int size, int place, double[] cpuPercent, double[] bytes, boolean print) {
+            int size, int index, double[] cpuPercent, double[] bytes, boolean print) {
         ControlFleet fleet = new ControlFleet(size, "{}", 1);
         fleet.runUntil(() -> fleet.allSee(size) && fleet.allHave(1), 30_000);
         fleet.runMillis(20_000);
@@ -48,34 +48,37 @@
         fleet.hosts.values().forEach(host -> host.messagesSent = 0);
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         long before = threads.getCurrentThreadCpuTime();
-        fleet.runMillis(QUIET_SECONDS * 1_000L);
+        fleet.runMillis(IDLE_SECONDS * 1_000L);
         double cpuSeconds = (threads.getCurrentThreadCpuTime() - before) / NANOS_PER_SECOND;
-        cpuPercent[place] = 100 * cpuSeconds / size / QUIET_SECONDS;
-        bytes[place] =
+        cpuPercent[index] = 100 * cpuSeconds / size / IDLE_SECONDS;
+        bytes[index] =
                 fleet.hosts.values().stream()
-                                .mapToLong(host -> host.bytesSent + FRAME_BYTES * host.messagesSent)
+                                .mapToLong(
+                                        host ->
+                                                host.bytesSent
+                                                        + FRAME_OVERHEAD_BYTES * host.messagesSent)
                                 .average()
                                 .orElse(0)
-                        / QUIET_SECONDS;
+                        / IDLE_SECONDS;
         var answer = fleet.propose(0, "c1", Optional.empty());
         long inForceMillis = fleet.runUntil(() -> fleet.allHave(2), 10_000);
         if (print && answer.isDone()) {
             System.out.printf(
                     "hosts=%d bytesPerSecond=%.0f cpuPercent=%.4f changeInForceMillis=%d%n",
-                    size, bytes[place], cpuPercent[place], inForceMillis);
+                    size, bytes[index], cpuPercent[index], inForceMillis);
         }
     }
 
     private static double slope(double[] values) {
         double meanSize = Arrays.stream(SIZES).average().orElse(0);
         double meanValue = Arrays.stream(values).average().orElse(0);
-        double above = 0;
-        double below = 0;
+        double covariance = 0;
+        double variance = 0;
         for (int i = 0; i < SIZES.length; i++) {
-            above += (SIZES[i] - meanSize) * (values[i] - meanValue);
-            below += (SIZES[i] - meanSize) * (SIZES[i] - meanSize);
+            covariance += (SIZES[i] - meanSize) * (values[i] - meanValue);
+            variance += (SIZES[i] - meanSize) * (SIZES[i] - meanSize);
         }
-        return above / below;
+        return covariance / variance;
     }
 
     private static void largeTree() {
--- a/src/test/java/org/orioleshed/control/ControlDutyTest.java
+++ b/src/test/java/org/orioleshed/control/ControlDutyTest.java
@@ -36,19 +36,22 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ControlDuty} with its own threads: three hosts in one process. */
+/**
+ * Three {@link ControlDuty} instances in one process, each with its own thread. Guards against
+ * changes that do not reach all hosts and against requests that stay unanswered when a duty stops.
+ */
 public class ControlDutyTest {
     private static final int HOSTS = 3;
-    private static final long PATIENCE_SECONDS = 60;
-    private static final long STOP_SECONDS = 10;
+    private static final long SNAPSHOT_TIMEOUT_SECONDS = 60;
+    private static final long STOP_TIMEOUT_SECONDS = 10;
     private static final FailureDomain DOMAIN = new FailureDomain("suva-a");
 
     private final Map<HostId, ControlDuty> duties = new ConcurrentHashMap<>();
-    private final List<FleetSnapshots> snapshots = new ArrayList<>();
+    private final List<SnapshotWaiter> snapshots = new ArrayList<>();
     private MemoryStore store;
 
-    /** Waits for a fleet snapshot that is as wanted. */
-    private static final class FleetSnapshots {
+    /** Waits for a fleet snapshot that meets a condition. */
+    private static final class SnapshotWaiter {
         private FleetSnapshot latest = FleetSnapshot.EMPTY;
         private Predicate<FleetSnapshot> wanted = snapshot -> false;
         private CountDownLatch seen = new CountDownLatch(1);
@@ -60,16 +63,16 @@
             }
         }
 
-        void await(Predicate<FleetSnapshot> asWanted) throws InterruptedException {
+        void await(Predicate<FleetSnapshot> condition) throws InterruptedException {
             CountDownLatch latch = new CountDownLatch(1);
             synchronized (this) {
-                wanted = asWanted;
+                wanted = condition;
                 seen = latch;
-                if (asWanted.test(latest)) {
+                if (condition.test(latest)) {
                     latch.countDown();
                 }
             }
-            assertTrue(latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertTrue(latch.await(SNAPSHOT_TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -109,19 +112,19 @@
     }
 
     @BeforeMethod
-    public void open() {
+    public void startAll() {
         store = new MemoryStore();
         store.put("orioleshed/settings/tree", "{}");
         snapshots.clear();
         for (int i = 0; i < HOSTS; i++) {
-            FleetSnapshots seen = new FleetSnapshots();
+            SnapshotWaiter seen = new SnapshotWaiter();
             snapshots.add(seen);
             duties.put(id(i), duty(i, seen));
         }
         duties.values().forEach(ControlDuty::start);
     }
 
-    private ControlDuty duty(int i, FleetSnapshots seen) {
+    private ControlDuty duty(int i, SnapshotWaiter seen) {
         return new ControlDuty(
                 settings(i),
                 1,
@@ -155,19 +158,19 @@
     }
 
     @AfterMethod
-    public void shut() {
+    public void closeAll() {
         duties.values().forEach(ControlDuty::close);
         duties.clear();
     }
 
     private void awaitAll(Predicate<FleetSnapshot> wanted) throws InterruptedException {
-        for (FleetSnapshots each : snapshots) {
+        for (SnapshotWaiter each : snapshots) {
             each.await(wanted);
         }
     }
 
     @Test
-    public void hostsFindEachOtherAndAChangeComesIntoForceOnAll() throws InterruptedException {
+    public void acceptedChangeIsInForceOnAllHosts() throws InterruptedException {
         awaitAll(snapshot -> snapshot.hosts().size() == HOSTS && snapshot.settingsRevision() == 1);
         ProposedChange change =
                 new ProposedChange(
@@ -184,9 +187,9 @@
     }
 
     @Test
-    public void changeNotYetTakenUpWhenTheDutyStopsIsAnswered() throws Exception {
+    public void changeQueuedWhenTheDutyStopsIsAnswered() throws Exception {
         store.setSlow(true);
-        ControlDuty stopped = duty(0, new FleetSnapshots());
+        ControlDuty stopped = duty(0, new SnapshotWaiter());
         CompletableFuture<ProposalResult> answer =
                 stopped.propose(
                         new ProposedChange(
@@ -197,12 +200,12 @@
                                 List.of(SettingsEdit.set("/limits/moveSpreadMillis", "2000"))));
         stopped.close();
         stopped.start();
-        ProposalResult result = answer.get(STOP_SECONDS, TimeUnit.SECONDS);
+        ProposalResult result = answer.get(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertTrue(result instanceof ProposalResult.InDoubt, "" + result);
     }
 
     @Test
-    public void aDrainingHostIsSeenToLeave() throws InterruptedException {
+    public void peersSeeDrainingHostAsLeaving() throws InterruptedException {
         awaitAll(snapshot -> snapshot.hosts().size() == HOSTS);
         duties.get(id(1)).drain();
         awaitAll(
--- a/src/test/java/org/orioleshed/control/ControlFleet.java
+++ b/src/test/java/org/orioleshed/control/ControlFleet.java
@@ -30,7 +30,7 @@
 import org.orioleshed.settings.SettingsEdit;
 import org.orioleshed.store.MemoryStore;
 
-/** Control cores of several hosts over lossy links and one store, on a clock that a test steps. */
+/** Control cores of several hosts with lossy links, one store and a clock stepped by the test. */
 final class ControlFleet {
     static final String TREE_KEY = "orioleshed/settings/tree";
     private static final long STEP_MILLIS = 10;
@@ -38,9 +38,9 @@
     private static final int STEPS_PER_TICK = 5;
     private static final int DOMAINS = 4;
 
-    private record Letter(HostId from, HostId to, MessageKind kind, Payload body) {}
+    private record InFlightMessage(HostId from, HostId to, MessageKind kind, Payload body) {}
 
-    /** Takes no orders. */
+    /** Accepts no orders. */
     private static final class NoOrders implements ServerOrders {
         @Override
         public CompletableFuture<Boolean> order(
@@ -58,7 +58,7 @@
     static final class Host implements PeerPort {
         final HostId id;
         final ControlCore core;
-        final ArrayDeque<ControlEvent> ring = new ArrayDeque<>();
+        final ArrayDeque<ControlEvent> events = new ArrayDeque<>();
         final List<FleetSnapshot> snapshots = new ArrayList<>();
         long bytesSent;
         long messagesSent;
@@ -75,7 +75,7 @@
                             this,
                             snapshots::add,
                             () -> Instant.ofEpochMilli(1 + fleet.nowMillis()),
-                            ring::add,
+                            events::add,
                             new NoOrders(),
                             new Random(fleet.random.nextLong()));
         }
@@ -91,8 +91,8 @@
         public boolean send(HostId to, MessageKind kind, byte[] body) {
             bytesSent += body.length;
             messagesSent++;
-            if (fleet.random.nextDouble() >= fleet.loss && !fleet.cut.test(id, to)) {
-                fleet.letters.add(new Letter(id, to, kind, Payload.of(body)));
+            if (fleet.random.nextDouble() >= fleet.lossRate && !fleet.isCut.test(id, to)) {
+                fleet.inFlight.add(new InFlightMessage(id, to, kind, Payload.of(body)));
             }
             return true;
         }
@@ -100,11 +100,11 @@
 
     final MemoryStore store = new MemoryStore();
     final Map<HostId, Host> hosts = new LinkedHashMap<>();
-    double loss;
-    BiPredicate<HostId, HostId> cut = (from, to) -> false;
+    double lossRate;
+    BiPredicate<HostId, HostId> isCut = (from, to) -> false;
     private final Random random;
     private final int size;
-    private List<Letter> letters = new ArrayList<>();
+    private List<InFlightMessage> inFlight = new ArrayList<>();
     private long step;
 
     ControlFleet(int size, String tree, long seed) {
@@ -128,7 +128,7 @@
         return new FailureDomain("domain-" + i % DOMAINS);
     }
 
-    /** Starts a host, anew if it was there before. */
+    /** Starts a host, replacing a previous incarnation. */
     Host start(int i, long incarnation) {
         List<PeerSeed> peers = new ArrayList<>();
         for (int p = 0; p < size; p++) {
@@ -173,7 +173,7 @@
         }
     }
 
-    /** Steps until {@code done}, and returns the time that took, in milliseconds. */
+    /** Steps until {@code done}; returns the simulated time taken, in milliseconds. */
     long runUntil(BooleanSupplier done, long limitMillis) {
         long millis = 0;
         while (!done.getAsBoolean() && millis < limitMillis) {
@@ -185,28 +185,29 @@
 
     private void step() {
         step++;
-        List<Letter> arriving = letters;
-        letters = new ArrayList<>();
-        for (Letter letter : arriving) {
-            Host host = hosts.get(letter.to());
+        List<InFlightMessage> arriving = inFlight;
+        inFlight = new ArrayList<>();
+        for (InFlightMessage message : arriving) {
+            Host host = hosts.get(message.to());
             if (host != null) {
-                host.ring.add(
-                        new ControlEvent.PeerMessage(letter.from(), letter.kind(), letter.body()));
+                host.events.add(
+                        new ControlEvent.PeerMessage(
+                                message.from(), message.kind(), message.body()));
             }
         }
-        int place = 0;
+        int index = 0;
         for (Host host : List.copyOf(hosts.values())) {
-            if (step % STEPS_PER_TICK == place++ % STEPS_PER_TICK) {
+            if (step % STEPS_PER_TICK == index++ % STEPS_PER_TICK) {
                 host.core.tick(nowNanos());
             }
-            while (!host.ring.isEmpty()) {
-                host.core.on(nowNanos(), host.ring.poll());
+            while (!host.events.isEmpty()) {
+                host.core.on(nowNanos(), host.events.poll());
             }
             host.core.publish();
         }
     }
 
-    /** Proposes that one limit be set, at one host. */
+    /** Proposes a change of one limit at one host. */
     CompletableFuture<ProposalResult> propose(int host, String change, Optional<Long> basedOn) {
         return propose(
                 host,
@@ -220,13 +221,13 @@
 
     CompletableFuture<ProposalResult> propose(int host, ProposedChange change) {
         CompletableFuture<ProposalResult> answer = new CompletableFuture<>();
-        host(host).ring.add(new ControlEvent.ChangeProposed(change, answer));
+        host(host).events.add(new ControlEvent.ChangeProposed(change, answer));
         return answer;
     }
 
     CompletableFuture<ControlStatus> status(int host) {
         CompletableFuture<ControlStatus> answer = new CompletableFuture<>();
-        host(host).ring.add(new ControlEvent.StatusWanted(answer));
+        host(host).events.add(new ControlEvent.StatusRequested(answer));
         return answer;
     }
 
--- a/src/test/java/org/orioleshed/control/ControlRolloutsTest.java
+++ b/src/test/java/org/orioleshed/control/ControlRolloutsTest.java
@@ -18,7 +18,10 @@
 import org.orioleshed.rollout.RunResult;
 import org.testng.annotations.Test;
 
-/** Rollouts driven by the control duty of several hosts over one store. */
+/**
+ * Rollouts driven by the control cores of several hosts with one store. Guards against hosts that
+ * end a rollout with different versions, also when the answer to a store write is lost.
+ */
 public class ControlRolloutsTest {
     private static final RouteId ROUTE = new RouteId("letters");
     private static final VersionId OLD = new VersionId("v1");
@@ -53,14 +56,14 @@
                         "litia",
                         "test");
         fleet.store.loseAnswers(1);
-        RolloutWrite.Wish wish = new RolloutWrite.Wish.Plan(record);
-        fleet.host(0).ring.add(new ControlEvent.RolloutWanted(wish, answer));
+        RolloutWrite.Command command = new RolloutWrite.Command.Plan(record);
+        fleet.host(0).events.add(new ControlEvent.RolloutWriteRequested(command, answer));
         fleet.runUntil(answer::isDone, 5_000);
         assertEquals(answer.join().getClass(), RolloutWriteResult.Written.class);
         return fleet;
     }
 
-    private static boolean all(ControlFleet fleet, VersionId version) {
+    private static boolean allServe(ControlFleet fleet, VersionId version) {
         return fleet.hosts.values().stream()
                 .allMatch(
                         host ->
@@ -69,7 +72,7 @@
                                                 host.snapshot().currentVersions().get(ROUTE)));
     }
 
-    /** Runs requests as the traffic split says, until the time is over. */
+    /** Runs requests according to the traffic split for {@code millis}. */
     private static void serve(ControlFleet fleet, RunResult.Verdict ofNew, long millis) {
         for (long done = 0; done < millis; done += STEP_MILLIS) {
             for (ControlFleet.Host host : fleet.hosts.values()) {
@@ -97,37 +100,37 @@
         RolloutEvent observed =
                 new RolloutEvent.Observed(
                         ROUTE, toNew ? NEW : OLD, new ServerId(toNew ? "s2" : "s1"), result);
-        host.ring.add(new ControlEvent.RolloutHappened(observed));
+        host.events.add(new ControlEvent.RolloutEventReceived(observed));
     }
 
     @Test
-    public void aGoodVersionCompletesOnEveryHost() {
+    public void goodVersionCompletesOnEveryHost() {
         ControlFleet fleet = planned(1);
         serve(fleet, RunResult.Verdict.OK, COMPLETE_BY_MILLIS + 1_000);
-        assertTrue(all(fleet, NEW), fleet.host(0).snapshot().currentVersions().toString());
+        assertTrue(allServe(fleet, NEW), fleet.host(0).snapshot().currentVersions().toString());
     }
 
     @Test
-    public void aVersionThatFailsIsTakenBackOnEveryHost() {
+    public void failingVersionIsRolledBackOnEveryHost() {
         ControlFleet fleet = planned(2);
         serve(fleet, RunResult.Verdict.FAILED, COMPLETE_BY_MILLIS + 1_000);
-        assertTrue(all(fleet, OLD), fleet.host(0).snapshot().currentVersions().toString());
+        assertTrue(allServe(fleet, OLD), fleet.host(0).snapshot().currentVersions().toString());
     }
 
     @Test
     public void operatorRollsBackOnceAndAllHostsFollow() {
         ControlFleet fleet = planned(3);
         serve(fleet, RunResult.Verdict.OK, 5_000);
-        RolloutWrite.Wish wish = new RolloutWrite.Wish.RollBack(ROLLOUT, "litia", "no", 1);
+        RolloutWrite.Command command = new RolloutWrite.Command.RollBack(ROLLOUT, "litia", "no", 1);
         fleet.store.loseAnswers(1);
         CompletableFuture<RolloutWriteResult> first = new CompletableFuture<>();
-        fleet.host(1).ring.add(new ControlEvent.RolloutWanted(wish, first));
+        fleet.host(1).events.add(new ControlEvent.RolloutWriteRequested(command, first));
         fleet.runMillis(5_000);
         assertEquals(first.join().getClass(), RolloutWriteResult.Written.class);
         CompletableFuture<RolloutWriteResult> second = new CompletableFuture<>();
-        fleet.host(2).ring.add(new ControlEvent.RolloutWanted(wish, second));
+        fleet.host(2).events.add(new ControlEvent.RolloutWriteRequested(command, second));
         fleet.runMillis(5_000);
         assertEquals(second.join().getClass(), RolloutWriteResult.Decided.class);
-        assertTrue(all(fleet, OLD));
+        assertTrue(allServe(fleet, OLD));
     }
 }
--- a/src/test/java/org/orioleshed/control/StoreFollowerTest.java
+++ b/src/test/java/org/orioleshed/control/StoreFollowerTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link StoreFollower}. */
+/**
+ * Guards against a following host that misses changes after a broken watch or a restored store, and
+ * against reads that burden the store during an outage.
+ */
 public class StoreFollowerTest {
     private static final long POLL_MILLIS = 1_000;
     private static final long STEP_NANOS = 50_000_000;
@@ -32,7 +35,7 @@
         return follower.on(nowNanos, event);
     }
 
-    /** Lets time pass, and returns what was wanted meanwhile. */
+    /** Advances the clock with ticks, and returns the resulting actions. */
     private List<Action> runMillis(long millis) {
         List<Action> actions = new ArrayList<>();
         for (long end = nowNanos + millis * 1_000_000; nowNanos < end; ) {
@@ -47,19 +50,19 @@
         return new Event.ReadAnswered(new Store.Result.Entries(List.of(entry), storeRevision));
     }
 
-    private static Event away() {
-        return new Event.ReadAnswered(new Store.Result.Unavailable("away"));
+    private static Event unavailable() {
+        return new Event.ReadAnswered(new Store.Result.Unavailable("unavailable"));
     }
 
     @Test
-    public void anyHostReadsOnceAndThenNeverAgain() {
+    public void hostInOnceModeReadsOnce() {
         assertEquals(on(new Event.Tick()), List.of(new Action.Read(true, 0)));
         assertEquals(on(answer(5, 9)), List.of());
         assertEquals(runMillis(60_000), List.of());
     }
 
     @Test
-    public void aFollowerWatchesFromWhereItReadAndPollsForWhatIsNewer() {
+    public void followingHostWatchesFromItsReadAndPollsForNewerEntries() {
         on(new Event.ModeChanged(Mode.FOLLOW));
         runMillis(200);
         assertEquals(on(answer(5, 9)), List.of(new Action.Watch(10)));
@@ -67,7 +70,7 @@
     }
 
     @Test
-    public void aStoreThatWentBackIsReadWhole() {
+    public void storeWithLowerRevisionIsReadInFull() {
         on(new Event.ModeChanged(Mode.FOLLOW));
         runMillis(200);
         on(answer(5, 9));
@@ -77,35 +80,35 @@
     }
 
     @Test
-    public void aBrokenWatchLeadsToAWholeReadAndANewWatch() {
+    public void brokenWatchLeadsToFullReadAndNewWatch() {
         on(new Event.ModeChanged(Mode.FOLLOW));
         runMillis(200);
         on(answer(5, 9));
-        on(new Event.Broke());
+        on(new Event.WatchClosed());
         assertEquals(runMillis(300), List.of(new Action.Read(true, 0)));
         assertEquals(on(answer(5, 12)), List.of(new Action.Watch(13)));
     }
 
     @Test
-    public void anOutageIsAskedLessAndLess() {
+    public void failedReadsBackOff() {
         on(new Event.ModeChanged(Mode.FOLLOW));
         int calls = 0;
         for (int i = 0; i < 1_200; i++) {
             for (Action action : runMillis(50)) {
                 assertTrue(action instanceof Action.Read);
                 calls++;
-                on(away());
+                on(unavailable());
             }
         }
         assertTrue(calls <= 20, "calls in a minute: " + calls);
     }
 
     @Test
-    public void aHostThatNoLongerFollowsEndsItsWatch() {
+    public void hostThatNoLongerFollowsClosesItsWatch() {
         on(new Event.ModeChanged(Mode.FOLLOW));
         runMillis(200);
         on(answer(5, 9));
-        assertEquals(on(new Event.ModeChanged(Mode.ONCE)), List.of(new Action.Unwatch()));
+        assertEquals(on(new Event.ModeChanged(Mode.ONCE)), List.of(new Action.CloseWatch()));
         assertEquals(runMillis(60_000), List.of());
     }
 }
