--- a/src/main/java/org/orioleshed/host/Decision.java
+++ b/src/main/java/org/orioleshed/host/Decision.java
@@ -6,14 +6,16 @@
 import org.orioleshed.model.Tier;
 
 /**
- * A routing or placement decision, for the log.
+ * A routing or placement decision, to be logged.
  *
- * @param kind what was decided, such as {@code offer}, {@code place}, {@code preempt}, {@code shed}
- * @param run the run decided about
- * @param tier its tier
+ * @param kind the kind of decision, such as {@code offer}, {@code place}, {@code preempt}, {@code
+ *     shed}
+ * @param run the run that the decision is about
+ * @param tier the run's tier
  * @param server the server chosen, if any
- * @param candidates the servers weighed with their scores, as {@code server:score} joined by commas
- * @param reason why, in one word or a few joined by hyphens
+ * @param candidates the servers considered, with their scores, as {@code server:score} joined by
+ *     commas
+ * @param reason the reason, as one or more words joined by hyphens
  */
 public record Decision(
         String kind,
--- a/src/main/java/org/orioleshed/host/HostAction.java
+++ b/src/main/java/org/orioleshed/host/HostAction.java
@@ -13,22 +13,22 @@
 import org.orioleshed.rollout.RunResult;
 import org.orioleshed.routing.RoutingMessage;
 
-/** What an entry host can do. */
+/** An action of an entry host. */
 public sealed interface HostAction {
-    /** Write tokens to the caller, in order and each once. */
+    /** Write tokens to the caller, in order and exactly once each. */
     record WriteTokens(RequestId request, int firstToken, int count, Payload text)
             implements HostAction {}
 
-    /** End the caller's request; the last action for it. */
+    /** Answer the caller's request; the last action for it. */
     record Answer(RequestId request, Outcome outcome) implements HostAction {}
 
     /** Answer {@link HostEvent.StatusRequested}. */
     record ReplyStatus(long ticket, RequestStatus status) implements HostAction {}
 
-    /** Send a message about offers and runs. */
+    /** Send a message about offers and runs to a peer. */
     record SendRouting(HostId to, RoutingMessage message) implements HostAction {}
 
-    /** Send a message about keys, request statuses and poison. */
+    /** Send a message about idempotency keys, request statuses and poison to a peer. */
     record SendRequest(HostId to, RequestMessage message) implements HostAction {}
 
     /** Start a run on an engine, from {@code resumeFromToken}. */
@@ -36,38 +36,36 @@
             implements HostAction {}
 
     /**
-     * Cancel a run on an engine, idempotent; ends in {@link HostEvent.RunEnded}, also when the run
-     * was never there.
+     * Cancel a run on an engine; idempotent. {@link HostEvent.RunEnded} follows, also if the engine
+     * has no such run.
      */
     record CancelRun(RunId run, ServerId server) implements HostAction {}
 
-    /**
-     * Slow a run's reading of its engine down, or speed it up again, as the caller's credit allows.
-     */
+    /** Pause or resume reading a run's tokens from its engine, as the caller's credit allows. */
     record PauseRun(RunId run, boolean paused) implements HostAction {}
 
-    /** Call a plain service, once; ends in {@link HostEvent.CallEnded}. */
+    /** Call a plain service once; {@link HostEvent.CallEnded} follows. */
     record CallService(RunId run, ServerId server, String call, Payload body, long timeoutMillis)
             implements HostAction {}
 
-    /** Read a key of the platform's store. */
+    /** Read a key of the platform's store; {@link HostEvent.StoreAnswered} follows. */
     record ReadStore(long ticket, String key) implements HostAction {}
 
     /**
-     * Replace a key's value if its modification revision is still {@code expectedRevision}; zero:
-     * no such key.
+     * Replace a key's value if its modification revision is still {@code expectedRevision}; zero
+     * means that the key must not exist.
      */
     record CompareAndSwap(
             long ticket, String key, long expectedRevision, Payload value, long timeoutMillis)
             implements HostAction {}
 
-    /** Hand evidence about a version to the duty that judges moves. */
+    /** Report the result of a run to the control duty, as evidence about a version for rollouts. */
     record RecordResult(RouteId route, VersionId version, ServerId server, RunResult result)
             implements HostAction {}
 
-    /** Write a decision to the log. */
+    /** Log a decision. */
     record Log(Decision decision) implements HostAction {}
 
-    /** The host has nothing left to finish after {@link HostEvent.DrainRequested}. */
+    /** Report that nothing is left to finish after {@link HostEvent.DrainRequested}. */
     record Drained() implements HostAction {}
 }
--- a/src/main/java/org/orioleshed/host/HostCore.java
+++ b/src/main/java/org/orioleshed/host/HostCore.java
@@ -29,19 +29,19 @@
 import org.orioleshed.routing.ServerChooser;
 
 /**
- * All decisions of one entry host: the accepting side of its callers' requests, the claims of calls
- * that may not be repeated, and the owners of its backend servers. Messages of the host to itself
- * are handled at once, before {@link #on} returns. Not safe for use by several threads.
+ * The decisions of one entry host: accepts callers' requests, claims calls that may not be
+ * repeated, and owns the queues of its backend servers. Messages from the host to itself are
+ * handled before {@link #on} returns. Not thread-safe.
  */
 public final class HostCore implements StateMachine<HostEvent, HostAction> {
-    /** How long a host that shuts down waits for outcomes to be recorded. */
-    private static final long MAX_RECORDING_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** The longest time that a draining host waits for outcomes to be written to the store. */
+    private static final long MAX_OUTCOME_WRITE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
     private final HostId self;
     private final OwnerCore owners;
     private final ServerChooser chooser;
     private final ClaimCore claims;
-    private final AcceptedRequests accepting;
+    private final AcceptedRequests acceptedRequests;
     private final RunEvidence evidence;
     private final Deque<HostEvent> events = new ArrayDeque<>();
     private List<HostAction> actions = new ArrayList<>();
@@ -52,15 +52,15 @@
     private boolean drained;
 
     /**
-     * Makes the core of a host that has heard nothing yet: it needs {@link HostEvent.FleetChanged}
-     * before it can place a request.
+     * Creates a core with an empty fleet snapshot; it needs {@link HostEvent.FleetChanged} before
+     * it can place a request.
      *
      * @param self the host
      * @param domain its failure domain
-     * @param incarnation the host's incarnation, which grows with each start; the ids of its
-     *     requests carry it
-     * @param limits the bounds to keep to
-     * @param random the source of all randomness, for this core alone
+     * @param incarnation the host's incarnation, which increases with each start and is part of the
+     *     ids of its requests
+     * @param limits the limits for its decisions
+     * @param random the source of all randomness; not shared with other users
      */
     public HostCore(
             HostId self,
@@ -71,25 +71,25 @@
         this.self = self;
         this.owners = new OwnerCore(self, limits.routing());
         this.chooser = new ServerChooser(self, limits.routing());
-        this.claims = new ClaimCore(self, limits.claim(), this::act);
-        this.accepting =
+        this.claims = new ClaimCore(self, limits.claim(), this::emit);
+        this.acceptedRequests =
                 new AcceptedRequests(
                         self,
                         domain,
                         incarnation,
                         limits.request(),
                         random,
-                        new Chosen(),
+                        new ChooserPlacement(),
                         claims,
-                        this::act);
-        claims.listener(accepting);
+                        this::emit);
+        claims.listener(acceptedRequests);
         this.evidence = new RunEvidence(action -> actions.add(action));
     }
 
     /**
      * {@inheritDoc}
      *
-     * <p>{@link HostAction.Drained} comes once, as the last action, after {@link
+     * <p>{@link HostAction.Drained} is returned once, as the last action, after {@link
      * HostEvent.DrainRequested}.
      */
     @Override
@@ -106,45 +106,47 @@
         return actions;
     }
 
-    /** Returns the content that is held or under suspicion, for operators. */
+    /** Returns the content that is quarantined or suspected, for operators. */
     public List<QuarantinedContent> poison(long nowNanos) {
-        return accepting.poison(nowNanos);
+        return acceptedRequests.poison(nowNanos);
     }
 
     /**
-     * Releases content that is held, on this host and its peers.
+     * Releases quarantined content on this host and its peers.
      *
-     * @return what to do about it
+     * @return the actions to execute
      */
     public List<HostAction> releasePoison(Fingerprint fingerprint) {
         actions = new ArrayList<>();
-        accepting.releasePoison(fingerprint);
+        acceptedRequests.releasePoison(fingerprint);
         return actions;
     }
 
-    /** Returns the number of accepted requests under way. */
+    /** Returns the number of accepted requests in progress. */
     public int requests() {
-        return accepting.size();
+        return acceptedRequests.size();
     }
 
-    /** Returns whether nothing is left to finish; outcomes are waited for a bounded time only. */
+    /**
+     * Returns whether nothing is left to finish; waits a bounded time for outcomes to be written.
+     */
     private boolean isDone(long nowNanos) {
-        if (!owners.isIdle() || !accepting.isIdle()) {
+        if (!owners.isIdle() || !acceptedRequests.isIdle()) {
             idleSinceNanos = OptionalLong.empty();
             return false;
         }
         if (idleSinceNanos.isEmpty()) {
             idleSinceNanos = OptionalLong.of(nowNanos);
         }
-        return claims.isIdle() || nowNanos - idleSinceNanos.getAsLong() >= MAX_RECORDING_NANOS;
+        return claims.isIdle() || nowNanos - idleSinceNanos.getAsLong() >= MAX_OUTCOME_WRITE_NANOS;
     }
 
     private void handle(long nowNanos, HostEvent event) {
         eventNanos = nowNanos;
-        evidence.before(nowNanos, event);
+        evidence.onEvent(nowNanos, event);
         switch (event) {
             case HostEvent.FleetChanged changed -> fleet = changed.fleet();
-            case HostEvent.DrainRequested asked -> draining = true;
+            case HostEvent.DrainRequested drain -> draining = true;
             case HostEvent.RoutingReceived received -> {
                 chooser.observe(nowNanos, received.message());
                 if (refusePoison(nowNanos, received)) {
@@ -153,16 +155,16 @@
             }
             default -> {}
         }
-        owners.on(nowNanos, event).forEach(this::actOfOwners);
+        owners.on(nowNanos, event).forEach(this::emitFromOwners);
         claims.on(nowNanos, event);
-        accepting.on(nowNanos, event);
+        acceptedRequests.on(nowNanos, event);
         claims.deliver();
     }
 
-    /** Refuses an offer of content that is held, whoever accepted it. */
+    /** Refuses an offer of quarantined content, whichever host accepted the request. */
     private boolean refusePoison(long nowNanos, HostEvent.RoutingReceived received) {
         if (!(received.message() instanceof RoutingMessage.Offered offered)
-                || !accepting.isQuarantined(nowNanos, offered.offer().fingerprint())) {
+                || !acceptedRequests.isQuarantined(nowNanos, offered.offer().fingerprint())) {
             return false;
         }
         RoutingMessage refusal =
@@ -172,20 +174,20 @@
                         RoutingMessage.RefusalReason.POISON,
                         false,
                         0);
-        act(new HostAction.SendRouting(received.from(), refusal));
+        emit(new HostAction.SendRouting(received.from(), refusal));
         return true;
     }
 
-    /** The owner core being drained is not the host being drained. */
-    private void actOfOwners(HostAction action) {
+    /** Drops the owner core's {@code Drained}, since the host may still have requests to finish. */
+    private void emitFromOwners(HostAction action) {
         if (!(action instanceof HostAction.Drained)) {
-            act(action);
+            emit(action);
         }
     }
 
-    /** Hands an action out; messages to this host itself become events. */
-    private void act(HostAction action) {
-        evidence.after(eventNanos, action);
+    /** Emits an action; turns messages to this host itself into events. */
+    private void emit(HostAction action) {
+        evidence.onAction(eventNanos, action);
         switch (action) {
             case HostAction.SendRouting send when send.to().equals(self) ->
                     events.add(new HostEvent.RoutingReceived(self, send.message()));
@@ -195,8 +197,8 @@
         }
     }
 
-    /** Offers follow the chooser's order. */
-    private final class Chosen implements Placement {
+    /** Offers requests to servers in the order of the {@link ServerChooser}. */
+    private final class ChooserPlacement implements Placement {
         @Override
         public List<Choice> choices(
                 long nowNanos,
@@ -206,11 +208,11 @@
                 Set<ServerId> excluded,
                 int count) {
             boolean resumes = resumeFromToken > 0;
-            int wanted = resumes ? Integer.MAX_VALUE : count;
+            int requested = resumes ? Integer.MAX_VALUE : count;
             List<Candidate> all =
-                    chooser.choose(fleet, request, version, excluded, wanted, nowNanos);
-            List<Candidate> fit = resumes ? resumable(all) : all;
-            return fit.stream()
+                    chooser.choose(fleet, request, version, excluded, requested, nowNanos);
+            List<Candidate> usable = resumes ? resumable(all) : all;
+            return usable.stream()
                     .limit(count)
                     .map(c -> new Choice(c.server(), c.owner(), c.toString()))
                     .toList();
@@ -228,9 +230,9 @@
             chooser.answered(request.route(), tokens);
         }
 
-        /** Returns the servers that can resume a stream, or all when none can. */
+        /** Returns the servers that can resume a stream, or all servers if none can. */
         private List<Candidate> resumable(List<Candidate> all) {
-            List<Candidate> able =
+            List<Candidate> capable =
                     all.stream()
                             .filter(
                                     c -> {
@@ -238,7 +240,7 @@
                                         return server != null && server.canResume();
                                     })
                             .toList();
-            return able.isEmpty() ? all : able;
+            return capable.isEmpty() ? all : capable;
         }
     }
 }
--- a/src/main/java/org/orioleshed/host/HostLimits.java
+++ b/src/main/java/org/orioleshed/host/HostLimits.java
@@ -5,14 +5,14 @@
 import org.orioleshed.routing.RoutingLimits;
 
 /**
- * The bounds of an entry host's decisions.
+ * The limits of an entry host's decisions.
  *
- * @param routing the bounds of the owners
- * @param request the bounds of the accepting side
- * @param claim the bounds of claims
+ * @param routing the limits of server owners
+ * @param request the limits of accepted requests
+ * @param claim the limits of claims
  */
 public record HostLimits(RoutingLimits routing, RequestLimits request, ClaimLimits claim) {
-    /** The bounds of a host whose settings state none. */
+    /** The limits of a host whose settings specify none. */
     public static final HostLimits DEFAULTS =
             new HostLimits(RoutingLimits.DEFAULTS, RequestLimits.DEFAULTS, ClaimLimits.DEFAULTS);
 }
--- a/src/main/java/org/orioleshed/host/NaiveHost.java
+++ b/src/main/java/org/orioleshed/host/NaiveHost.java
@@ -19,15 +19,15 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * The naive scheduler that the others are compared with: round robin over all servers of a route,
- * first come first served in the engines, no claims, no preemption, no retry.
+ * A baseline scheduler for comparison: round robin over all servers of a route, first come, first
+ * served in the engines, without claims, preemption or retries.
  */
 public final class NaiveHost implements StateMachine<HostEvent, HostAction> {
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final Map<RequestId, Running> running = new HashMap<>();
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
-    private int turn;
+    private int nextIndex;
     private boolean draining;
 
     private record Running(Request request, BackendServer server, RunId run) {}
@@ -50,12 +50,12 @@
             }
             case HostEvent.RunEnded ended -> finish(ended.run(), outcome(ended.end()), actions);
             case HostEvent.CallEnded ended -> finish(ended.run(), outcome(ended.end()), actions);
-            case HostEvent.StatusRequested asked ->
+            case HostEvent.StatusRequested requested ->
                     actions.add(
                             new HostAction.ReplyStatus(
-                                    asked.ticket(), new RequestStatus.Unknown()));
+                                    requested.ticket(), new RequestStatus.Unknown()));
             case HostEvent.FleetChanged changed -> fleet = changed.fleet();
-            case HostEvent.DrainRequested asked -> draining = true;
+            case HostEvent.DrainRequested drain -> draining = true;
             case HostEvent.Tick tick -> expire(nowNanos, actions);
             default -> {}
         }
@@ -82,8 +82,8 @@
             refuse(request, Outcome.NotRunReason.NO_SERVER, actions);
             return;
         }
-        turn++;
-        BackendServer server = servers.get(Math.floorMod(turn, servers.size()));
+        nextIndex++;
+        BackendServer server = servers.get(Math.floorMod(nextIndex, servers.size()));
         RunId run = new RunId(request.id(), 1);
         running.put(request.id(), new Running(request, server, run));
         switch (request.work()) {
@@ -115,11 +115,11 @@
     }
 
     private void expire(long nowNanos, List<HostAction> actions) {
-        List<Running> late =
+        List<Running> expired =
                 running.values().stream()
                         .filter(run -> run.request().deadlineNanos() - nowNanos < 0)
                         .toList();
-        for (Running run : late) {
+        for (Running run : expired) {
             Outcome outcome =
                     run.request().work() instanceof Work.Call
                             ? new Outcome.InDoubt("deadline passed while the call was under way")
--- a/src/main/java/org/orioleshed/host/RunEvidence.java
+++ b/src/main/java/org/orioleshed/host/RunEvidence.java
@@ -15,22 +15,22 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * Watches the runs of the requests that this host accepted, and tells how each went, as evidence
+ * Tracks the runs of requests that this host accepted, and reports the result of each as evidence
  * about the version that ran it.
  */
 final class RunEvidence {
     private static final double UNKNOWN_LOAD = -1;
     private static final long UNKNOWN_MILLIS = -1;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int STATUS_SERVER_ERROR = 500;
+    private static final int HTTP_SERVER_ERROR = 500;
 
     private final Map<RequestId, Request> requests = new HashMap<>();
 
-    /** The one open run of each request. */
+    /** The open run of each request; there is at most one. */
     private final Map<RequestId, Run> runs = new HashMap<>();
 
     private final Map<ServerId, Double> loads = new HashMap<>();
-    private final Consumer<HostAction> out;
+    private final Consumer<HostAction> sink;
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
 
     private static final class Run {
@@ -51,19 +51,19 @@
         }
     }
 
-    RunEvidence(Consumer<HostAction> out) {
-        this.out = out;
+    RunEvidence(Consumer<HostAction> sink) {
+        this.sink = sink;
     }
 
-    /** Takes what happened, before the decisions do. */
-    void before(long nowNanos, HostEvent event) {
+    /** Observes an event, before it is handled. */
+    void onEvent(long nowNanos, HostEvent event) {
         switch (event) {
             case HostEvent.RequestArrived arrived ->
                     requests.put(arrived.request().id(), arrived.request());
-            case HostEvent.RoutingReceived received -> learn(nowNanos, received.message());
+            case HostEvent.RoutingReceived received -> onMessage(nowNanos, received.message());
             case HostEvent.RunEnded ended -> end(nowNanos, ended.run(), ended.end());
             case HostEvent.CallEnded ended -> end(nowNanos, ended.run(), ended.end());
-            case HostEvent.CallerGone gone -> forget(nowNanos, gone.request());
+            case HostEvent.CallerGone gone -> requestEnded(nowNanos, gone.request());
             case HostEvent.FleetChanged changed -> {
                 fleet = changed.fleet();
                 loads.keySet().retainAll(fleet.servers().keySet());
@@ -72,19 +72,19 @@
         }
     }
 
-    /** Takes what the accepting side asks for. */
-    void after(long nowNanos, HostAction action) {
+    /** Observes an action of the accepted requests. */
+    void onAction(long nowNanos, HostAction action) {
         switch (action) {
             case HostAction.SendRouting send
                     when send.message() instanceof RoutingMessage.Placed placed ->
                     open(nowNanos, placed.run(), placed.server());
             case HostAction.CallService call -> open(nowNanos, call.run(), call.server());
-            case HostAction.Answer answer -> forget(nowNanos, answer.request());
+            case HostAction.Answer answer -> requestEnded(nowNanos, answer.request());
             default -> {}
         }
     }
 
-    private void learn(long nowNanos, RoutingMessage message) {
+    private void onMessage(long nowNanos, RoutingMessage message) {
         switch (message) {
             case RoutingMessage.Tokens tokens -> {
                 Run run = runs.get(tokens.run().request());
@@ -96,12 +96,12 @@
                 }
             }
             case RoutingMessage.Ended ended -> end(nowNanos, ended.run(), ended.end());
-            case RoutingMessage.ServerLoads reported -> reported.loads().forEach(this::learnLoad);
+            case RoutingMessage.ServerLoads reported -> reported.loads().forEach(this::recordLoad);
             default -> {}
         }
     }
 
-    private void learnLoad(RoutingMessage.ServerLoad load) {
+    private void recordLoad(RoutingMessage.ServerLoad load) {
         BackendServer server = fleet.servers().get(load.server());
         if (server != null) {
             loads.put(load.server(), load.running() / (double) Math.max(1, server.places()));
@@ -139,7 +139,7 @@
                     close(
                             nowNanos,
                             run,
-                            answered.status() >= STATUS_SERVER_ERROR
+                            answered.status() >= HTTP_SERVER_ERROR
                                     ? RunResult.Verdict.FAILED
                                     : RunResult.Verdict.OK);
             case HostEvent.CallEnd.NeverSent never ->
@@ -148,8 +148,8 @@
         }
     }
 
-    /** Ends what still runs for a request that has its answer. */
-    private void forget(long nowNanos, RequestId request) {
+    /** Closes the open run of a request that is answered or whose caller left. */
+    private void requestEnded(long nowNanos, RequestId request) {
         if (requests.remove(request) == null) {
             return;
         }
@@ -181,7 +181,7 @@
                         0,
                         run.load,
                         run.request.fingerprint());
-        out.accept(
+        sink.accept(
                 new HostAction.RecordResult(
                         run.request.route(), server.version(), server.id(), result));
     }
--- a/src/main/java/org/orioleshed/host/package-info.java
+++ b/src/main/java/org/orioleshed/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of one entry host, put together: events in, actions out, time given. Adapters
- * around it bring sockets, HTTP and the store.
+ * The decisions of one entry host as a single state machine that turns events and the current time
+ * into actions. Adapters supply sockets, HTTP and the store.
  */
 package org.orioleshed.host;
--- a/src/test/java/org/orioleshed/host/GivenUpClaimTest.java
+++ b/src/test/java/org/orioleshed/host/AbandonedClaimTest.java
@@ -18,11 +18,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests of {@link HostCore}: a call whose claim was not written in time is "not run", and its
- * resend at another host runs, also when the first host can't be asked any more.
+ * Guards against a call that never runs: its claim was not written in time, the caller got "not
+ * run", and the resend at another host must run although the first host is no longer reachable.
  */
-public class GivenUpClaimTest {
-    private static final Outcome STORE_AWAY = new Outcome.NotRun(NotRunReason.STORE_AWAY, 1_000);
+public class AbandonedClaimTest {
+    private static final Outcome STORE_UNAVAILABLE =
+            new Outcome.NotRun(NotRunReason.STORE_AWAY, 1_000);
     private static final Outcome ANSWERED = new Outcome.Answered(0, Payload.of("k"));
 
     private FakeFleet fleet;
@@ -34,37 +35,40 @@
         fleet.settle();
     }
 
-    /** Returns the host that writes the claims on the key "k". */
+    /** Returns the host that writes the claims for the key "k". */
     private Node writer() {
-        Node asker = fleet.nodes.getFirst();
-        fleet.send(asker, fleet.call(asker, "k", false, 1));
-        Optional<HostId> asked =
-                fleet.underWay.stream()
-                        .filter(GivenUpClaimTest::asksForAClaim)
+        Node receiver = fleet.nodes.getFirst();
+        fleet.send(receiver, fleet.call(receiver, "k", false, 1));
+        Optional<HostId> claimWriter =
+                fleet.inFlight.stream()
+                        .filter(AbandonedClaimTest::isClaimRequest)
                         .map(delivery -> delivery.to().id)
                         .findFirst();
         makeFleet();
-        HostId id = asked.orElse(asker.id);
+        HostId id = claimWriter.orElse(receiver.id);
         return fleet.nodes.stream().filter(node -> node.id.equals(id)).findFirst().orElseThrow();
     }
 
-    private static boolean asksForAClaim(FakeFleet.Delivery delivery) {
+    private static boolean isClaimRequest(FakeFleet.Delivery delivery) {
         return delivery.event() instanceof HostEvent.RequestReceived received
                 && received.message() instanceof RequestMessage.ClaimRequested;
     }
 
-    private Node besides(Node... known) {
-        Set<Node> all = Set.of(known);
-        return fleet.nodes.stream().filter(node -> !all.contains(node)).findFirst().orElseThrow();
+    private Node nodeOtherThan(Node... excluded) {
+        Set<Node> excludedNodes = Set.of(excluded);
+        return fleet.nodes.stream()
+                .filter(node -> !excludedNodes.contains(node))
+                .findFirst()
+                .orElseThrow();
     }
 
     private void deliverAll() {
-        while (!fleet.underWay.isEmpty()) {
+        while (!fleet.inFlight.isEmpty()) {
             fleet.deliver(0);
         }
     }
 
-    /** Lets time pass until a call is answered; no call on the store is answered meanwhile. */
+    /** Advances the clock until a call is answered, without answering store calls. */
     private void awaitOutcome(RequestId call) {
         for (int i = 0; i < 100 && fleet.outcome(call) == null; i++) {
             fleet.tick(20);
@@ -83,34 +87,34 @@
         return fleet.outcome(resend);
     }
 
-    private int runs() {
-        return fleet.promises.unrepeatableRuns(new RequestKey(FakeFleet.WORKSPACE, "k"));
+    private int unrepeatableRuns() {
+        return fleet.invariants.unrepeatableRuns(new RequestKey(FakeFleet.WORKSPACE, "k"));
     }
 
     @Test
-    public void resendRunsWhenTheWriterStoodStillAndTheFirstHostIsHeldForDead() {
+    public void resendRunsWhenTheWriterPausedAndTheFirstHostIsDeclaredDead() {
         Node writer = writer();
         int number = fleet.nodes.indexOf(writer);
         Node first = fleet.nodes.get((number + 1) % 3);
         Node other = fleet.nodes.get((number + 2) % 3);
         writer.paused = true;
         RequestId call = fleet.send(first, fleet.call(first, "k", false, 10_000));
-        assertTrue(fleet.underWay.stream().anyMatch(GivenUpClaimTest::asksForAClaim));
+        assertTrue(fleet.inFlight.stream().anyMatch(AbandonedClaimTest::isClaimRequest));
         awaitOutcome(call);
-        assertEquals(fleet.outcome(call), STORE_AWAY);
+        assertEquals(fleet.outcome(call), STORE_UNAVAILABLE);
         fleet.storeCalls.clear();
         first.paused = true;
         writer.paused = false;
         fleet.settle();
         fleet.feed(other, new HostEvent.FleetChanged(fleet.snapshot(Set.of(first.id))));
         assertEquals(resend(other), ANSWERED);
-        assertEquals(runs(), 1);
+        assertEquals(unrepeatableRuns(), 1);
     }
 
     @Test
-    public void resendRunsWhenTheClaimLandedUnheardOfBeforeTheFirstHostLeft() {
+    public void resendRunsWhenTheClaimWriteWasUnconfirmedBeforeTheFirstHostDrained() {
         Node first = writer();
-        Node other = besides(first);
+        Node other = nodeOtherThan(first);
         RequestId call = fleet.send(first, fleet.call(first, "k", false, 10_000));
         fleet.answerStore(0, 0);
         deliverAll();
@@ -123,9 +127,9 @@
             }
             deliverAll();
         }
-        assertEquals(fleet.outcome(call), STORE_AWAY);
+        assertEquals(fleet.outcome(call), STORE_UNAVAILABLE);
         fleet.feed(first, new HostEvent.DrainRequested());
-        assertTrue(fleet.drained.isEmpty(), "left while its claim may stand in the store");
+        assertTrue(fleet.drained.isEmpty(), "drained while its claim may be in the store");
         for (int i = 0; i < 100 && fleet.drained.isEmpty(); i++) {
             fleet.settle();
             fleet.tick(20);
@@ -134,6 +138,6 @@
         fleet.crash(first);
         fleet.publishFleet(Set.of(first.id));
         assertEquals(resend(other), ANSWERED);
-        assertEquals(runs(), 1);
+        assertEquals(unrepeatableRuns(), 1);
     }
 }
--- a/src/test/java/org/orioleshed/host/FakeEngines.java
+++ b/src/test/java/org/orioleshed/host/FakeEngines.java
@@ -13,19 +13,19 @@
 import org.orioleshed.model.ServerId;
 import org.orioleshed.routing.RunEnd;
 
-/** Engines whose answer is a pure function of the body: {@link #length} tokens of known text. */
+/** Engines whose answer depends on the body only: {@link #length} tokens of predictable text. */
 final class FakeEngines {
-    /** Every run that an engine took, live or not. */
+    /** Every run that an engine accepted, live or ended. */
     final Set<RunId> started = new HashSet<>();
 
     final Set<RequestId> startedRequests = new HashSet<>();
 
-    /** Runs that were cancelled before they came. */
+    /** Cancelled runs; cancelling a run before its start makes the engine refuse it. */
     private final Set<RunId> cancelled = new HashSet<>();
 
     final Map<RunId, Run> live = new LinkedHashMap<>();
 
-    /** One run on an engine, and the process that reads it. */
+    /** A run on an engine, and the host process that reads its tokens. */
     static final class Run {
         final ServerId server;
         final HostId reader;
@@ -51,13 +51,15 @@
         return Payload.of(body.text() + "." + offset + " ");
     }
 
-    /** Starts a run, or returns the engine's refusal. */
+    /** Starts a run, or refuses one that was started or cancelled before. */
     List<HostEvent> start(HostAction.StartRun action, HostId reader, long incarnation) {
         RunId run = action.run();
         if (cancelled.contains(run) || !started.add(run)) {
             return List.of(
                     new HostEvent.RunEnded(
-                            run, action.server(), new RunEnd.EngineError(true, "run id twice")));
+                            run,
+                            action.server(),
+                            new RunEnd.EngineError(true, "duplicate or cancelled run id")));
         }
         startedRequests.add(run.request());
         live.put(
@@ -71,41 +73,42 @@
         return List.of(new HostEvent.RunAccepted(run, action.server()));
     }
 
-    /** Makes the next token of a run, or its end. */
+    /** Produces the next token of a run, or its end. */
     List<HostEvent> step(RunId run) {
-        Run at = live.get(run);
-        if (at.paused) {
+        Run state = live.get(run);
+        if (state.paused) {
             return List.of();
         }
-        int length = length(at.body);
-        if (at.next >= length) {
+        int length = length(state.body);
+        if (state.next >= length) {
             live.remove(run);
-            return List.of(new HostEvent.RunEnded(run, at.server, new RunEnd.Finished(length)));
+            return List.of(new HostEvent.RunEnded(run, state.server, new RunEnd.Finished(length)));
         }
-        int offset = at.next++;
-        return List.of(new HostEvent.RunTokens(run, at.server, offset, 1, token(at.body, offset)));
+        int offset = state.next++;
+        return List.of(
+                new HostEvent.RunTokens(run, state.server, offset, 1, token(state.body, offset)));
     }
 
-    /** Cancels a run; an engine answers in the same way when it is not there. */
+    /** Cancels a run; the answer is the same if there is no such run. */
     HostEvent cancel(RunId run, ServerId server) {
         cancelled.add(run);
         live.remove(run);
         return new HostEvent.RunEnded(run, server, new RunEnd.Cancelled(0));
     }
 
-    /** Crashes a server; returns its runs. */
+    /** Returns the live runs of a server that crashes. */
     List<RunId> crash(ServerId server) {
         List<RunId> lost = new ArrayList<>();
         live.forEach(
-                (run, at) -> {
-                    if (at.server.equals(server)) {
+                (run, state) -> {
+                    if (state.server.equals(server)) {
                         lost.add(run);
                     }
                 });
         return lost;
     }
 
-    /** Returns how many runs of one request are live. */
+    /** Returns the number of live runs of a request. */
     long liveRuns(RequestId request) {
         return live.keySet().stream().filter(run -> run.request().equals(request)).count();
     }
--- a/src/test/java/org/orioleshed/host/FakeFleet.java
+++ b/src/test/java/org/orioleshed/host/FakeFleet.java
@@ -41,8 +41,9 @@
 import org.orioleshed.routing.RunEnd;
 
 /**
- * Three entry hosts' cores over fakes, and one list of messages under way. The test decides which
- * of them arrives, and when time passes. {@link Promises} are checked at each action.
+ * The cores of three entry hosts, with fakes around them and one list of messages in flight. The
+ * test chooses which message is delivered next, and advances the clock. {@link Invariants} are
+ * checked after each action.
  */
 final class FakeFleet {
     static final RouteId MODEL_ROUTE = new RouteId("gangway");
@@ -52,13 +53,13 @@
             List.of(new FailureDomain("a"), new FailureDomain("b"), new FailureDomain("b"));
 
     final List<Node> nodes = new ArrayList<>();
-    final List<Delivery> underWay = new ArrayList<>();
+    final List<Delivery> inFlight = new ArrayList<>();
     final List<Call> calls = new ArrayList<>();
     final List<StoreCall> storeCalls = new ArrayList<>();
     final FakeEngines engines = new FakeEngines();
     final FakeStore store = new FakeStore();
     final Trace trace = new Trace();
-    final Promises promises = new Promises(engines, trace);
+    final Invariants invariants = new Invariants(engines, trace);
     final Map<ServerId, BackendServer> servers = new LinkedHashMap<>();
     final Map<RouteId, VersionSplit> splits = new HashMap<>();
     final Map<Long, RequestStatus> statuses = new HashMap<>();
@@ -68,7 +69,7 @@
     long nowNanos = TimeUnit.SECONDS.toNanos(1);
     int maxWaiting = 1_000;
 
-    /** One entry host's process. */
+    /** The process of an entry host. */
     static final class Node {
         final HostId id;
         final FailureDomain domain;
@@ -84,13 +85,13 @@
         }
     }
 
-    /** A message under way. */
+    /** A message in flight. */
     record Delivery(Node to, long incarnation, HostEvent event) {}
 
-    /** A call on a plain service that has not ended. */
+    /** A call to a plain service that has not ended. */
     record Call(Node from, long incarnation, HostAction.CallService action) {}
 
-    /** A call on the store that has not been answered. */
+    /** A call to the store that has not been answered. */
     record StoreCall(Node from, long incarnation, HostAction action) {}
 
     FakeFleet(long seed) {
@@ -108,7 +109,7 @@
             Node node = new Node(new HostId("h" + i), DOMAINS.get(i));
             nodes.add(node);
         }
-        nodes.forEach(this::boot);
+        nodes.forEach(this::startCore);
     }
 
     void addServer(
@@ -130,13 +131,13 @@
                         false));
     }
 
-    private void boot(Node node) {
+    private void startCore(Node node) {
         Random random = new Random(seed * 31 + nodes.indexOf(node) + 7 * node.incarnation);
         node.core = new HostCore(node.id, node.domain, node.incarnation, limits, random);
         feed(node, new HostEvent.FleetChanged(snapshot(Set.of())));
     }
 
-    /** Returns the fleet snapshot with all hosts but {@code missing}. */
+    /** Returns the fleet snapshot with all hosts except {@code missing}. */
     FleetSnapshot snapshot(Set<HostId> missing) {
         Map<HostId, EntryHost> hosts = new LinkedHashMap<>();
         for (Node node : nodes) {
@@ -219,29 +220,29 @@
     }
 
     RequestId send(Node node, Request request) {
-        promises.arrived(node, request);
+        invariants.requestArrived(node, request);
         feed(node, new HostEvent.RequestArrived(request));
         return request.id();
     }
 
-    /** Hands an event to a host at once, and does what it decides. */
+    /** Delivers an event to a host immediately, and executes the resulting actions. */
     void feed(Node node, HostEvent event) {
         if (!node.up || node.paused) {
             return;
         }
         trace.add(nowNanos, node.id, event);
-        act(node, node.core.on(nowNanos, event));
+        execute(node, node.core.on(nowNanos, event));
     }
 
-    void act(Node node, List<HostAction> actions) {
+    void execute(Node node, List<HostAction> actions) {
         for (HostAction action : actions) {
             trace.add(nowNanos, node.id, action);
-            promises.acted(node, action);
+            invariants.onAction(node, action);
             switch (action) {
                 case HostAction.SendRouting send ->
-                        post(send.to(), new HostEvent.RoutingReceived(node.id, send.message()));
+                        sendTo(send.to(), new HostEvent.RoutingReceived(node.id, send.message()));
                 case HostAction.SendRequest send ->
-                        post(send.to(), new HostEvent.RequestReceived(node.id, send.message()));
+                        sendTo(send.to(), new HostEvent.RequestReceived(node.id, send.message()));
                 case HostAction.StartRun start ->
                         engines.start(start, node.id, node.incarnation)
                                 .forEach(event -> reply(node, event));
@@ -261,27 +262,27 @@
                         storeCalls.add(new StoreCall(node, node.incarnation, swap));
                 case HostAction.WriteTokens write ->
                         reply(node, new HostEvent.CallerConsumed(write.request(), write.count()));
-                case HostAction.ReplyStatus tell -> statuses.put(tell.ticket(), tell.status());
+                case HostAction.ReplyStatus reply -> statuses.put(reply.ticket(), reply.status());
                 case HostAction.Answer answer -> {}
                 case HostAction.Log log -> {}
                 case HostAction.RecordResult observe -> {}
                 case HostAction.Drained done -> drained.add(done);
             }
         }
-        promises.check();
+        invariants.check();
     }
 
-    private void post(HostId to, HostEvent event) {
+    private void sendTo(HostId to, HostEvent event) {
         Node node = nodes.stream().filter(n -> n.id.equals(to)).findFirst().orElseThrow();
-        underWay.add(new Delivery(node, node.incarnation, event));
+        inFlight.add(new Delivery(node, node.incarnation, event));
     }
 
     private void reply(Node node, HostEvent event) {
-        underWay.add(new Delivery(node, node.incarnation, event));
+        inFlight.add(new Delivery(node, node.incarnation, event));
     }
 
     void deliver(int index) {
-        deliver(underWay.remove(index));
+        deliver(inFlight.remove(index));
     }
 
     void deliver(Delivery delivery) {
@@ -290,13 +291,13 @@
         }
     }
 
-    /** Answers the oldest calls on the store, and delivers messages, until nothing is left. */
+    /** Delivers messages and answers store calls, oldest first, until none is left. */
     void settle() {
         for (int i = 0; i < 10_000; i++) {
-            int paused = (int) underWay.stream().filter(d -> d.to.paused).count();
-            if (underWay.size() > paused) {
+            int paused = (int) inFlight.stream().filter(d -> d.to.paused).count();
+            if (inFlight.size() > paused) {
                 int next = 0;
-                while (underWay.get(next).to.paused) {
+                while (inFlight.get(next).to.paused) {
                     next++;
                 }
                 deliver(next);
@@ -306,10 +307,10 @@
                 return;
             }
         }
-        throw new AssertionError("the fleet does not come to rest");
+        throw new AssertionError("messages and store calls still pending after 10000 steps");
     }
 
-    /** Answers a call on the store: 0 truly, 1 with a lost answer, 2 refused. */
+    /** Answers a store call: fault 0 applied, 1 applied with its answer lost, 2 refused. */
     void answerStore(int index, int fault) {
         StoreCall call = storeCalls.remove(index);
         StoreAnswer answer =
@@ -319,7 +320,7 @@
                         store.apply(call.action);
                         yield new StoreAnswer.Unknown("lost");
                     }
-                    default -> new StoreAnswer.Unavailable("away");
+                    default -> new StoreAnswer.Unavailable("unavailable");
                 };
         long ticket =
                 switch (call.action) {
@@ -327,58 +328,62 @@
                     case HostAction.CompareAndSwap swap -> swap.ticket();
                     default -> throw new IllegalStateException();
                 };
-        underWay.add(
+        inFlight.add(
                 new Delivery(
                         call.from, call.incarnation, new HostEvent.StoreAnswered(ticket, answer)));
     }
 
-    /** Ends a call on a service: 0 answered, 1 never sent, 2 ran and broke, 3 broke unrun. */
-    void endCall(int index, int how) {
+    /** Ends a service call: 0 answered, 1 never sent, 2 ran but broke, 3 broke without running. */
+    void endCall(int index, int ending) {
         Call call = calls.remove(index);
         HostAction.CallService action = call.action;
-        if (how == 0 || how == 2) {
-            promises.ran(action);
+        if (ending == 0 || ending == 2) {
+            invariants.serviceRan(action);
         }
         CallEnd end =
-                switch (how) {
+                switch (ending) {
                     case 0 -> new CallEnd.Answered(200, action.body());
                     case 1 -> new CallEnd.NeverSent("refused");
                     default -> new CallEnd.Broken("silent");
                 };
-        underWay.add(
+        inFlight.add(
                 new Delivery(
                         call.from,
                         call.incarnation,
                         new HostEvent.CallEnded(action.run(), action.server(), end)));
     }
 
-    /** Lets a run make its next token; a run whose reader is gone ends at its next write. */
+    /** Produces the next token of a run; a run whose reader is gone ends instead. */
     void stepEngine(int index) {
         RunId run = List.copyOf(engines.live.keySet()).get(index);
-        FakeEngines.Run at = engines.live.get(run);
-        Node reader = nodes.stream().filter(n -> n.id.equals(at.reader)).findFirst().orElseThrow();
-        if (!reader.up || reader.incarnation != at.incarnation) {
+        FakeEngines.Run state = engines.live.get(run);
+        Node reader =
+                nodes.stream().filter(n -> n.id.equals(state.reader)).findFirst().orElseThrow();
+        if (!reader.up || reader.incarnation != state.incarnation) {
             engines.live.remove(run);
             return;
         }
         engines.step(run).forEach(event -> reply(reader, event));
     }
 
-    /** Breaks a run off; with {@code ends} the engine is known to be done with it. */
+    /** Breaks the connection of a run; {@code ends} states that the run has ended on the engine. */
     void breakRun(RunId run, boolean crashed, boolean ends) {
-        FakeEngines.Run at = engines.live.get(run);
-        Node reader = nodes.stream().filter(n -> n.id.equals(at.reader)).findFirst().orElseThrow();
+        FakeEngines.Run state = engines.live.get(run);
+        Node reader =
+                nodes.stream().filter(n -> n.id.equals(state.reader)).findFirst().orElseThrow();
         if (ends) {
             engines.live.remove(run);
         }
         RunEnd end = new RunEnd.Broken(crashed, ends);
-        deliver(new Delivery(reader, at.incarnation, new HostEvent.RunEnded(run, at.server, end)));
+        deliver(
+                new Delivery(
+                        reader, state.incarnation, new HostEvent.RunEnded(run, state.server, end)));
     }
 
     void crash(Node node) {
         node.up = false;
-        promises.crashed(node);
-        underWay.removeIf(delivery -> delivery.to == node);
+        invariants.hostCrashed(node);
+        inFlight.removeIf(delivery -> delivery.to == node);
     }
 
     void restart(Node node) {
@@ -386,7 +391,7 @@
         node.paused = false;
         node.incarnation++;
         node.sequence = 0;
-        boot(node);
+        startCore(node);
     }
 
     static boolean isLink(HostEvent event) {
@@ -399,12 +404,12 @@
         nodes.forEach(node -> feed(node, new HostEvent.Tick()));
     }
 
-    /** Tells all hosts the same fleet snapshot. */
+    /** Sends all hosts the same fleet snapshot. */
     void publishFleet(Set<HostId> missing) {
         nodes.forEach(node -> feed(node, new HostEvent.FleetChanged(snapshot(missing))));
     }
 
-    /** Lets everything run well until nothing is under way. */
+    /** Runs without further faults until nothing is in progress. */
     void finish() {
         int idle = 0;
         for (int i = 0; i < 2_000 && idle < 3; i++) {
@@ -420,7 +425,7 @@
             settle();
             tick(50);
             boolean done =
-                    underWay.isEmpty()
+                    inFlight.isEmpty()
                             && engines.live.isEmpty()
                             && nodes.stream().allMatch(node -> node.core.requests() == 0);
             idle = done ? idle + 1 : 0;
@@ -428,6 +433,6 @@
     }
 
     Outcome outcome(RequestId request) {
-        return promises.outcome(request);
+        return invariants.outcome(request);
     }
 }
--- a/src/test/java/org/orioleshed/host/FakeStore.java
+++ b/src/test/java/org/orioleshed/host/FakeStore.java
@@ -6,21 +6,21 @@
 import org.orioleshed.host.HostEvent.StoreAnswer;
 import org.orioleshed.model.Payload;
 
-/** A key-value store with compare-and-swap, in memory. */
+/** An in-memory key-value store with compare-and-swap. */
 public final class FakeStore {
     private final Map<String, Entry> entries = new HashMap<>();
     private long revision;
 
-    /** Reads so far. */
+    /** The number of reads. */
     public int reads;
 
-    /** Writes so far, conflicts included. */
+    /** The number of writes, conflicts included. */
     public int writes;
 
-    /** Bytes written so far. */
+    /** The number of bytes written. */
     public long bytesWritten;
 
-    /** The size of the largest value. */
+    /** The size of the largest value, in bytes. */
     public int largestValue;
 
     private record Entry(Payload value, long revision) {}
@@ -36,9 +36,10 @@
     StoreAnswer swap(HostAction.CompareAndSwap swap) {
         writes++;
         Entry entry = entries.get(swap.key());
-        long present = entry == null ? 0 : entry.revision;
-        if (present != swap.expectedRevision()) {
-            return new StoreAnswer.Conflict(Optional.ofNullable(entry).map(Entry::value), present);
+        long currentRevision = entry == null ? 0 : entry.revision;
+        if (currentRevision != swap.expectedRevision()) {
+            return new StoreAnswer.Conflict(
+                    Optional.ofNullable(entry).map(Entry::value), currentRevision);
         }
         revision++;
         entries.put(swap.key(), new Entry(swap.value(), revision));
@@ -47,12 +48,12 @@
         return new StoreAnswer.Swapped(revision);
     }
 
-    /** Does a call on the store. */
+    /** Executes a store call. */
     public StoreAnswer apply(HostAction action) {
         return switch (action) {
             case HostAction.ReadStore read -> read(read.key());
             case HostAction.CompareAndSwap swap -> swap(swap);
-            default -> throw new IllegalArgumentException("no call on the store: " + action);
+            default -> throw new IllegalArgumentException("not a store call: " + action);
         };
     }
 }
--- a/src/test/java/org/orioleshed/host/HostCorePolicyTest.java
+++ b/src/test/java/org/orioleshed/host/HostCorePolicyTest.java
@@ -24,7 +24,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests of what {@link HostCore} does about load, bad versions and content that crashes servers.
+ * Guards against urgent requests shed under load, requests lost to a bad version, and content that
+ * crashes one server after another.
  */
 public class HostCorePolicyTest {
     private FakeFleet fleet;
@@ -58,7 +59,7 @@
                 .orElseThrow();
     }
 
-    private void waitUntilItRuns(RequestId request) {
+    private void awaitRun(RequestId request) {
         for (int i = 0; i < 200 && fleet.engines.liveRuns(request) == 0; i++) {
             fleet.tick(20);
             fleet.settle();
@@ -66,10 +67,10 @@
     }
 
     @Test
-    public void contentThatCrashedTwoServersIsHeldOnAllHostsUnderAnyKey() {
+    public void contentThatCrashedTwoServersIsQuarantinedOnAllHostsUnderAnyKey() {
         RequestId id = send("k", "bad", Tier.URGENT);
         crashServerOf(id);
-        waitUntilItRuns(id);
+        awaitRun(id);
         fleet.tick(6_000);
         crashServerOf(id);
         fleet.tick(2_000);
@@ -85,7 +86,7 @@
             assertEquals(fleet.outcome(again), new Outcome.NotRun(Outcome.NotRunReason.POISON, -1));
         }
         assertEquals(host.core.poison(fleet.nowNanos).size(), 1);
-        fleet.act(host, host.core.releasePoison(fleet.promises.request(id).fingerprint()));
+        fleet.execute(host, host.core.releasePoison(fleet.invariants.request(id).fingerprint()));
         fleet.settle();
         RequestId released = send("newer", "bad", Tier.URGENT);
         fleet.finish();
@@ -93,19 +94,19 @@
     }
 
     @Test
-    public void contentThatSharedACrashedServerIsClearedByItsSuccess() {
-        RequestId innocent = send("k", "good", Tier.URGENT);
-        crashServerOf(innocent);
+    public void suspectedContentIsClearedWhenItSucceeds() {
+        RequestId suspected = send("k", "good", Tier.URGENT);
+        crashServerOf(suspected);
         assertEquals(host.core.poison(fleet.nowNanos).size(), 1);
         fleet.finish();
-        assertTrue(fleet.outcome(innocent) instanceof Outcome.Answered);
+        assertTrue(fleet.outcome(suspected) instanceof Outcome.Answered);
         for (Node node : fleet.nodes) {
             assertEquals(node.core.poison(fleet.nowNanos), List.of());
         }
     }
 
     @Test
-    public void newVersionThatFailsBeforeAnyTokenIsLeftForTheOldOne() {
+    public void requestRetriesOnOldVersionWhenNewVersionFailsBeforeAnyToken() {
         Target model = new Target.Model(new ModelId("letters"));
         fleet.addServer("m3", FakeFleet.DOMAINS.getFirst(), model, "v2", true);
         VersionSplit split = new VersionSplit(new VersionId("v1"), new VersionId("v2"), 1);
@@ -120,7 +121,7 @@
                 new HostEvent.RunEnded(
                         run, new ServerId("m3"), new RunEnd.EngineError(false, "bad version")));
         fleet.settle();
-        waitUntilItRuns(id);
+        awaitRun(id);
         assertFalse(serverOf(id).equals(new ServerId("m3")));
         fleet.finish();
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
@@ -130,7 +131,7 @@
         return fleet.nodes.stream()
                 .filter(n -> n.domain.equals(FakeFleet.DOMAINS.getFirst()))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no home for " + run));
+                .orElseThrow(() -> new AssertionError("no owner for " + run));
     }
 
     @Test
@@ -198,11 +199,11 @@
     public void statusIsFoundFromAnyHost() {
         RequestId id = send("k", "x", Tier.URGENT);
         Node other = fleet.nodes.get(2);
-        fleet.feed(other, new HostEvent.StatusRequested(1, fleet.promises.request(id).key()));
+        fleet.feed(other, new HostEvent.StatusRequested(1, fleet.invariants.request(id).key()));
         fleet.settle();
         assertEquals(fleet.statuses.get(1L), new RequestStatus.Pending());
         fleet.finish();
-        fleet.feed(other, new HostEvent.StatusRequested(2, fleet.promises.request(id).key()));
+        fleet.feed(other, new HostEvent.StatusRequested(2, fleet.invariants.request(id).key()));
         fleet.settle();
         assertEquals(fleet.statuses.get(2L), new RequestStatus.Final(fleet.outcome(id)));
         fleet.feed(
--- a/src/test/java/org/orioleshed/host/HostCoreTest.java
+++ b/src/test/java/org/orioleshed/host/HostCoreTest.java
@@ -23,7 +23,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link HostCore}: one promise, one fault at a time. */
+/**
+ * Guards against requests that run twice, lose their answer or get a false "not run" when one fault
+ * occurs: a lost message, a dead or restarted host, an unavailable store, a drain.
+ */
 public class HostCoreTest {
     private FakeFleet fleet;
     private Node host;
@@ -40,7 +43,7 @@
         return new RequestKey(FakeFleet.WORKSPACE, key);
     }
 
-    private void passMillis(int millis) {
+    private void advanceMillis(int millis) {
         for (int i = 0; i < millis; i += 20) {
             fleet.settle();
             fleet.tick(20);
@@ -48,11 +51,11 @@
     }
 
     @DataProvider
-    Object[][] works() {
+    Object[][] workKinds() {
         return new Object[][] {{0}, {1}, {2}};
     }
 
-    @Test(dataProvider = "works")
+    @Test(dataProvider = "workKinds")
     public void answersWhenNothingFails(int work) {
         RequestId id =
                 switch (work) {
@@ -72,7 +75,7 @@
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
         fleet.finish();
         assertEquals(fleet.outcome(resend), new Outcome.Answered(0, Payload.of("k")));
-        assertEquals(fleet.promises.unrepeatableRuns(key("k")), 1);
+        assertEquals(fleet.invariants.unrepeatableRuns(key("k")), 1);
     }
 
     @Test
@@ -89,7 +92,7 @@
     }
 
     @Test
-    public void resendAfterDoubtGetsTheOutcomeThatWasRecordedMeanwhile() {
+    public void resendAfterInDoubtGetsTheOutcomeRecordedMeanwhile() {
         fleet.send(host, fleet.call(host, "k", false, 30_000));
         fleet.settle();
         Node other = fleet.nodes.get(1);
@@ -103,15 +106,15 @@
         RequestId later = fleet.send(other, fleet.call(other, "k", false, 10_000));
         fleet.finish();
         assertEquals(fleet.outcome(later), new Outcome.Answered(0, Payload.of("k")));
-        assertEquals(fleet.promises.unrepeatableRuns(key("k")), 1);
+        assertEquals(fleet.invariants.unrepeatableRuns(key("k")), 1);
     }
 
     @Test
-    public void unrepeatableCallIsNotRunPromptlyWhileTheStoreIsAway() {
+    public void unrepeatableCallIsAnsweredNotRunPromptlyWhileTheStoreIsUnavailable() {
         RequestId call = fleet.send(host, fleet.call(host, "k", false, 10_000));
         RequestId model = fleet.send(host, fleet.generate(host, "m", "x", Tier.URGENT, 10_000));
         for (int i = 0; i < 60 && fleet.outcome(call) == null; i++) {
-            while (!fleet.underWay.isEmpty()) {
+            while (!fleet.inFlight.isEmpty()) {
                 fleet.deliver(0);
             }
             while (!fleet.storeCalls.isEmpty()) {
@@ -138,7 +141,7 @@
         fleet.settle();
         fleet.stepEngine(0);
         fleet.settle();
-        assertEquals(fleet.promises.tokens(id), 1);
+        assertEquals(fleet.invariants.tokens(id), 1);
         fleet.crash(host);
         fleet.servers.put(other.id(), other);
         fleet.publishFleet(Set.of(host.id));
@@ -155,9 +158,9 @@
         return cases.toArray(Object[][]::new);
     }
 
-    /** Whichever hosts keep the key's entry, the dead one among them or not. */
+    /** Covers keys whose entry is kept by the dead host and keys whose entry is kept by others. */
     @Test(dataProvider = "keysAndHosts")
-    public void resendDoesNotRunBesideTheRunThatADeadHostLeft(String key, int first, int second) {
+    public void resendDoesNotRunWhileARunOfADeadHostIsLive(String key, int first, int second) {
         Node dead = fleet.nodes.get(first);
         Node other = fleet.nodes.get(second);
         fleet.send(dead, fleet.generate(dead, key, "x", Tier.URGENT, 20_000));
@@ -176,18 +179,18 @@
     }
 
     @Test
-    public void callerWhoLeavesIsCancelledAtOnce() {
+    public void runIsCancelledWhenItsCallerLeaves() {
         RequestId id = fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 20_000));
         fleet.settle();
         assertEquals(fleet.engines.live.size(), 1);
-        fleet.promises.left(id);
+        fleet.invariants.callerLeft(id);
         fleet.feed(host, new HostEvent.CallerGone(id));
         fleet.settle();
         assertEquals(fleet.engines.live.size(), 0);
     }
 
     @Test
-    public void drainAnswersWhatWaitsAndFinishesWhatRuns() {
+    public void drainRefusesNewRequestsAndFinishesRunningOnes() {
         RequestId runs = fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 20_000));
         fleet.settle();
         fleet.feed(host, new HostEvent.DrainRequested());
@@ -199,8 +202,8 @@
         assertEquals(fleet.drained.size(), 1);
     }
 
-    @Test(dataProvider = "works")
-    public void whatStillRunsWhenTheDrainIsOverGetsItsFinalAnswer(int work) {
+    @Test(dataProvider = "workKinds")
+    public void requestStillRunningAtDrainTimeoutGetsItsOutcome(int work) {
         RequestId id =
                 switch (work) {
                     case 0 -> fleet.send(host, fleet.generate(host, "k", "x", Tier.URGENT, 60_000));
@@ -220,7 +223,7 @@
         return new Object[][] {{10_000, 200}, {60_000, 800}};
     }
 
-    /** The host that drains only knows that another one sent the call. */
+    /** The draining host has only the record that another host sent the call. */
     @Test(dataProvider = "drains")
     public void drainDoesNotAnswerNotRunForACallThatRunsAtAnotherHost(
             int deadlineMillis, int waitMillis) {
@@ -229,7 +232,7 @@
         assertEquals(fleet.calls.size(), 1);
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, deadlineMillis));
-        passMillis(waitMillis);
+        advanceMillis(waitMillis);
         fleet.feed(other, new HostEvent.DrainRequested());
         assertFalse(fleet.outcome(resend) instanceof Outcome.NotRun, "" + fleet.outcome(resend));
         fleet.finish();
@@ -238,14 +241,14 @@
     }
 
     @Test
-    public void callThatRunsAtAnotherHostIsInDoubtWhenItsDeadlineIsFirst() {
+    public void callThatRunsAtAnotherHostIsInDoubtWhenItsDeadlinePassesFirst() {
         fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.settle();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 300));
-        passMillis(200);
+        advanceMillis(200);
         fleet.feed(other, new HostEvent.DrainRequested());
-        passMillis(200);
+        advanceMillis(200);
         assertTrue(fleet.outcome(resend) instanceof Outcome.InDoubt, "" + fleet.outcome(resend));
     }
 
@@ -255,8 +258,8 @@
         fleet.settle();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
-        passMillis(200);
-        fleet.promises.left(resend);
+        advanceMillis(200);
+        fleet.invariants.callerLeft(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
         fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
         fleet.settle();
@@ -269,10 +272,10 @@
         fleet.finish();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
-        fleet.promises.left(resend);
+        fleet.invariants.callerLeft(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
         fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
-        passMillis(200);
+        advanceMillis(200);
         Outcome answered = new Outcome.Answered(0, Payload.of("k"));
         assertEquals(fleet.statuses.get(7L), new RequestStatus.Final(answered));
     }
@@ -280,25 +283,25 @@
     @Test
     public void statusOfACallThatNoHostRanIsNotRun() {
         RequestId call = fleet.send(host, fleet.call(host, "k", false, 10_000));
-        fleet.promises.left(call);
+        fleet.invariants.callerLeft(call);
         fleet.feed(host, new HostEvent.CallerGone(call));
         fleet.feed(host, new HostEvent.StatusRequested(7, key("k")));
-        passMillis(1_000);
+        advanceMillis(1_000);
         Outcome notRun = new Outcome.NotRun(Outcome.NotRunReason.CALLER_GONE, 0);
         assertEquals(fleet.statuses.get(7L), new RequestStatus.Final(notRun));
     }
 
     @Test
-    public void statusIsUnknownWhereACallWasNotRunWhileTheStoreCannotBeAsked() {
+    public void statusIsUnknownWhereACallWasNotRunWhileTheStoreIsUnavailable() {
         fleet.send(host, fleet.call(host, "k", false, 10_000));
         fleet.finish();
         Node other = fleet.nodes.get(1);
         RequestId resend = fleet.send(other, fleet.call(other, "k", false, 10_000));
-        fleet.promises.left(resend);
+        fleet.invariants.callerLeft(resend);
         fleet.feed(other, new HostEvent.CallerGone(resend));
         fleet.feed(other, new HostEvent.StatusRequested(7, key("k")));
         for (int i = 0; i < 100 && fleet.statuses.isEmpty(); i++) {
-            while (!fleet.underWay.isEmpty()) {
+            while (!fleet.inFlight.isEmpty()) {
                 fleet.deliver(0);
             }
             while (!fleet.storeCalls.isEmpty()) {
@@ -335,7 +338,7 @@
     }
 
     @Test
-    public void lateCallerIsNotToldNotRunWhileAnotherWaitsWithTheSameKey() {
+    public void expiredRequestIsNotAnsweredNotRunWhileAnotherWaitsWithTheSameKey() {
         Map<ServerId, BackendServer> servers = Map.copyOf(fleet.servers);
         fleet.servers.clear();
         fleet.publishFleet(Set.of());
@@ -371,9 +374,9 @@
         boolean lost = false;
         while (fleet.outcome(id) == null) {
             if (!lost) {
-                lost = fleet.underWay.removeIf(d -> isRouting(d.event(), kind));
+                lost = fleet.inFlight.removeIf(d -> isRouting(d.event(), kind));
             }
-            if (!fleet.underWay.isEmpty()) {
+            if (!fleet.inFlight.isEmpty()) {
                 fleet.deliver(0);
             } else if (!fleet.engines.live.isEmpty()) {
                 fleet.stepEngine(0);
@@ -386,18 +389,18 @@
         assertTrue(fleet.nowNanos - start < 6_000_000_000L, "" + (fleet.nowNanos - start));
     }
 
-    /** Peers repeat a body whose receipt was not confirmed, also to a process started anew. */
+    /** Peers resend a body whose receipt was not confirmed, also to a restarted process. */
     @Test
-    public void requestIsNotNotRunWhenItsBodyComesAgainToTheRestartedOwnerOfItsRun() {
+    public void requestIsNotAnsweredNotRunWhenTheRestartedOwnerReceivesItsBodyAgain() {
         Node accepting = fleet.nodes.get(1);
         fleet.servers.remove(new ServerId("m2"));
         fleet.publishFleet(Set.of());
         RequestId id =
                 fleet.send(accepting, fleet.generate(accepting, "k", "x", Tier.URGENT, 20_000));
-        while (!isRouting(fleet.underWay.getFirst().event(), RoutingMessage.Placed.class)) {
+        while (!isRouting(fleet.inFlight.getFirst().event(), RoutingMessage.Placed.class)) {
             fleet.deliver(0);
         }
-        HostEvent body = fleet.underWay.getFirst().event();
+        HostEvent body = fleet.inFlight.getFirst().event();
         fleet.settle();
         assertEquals(fleet.engines.live.size(), 1);
         fleet.crash(host);
@@ -409,9 +412,9 @@
         assertTrue(fleet.outcome(id) instanceof Outcome.Answered, "" + fleet.outcome(id));
     }
 
-    /** The owner of its run restarted, asked for the body once more, and got it too late. */
+    /** The owner of the run restarts, requests the body again, and receives it too late. */
     @Test
-    public void requestIsNotNotRunWhenOnlyItsSecondBodyWasNeverStarted() {
+    public void requestIsNotAnsweredNotRunWhenOnlyItsResentBodyWasNeverStarted() {
         Node accepting = fleet.nodes.get(1);
         fleet.servers.remove(new ServerId("m2"));
         fleet.publishFleet(Set.of());
@@ -422,7 +425,7 @@
         fleet.crash(host);
         fleet.restart(host);
         for (int i = 0; i < 200 && !bodyIsNext(); i++) {
-            if (fleet.underWay.isEmpty()) {
+            if (fleet.inFlight.isEmpty()) {
                 fleet.tick(20);
             } else {
                 fleet.deliver(0);
@@ -437,8 +440,8 @@
     }
 
     private boolean bodyIsNext() {
-        return !fleet.underWay.isEmpty()
-                && isRouting(fleet.underWay.getFirst().event(), RoutingMessage.Placed.class);
+        return !fleet.inFlight.isEmpty()
+                && isRouting(fleet.inFlight.getFirst().event(), RoutingMessage.Placed.class);
     }
 
     private static boolean isRouting(HostEvent event, Class<?> kind) {
--- a/src/test/java/org/orioleshed/host/Promises.java
+++ b/src/test/java/org/orioleshed/host/Invariants.java
@@ -14,52 +14,56 @@
 import org.orioleshed.model.RunId;
 import org.orioleshed.model.Work;
 
-/** What must hold at every moment, seen from outside the cores. */
-final class Promises {
+/**
+ * Invariants checked from outside the cores: an unrepeatable call runs at most once, a request has
+ * at most one live run and one outcome, "not run" means that it never ran, and tokens reach the
+ * caller in order.
+ */
+final class Invariants {
     private final FakeEngines engines;
     private final Trace trace;
     private final Map<RequestId, Caller> callers = new HashMap<>();
     private final Map<RequestKey, Integer> unrepeatableRuns = new HashMap<>();
     private final Set<RequestId> serviceRequests = new HashSet<>();
 
-    Promises(FakeEngines engines, Trace trace) {
+    Invariants(FakeEngines engines, Trace trace) {
         this.engines = engines;
         this.trace = trace;
     }
 
-    /** What one caller got so far. */
+    /** What one caller has received. */
     private static final class Caller {
         final Request request;
         int tokens;
         Outcome outcome;
-        boolean gone;
+        boolean disconnected;
 
         Caller(Request request) {
             this.request = request;
         }
     }
 
-    void arrived(FakeFleet.Node node, Request request) {
+    void requestArrived(FakeFleet.Node node, Request request) {
         callers.put(request.id(), new Caller(request));
         if (!node.up || node.paused) {
-            callers.get(request.id()).gone = true;
+            callers.get(request.id()).disconnected = true;
         }
     }
 
-    void left(RequestId request) {
-        callers.get(request).gone = true;
+    void callerLeft(RequestId request) {
+        callers.get(request).disconnected = true;
     }
 
-    void crashed(FakeFleet.Node node) {
+    void hostCrashed(FakeFleet.Node node) {
         for (Caller caller : callers.values()) {
             if (caller.request.id().host().equals(node.id)) {
-                caller.gone = true;
+                caller.disconnected = true;
             }
         }
     }
 
-    /** A call reached its service. */
-    void ran(HostAction.CallService call) {
+    /** Records that a call reached its service. */
+    void serviceRan(HostAction.CallService call) {
         serviceRequests.add(call.run().request());
         Caller caller = callers.get(call.run().request());
         Work.Call work = (Work.Call) caller.request.work();
@@ -70,15 +74,15 @@
         require(runs == 1, "ran twice: " + caller.request.key(), caller.request);
     }
 
-    void acted(FakeFleet.Node node, HostAction action) {
+    void onAction(FakeFleet.Node node, HostAction action) {
         switch (action) {
-            case HostAction.WriteTokens write -> wrote(write);
-            case HostAction.Answer answer -> answered(answer);
+            case HostAction.WriteTokens write -> checkTokens(write);
+            case HostAction.Answer answer -> checkAnswer(answer);
             default -> {}
         }
     }
 
-    private void wrote(HostAction.WriteTokens write) {
+    private void checkTokens(HostAction.WriteTokens write) {
         Caller caller = callers.get(write.request());
         require(caller.outcome == null, "tokens after the outcome: " + write, caller.request);
         require(
@@ -92,12 +96,12 @@
         Payload expected = Payload.of(text.toString());
         require(
                 write.text().equals(expected),
-                "not the caller's own answer: " + write,
+                "tokens differ from the expected answer: " + write,
                 caller.request);
         caller.tokens += write.count();
     }
 
-    private void answered(HostAction.Answer answer) {
+    private void checkAnswer(HostAction.Answer answer) {
         Caller caller = callers.get(answer.request());
         require(caller.outcome == null, "two outcomes: " + answer, caller.request);
         caller.outcome = answer.outcome();
@@ -106,23 +110,23 @@
         }
         if (caller.request.work() instanceof Work.Generate) {
             int length = FakeEngines.length(caller.request.body());
-            require(caller.tokens == length, "not the whole answer: " + answer, caller.request);
-            require(whole.tokens() == length, "wrong length: " + answer, caller.request);
+            require(caller.tokens == length, "incomplete answer: " + answer, caller.request);
+            require(whole.tokens() == length, "wrong token count: " + answer, caller.request);
         } else {
             require(
                     whole.body().equals(caller.request.body()),
-                    "not its own answer: " + answer,
+                    "body differs from the expected answer: " + answer,
                     caller.request);
         }
     }
 
-    /** Checks what depends on more than one action. */
+    /** Checks the invariants that span several actions. */
     void check() {
         for (Caller caller : callers.values()) {
             RequestId id = caller.request.id();
             if (caller.outcome instanceof Outcome.NotRun) {
                 boolean ran = engines.startedRequests.contains(id) || serviceRequests.contains(id);
-                require(!ran, "not run, but ran: " + id, caller.request);
+                require(!ran, "answered as not run, but ran: " + id, caller.request);
             }
         }
         Set<RequestId> live = new HashSet<>();
@@ -134,20 +138,20 @@
         }
     }
 
-    /** Checks that every caller who waits has exactly one outcome. */
+    /** Checks that every caller still connected has an outcome. */
     void checkAllAnswered() {
         for (Caller caller : callers.values()) {
             require(
-                    caller.gone || caller.outcome != null,
+                    caller.disconnected || caller.outcome != null,
                     "no outcome: " + caller.request.id() + " " + caller.request.work(),
                     caller.request);
         }
     }
 
-    /** Returns the callers who still wait, in a fixed order. */
+    /** Returns the requests of callers still waiting, in a fixed order. */
     List<RequestId> waiting() {
         return callers.values().stream()
-                .filter(caller -> !caller.gone && caller.outcome == null)
+                .filter(caller -> !caller.disconnected && caller.outcome == null)
                 .map(caller -> caller.request.id())
                 .sorted(Comparator.comparing(RequestId::toString))
                 .toList();
@@ -171,7 +175,7 @@
 
     private void require(boolean holds, String what, Request about) {
         if (!holds) {
-            throw new AssertionError(what + trace.about(about));
+            throw new AssertionError(what + trace.linesAbout(about));
         }
     }
 }
--- a/src/test/java/org/orioleshed/host/NaiveReference.java
+++ b/src/test/java/org/orioleshed/host/NaiveReference.java
@@ -8,7 +8,7 @@
 import org.orioleshed.model.RequestId;
 import org.orioleshed.model.Work;
 
-/** What one naive host without faults answers: every request at once, by itself. */
+/** The outcomes that a naive host gives without faults, as the expected values. */
 final class NaiveReference {
     private final Map<RequestId, Outcome> expected = new HashMap<>();
 
--- a/src/test/java/org/orioleshed/host/WaitingMemoryBench.java
+++ b/src/test/java/org/orioleshed/host/WaitingMemoryBench.java
@@ -29,8 +29,8 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * Measures the memory that one waiting request takes on its accepting host, its body left out: the
- * owners are other hosts that never answer. Run it as a program.
+ * Measures the memory per waiting request on its accepting host, without the body. The owners are
+ * other hosts that never answer. Run as a program.
  */
 final class WaitingMemoryBench {
     private static final int REQUESTS = 10_000;
@@ -38,7 +38,7 @@
 
     private WaitingMemoryBench() {}
 
-    /** Prints the bytes for one waiting request. */
+    /** Prints the bytes per waiting request. */
     public static void main(String[] args) throws InterruptedException {
         HostId self = new HostId("host-0");
         HostCore core =
@@ -51,7 +51,7 @@
         core.on(TimeUnit.MILLISECONDS.toNanos(150), new HostEvent.Tick());
         long after = usedBytes();
         System.out.printf(
-                "%d waiting requests, %d prefix hashes each: %d bytes a request%n",
+                "%d waiting requests, %d prefix hashes each: %d bytes per request%n",
                 core.requests(), PREFIX_BLOCKS, (after - before) / REQUESTS);
     }
 
