--- a/src/main/java/org/orioleshed/fleet/BackendServer.java
+++ b/src/main/java/org/orioleshed/fleet/BackendServer.java
@@ -6,7 +6,7 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * A backend server as the settings state it.
+ * A backend server as defined in the settings.
  *
  * @param id the server
  * @param domain its failure domain
@@ -14,11 +14,11 @@
  * @param target the model or service that it runs
  * @param version the version that it runs
  * @param generation the hardware generation, such as {@code g1}
- * @param places the most requests that it may run at once
+ * @param places the maximum number of concurrent requests
  * @param cacheTokens the size of its prefix cache, in tokens; zero for a plain service
- * @param canResume whether it resumes a stream from an offset
- * @param checksFencing whether it refuses an order that carries an old fencing number
- * @param leaving whether it must get no new work
+ * @param canResume whether it can resume a stream from a token offset
+ * @param checksFencing whether it refuses orders with an outdated fencing number
+ * @param leaving whether it is leaving, so that it gets no new work
  */
 public record BackendServer(
         ServerId id,
@@ -32,8 +32,8 @@
         boolean canResume,
         boolean checksFencing,
         boolean leaving) {
-    /** Returns this server with another mark of leaving. */
-    public BackendServer withLeaving(boolean mark) {
+    /** Returns a copy of this server with {@code leaving} replaced. */
+    public BackendServer withLeaving(boolean newLeaving) {
         return new BackendServer(
                 id,
                 domain,
@@ -45,6 +45,6 @@
                 cacheTokens,
                 canResume,
                 checksFencing,
-                mark);
+                newLeaving);
     }
 }
--- a/src/main/java/org/orioleshed/fleet/EntryHost.java
+++ b/src/main/java/org/orioleshed/fleet/EntryHost.java
@@ -9,9 +9,9 @@
  *
  * @param id the host
  * @param domain its failure domain
- * @param incarnation grows with each start of the host
- * @param peerAddress where it takes peer connections
- * @param state whether it may be given work
+ * @param incarnation the host's incarnation, which increases with each start
+ * @param peerAddress the address on which it accepts peer connections
+ * @param state its state in the membership view
  */
 public record EntryHost(
         HostId id,
@@ -19,13 +19,13 @@
         long incarnation,
         InetSocketAddress peerAddress,
         State state) {
-    /** Whether a host may be given work. */
+    /** The state of a host, which determines whether it may get work. */
     public enum State {
-        /** Answers its heartbeats. */
+        /** Answers heartbeats. */
         ALIVE,
-        /** Missed heartbeats; stays the owner of its servers until it is declared dead. */
+        /** Missed heartbeats; remains the owner of its servers until it is declared dead. */
         SUSPECT,
-        /** Finishes what runs and takes nothing new. */
+        /** Finishes running work and accepts nothing new. */
         LEAVING,
         /** Declared dead. */
         DEAD
--- a/src/main/java/org/orioleshed/fleet/EvenDraws.java
+++ b/src/main/java/org/orioleshed/fleet/EvenDraws.java
@@ -6,21 +6,21 @@
 import org.orioleshed.model.RouteId;
 
 /**
- * Numbers from 0 (inclusive) to 1 (exclusive) that are spread evenly: among any few draws in a row
- * for one route, about as many lie below a share as the share says. A split by independent draws
- * would now and then send far more than its share.
+ * A low-discrepancy sequence of numbers from 0 (inclusive) to 1 (exclusive) for each route: among
+ * any few consecutive draws, the fraction below a share is close to that share. A split by
+ * independent draws would occasionally send far more than its share.
  */
 public final class EvenDraws {
-    /** The fractional part of the golden ratio: its multiples leave no large gaps. */
+    /** The fractional part of the golden ratio, whose multiples modulo 1 leave no large gaps. */
     private static final double STEP = 0.6180339887498949;
 
     private final RandomGenerator random;
     private final Map<RouteId, Double> lastByRoute = new HashMap<>();
 
     /**
-     * Makes a source of draws.
+     * Creates a source of draws.
      *
-     * @param random gives each route its first draw, so that hosts differ
+     * @param random supplies the first draw of each route, so that hosts differ
      */
     public EvenDraws(RandomGenerator random) {
         if (random == null) {
--- a/src/main/java/org/orioleshed/fleet/FleetSnapshot.java
+++ b/src/main/java/org/orioleshed/fleet/FleetSnapshot.java
@@ -10,17 +10,17 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * What one entry host holds true of the fleet at one moment: its membership view, the settings in
- * force, and the traffic split between versions. Immutable; a change brings a new one.
+ * One entry host's view of the fleet at one moment: its membership view, the settings in force, and
+ * the traffic split between versions. Immutable; each change creates a new snapshot.
  *
- * @param settingsRevision the revision of the settings in force; zero when none is known yet
- * @param hosts the entry hosts of the membership view, the dead left out
+ * @param settingsRevision the revision of the settings in force; zero if there are none yet
+ * @param hosts the entry hosts of the membership view, without dead ones
  * @param servers the backend servers
  * @param routes the routes
  * @param workspaces the workspaces
- * @param splits for each route with a rollout under way, how its traffic divides
- * @param currentVersions for each route without a rollout under way, the version to use; a route
- *     that is missing takes any version
+ * @param splits the traffic split of each route with a rollout in progress
+ * @param currentVersions the version to use for each route without a rollout in progress; a missing
+ *     route accepts any version
  */
 public record FleetSnapshot(
         long settingsRevision,
@@ -30,7 +30,7 @@
         Map<WorkspaceId, Workspace> workspaces,
         Map<RouteId, VersionSplit> splits,
         Map<RouteId, VersionId> currentVersions) {
-    /** The fleet snapshot of a host that has heard nothing yet. */
+    /** The fleet snapshot of a host that has received no settings and no membership view. */
     public static final FleetSnapshot EMPTY =
             new FleetSnapshot(0, Map.of(), Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
 
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Returns the version for one request on {@code route}, or empty when any will do.
+     * Returns the version for one request on {@code route}; empty if any version is allowed.
      *
-     * @param draw a number drawn evenly from 0 (inclusive) to 1 (exclusive)
+     * @param draw a number drawn uniformly from 0 (inclusive) to 1 (exclusive)
      */
     public Optional<VersionId> version(RouteId route, double draw) {
         VersionSplit split = splits.get(route);
@@ -57,7 +57,9 @@
         return Optional.ofNullable(currentVersions.get(route));
     }
 
-    /** Returns the servers that run {@code target}, leaving ones included, in no order. */
+    /**
+     * Returns the servers that run {@code target}, including leaving ones, in no particular order.
+     */
     public List<BackendServer> serversOf(Target target) {
         return servers.values().stream().filter(s -> s.target().equals(target)).toList();
     }
--- a/src/main/java/org/orioleshed/fleet/Rendezvous.java
+++ b/src/main/java/org/orioleshed/fleet/Rendezvous.java
@@ -8,21 +8,24 @@
 import java.util.Optional;
 import org.orioleshed.model.HostId;
 
-/** Chooses hosts for an item so that few items move when a host comes or goes. */
+/**
+ * Assigns items to hosts by rendezvous hashing, so that few items are reassigned when a host joins
+ * or leaves.
+ */
 public final class Rendezvous {
     private Rendezvous() {}
 
-    /** Returns the host among {@code hosts} that scores highest for {@code item}. */
+    /** Returns the host with the highest score for {@code item}; empty if there are no hosts. */
     public static Optional<HostId> choose(Collection<HostId> hosts, String item) {
         HostId best = null;
         long bestScore = 0;
         for (HostId host : hosts) {
             long score = score(host, item);
-            boolean wins =
+            boolean better =
                     best == null
                             || score > bestScore
                             || (score == bestScore && host.compareTo(best) < 0);
-            if (wins) {
+            if (better) {
                 best = host;
                 bestScore = score;
             }
@@ -30,12 +33,12 @@
         return Optional.ofNullable(best);
     }
 
-    /** Returns the host among those of {@code fleet} that take work. */
+    /** Returns the host with the highest score among the hosts of {@code fleet} that take work. */
     public static Optional<HostId> choose(FleetSnapshot fleet, String item) {
         return choose(takingWork(fleet), item);
     }
 
-    /** Returns {@code hosts} in the order in which they would be chosen, the best first. */
+    /** Returns {@code hosts} in descending order of their score for {@code item}. */
     public static List<HostId> ranked(Collection<HostId> hosts, String item) {
         return hosts.stream()
                 .sorted(
@@ -46,8 +49,8 @@
     }
 
     /**
-     * Returns the {@code count} best hosts among those of {@code fleet} that take work, the best
-     * first.
+     * Returns the {@code count} hosts with the highest scores among the hosts of {@code fleet} that
+     * take work, the highest first.
      */
     public static List<HostId> choose(FleetSnapshot fleet, String item, int count) {
         return ranked(takingWork(fleet), item).stream().limit(count).toList();
--- a/src/main/java/org/orioleshed/fleet/Target.java
+++ b/src/main/java/org/orioleshed/fleet/Target.java
@@ -3,7 +3,7 @@
 import org.orioleshed.model.ModelId;
 import org.orioleshed.model.ServiceId;
 
-/** What a backend server runs and a route leads to. */
+/** What a backend server runs and a route maps to. */
 public sealed interface Target {
     /**
      * A model on an engine.
--- a/src/main/java/org/orioleshed/fleet/package-info.java
+++ b/src/main/java/org/orioleshed/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The fleet snapshot that decisions are made about: entry hosts, backend servers, workspaces,
+ * The fleet snapshot that decisions are based on: entry hosts, backend servers, workspaces and
  * routes.
  */
 package org.orioleshed.fleet;
--- a/src/test/java/org/orioleshed/fleet/EvenDrawsProperties.java
+++ b/src/test/java/org/orioleshed/fleet/EvenDrawsProperties.java
@@ -9,13 +9,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.orioleshed.model.RouteId;
 
-/** Properties of {@link EvenDraws}. */
+/** Guards against traffic splits that deviate from their share over consecutive requests. */
 class EvenDrawsProperties {
     private static final RouteId ROUTE = new RouteId("r");
-    private static final int MOST_OFF = 3;
+    private static final int MAX_DEVIATION = 3;
 
     @Property(seed = "21", tries = 500)
-    void anyDrawsInARowKeepToTheShare(
+    void consecutiveDrawsBelowTheShareMatchIt(
             @ForAll long seed,
             @ForAll @DoubleRange(min = 0, max = 1) double share,
             @ForAll @IntRange(min = 1, max = 2_000) int count) {
@@ -26,6 +26,6 @@
             assertTrue(draw >= 0 && draw < 1);
             below += draw < share ? 1 : 0;
         }
-        assertTrue(Math.abs(below - share * count) <= MOST_OFF, below + " of " + count);
+        assertTrue(Math.abs(below - share * count) <= MAX_DEVIATION, below + " of " + count);
     }
 }
