--- a/src/main/java/org/orioleshed/Orioleshed.java
+++ b/src/main/java/org/orioleshed/Orioleshed.java
@@ -11,24 +11,26 @@
 import org.orioleshed.model.StateMachine;
 
 /**
- * The decisions of an entry host, for anyone who brings sockets, store and clock of their own.
+ * Creates the state machines of an entry host, for programs that supply their own sockets, store
+ * and clock.
  *
  * <pre>{@code
- * Machine<HostEvent, HostAction> host = Orioleshed.host("suva-a-1", "suva-a", incarnation);
+ * StateMachine<HostEvent, HostAction> host = Orioleshed.host("suva-a-1", "suva-a", incarnation);
  * host.on(nowNanos, new HostEvent.FleetChanged(fleet));
- * List<HostAction> todo = host.on(nowNanos, new HostEvent.RequestArrived(request));
+ * List<HostAction> actions = host.on(nowNanos, new HostEvent.RequestArrived(request));
  * }</pre>
  */
 public final class Orioleshed {
     private Orioleshed() {}
 
     /**
-     * Returns the decisions of one entry host, with the default limits. Not safe for use by several
-     * threads.
+     * Returns the state machine of one entry host, with the default limits. Not thread-safe.
      *
      * @param id the host's id, not blank
      * @param domain its failure domain, not blank
-     * @param incarnation grows with each start of the host; also seeds its random choices
+     * @param incarnation the host's incarnation, which increases with each start; also seeds its
+     *     random choices
+     * @throws IllegalArgumentException if an id is blank or longer than 200 characters
      */
     public static StateMachine<HostEvent, HostAction> host(
             String id, String domain, long incarnation) {
@@ -41,8 +43,7 @@
     }
 
     /**
-     * Returns the naive decisions that the others are compared with: round robin, no claims, no
-     * preemption.
+     * Returns the baseline state machine for comparisons: round robin without claims or preemption.
      */
     public static StateMachine<HostEvent, HostAction> naiveHost() {
         return new NaiveHost();
--- a/src/main/java/org/orioleshed/model/FailureDomain.java
+++ b/src/main/java/org/orioleshed/model/FailureDomain.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a failure domain.
+ * The id of a failure domain.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/Fingerprint.java
+++ b/src/main/java/org/orioleshed/model/Fingerprint.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * A digest of a request's content, the same for a resend under a new key.
+ * A digest of a request's content; equal for a resend under another key.
  *
  * @param high the upper 64 bits
  * @param low the lower 64 bits
--- a/src/main/java/org/orioleshed/model/HostId.java
+++ b/src/main/java/org/orioleshed/model/HostId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names an entry host.
+ * The id of an entry host.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/ModelId.java
+++ b/src/main/java/org/orioleshed/model/ModelId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a model, whatever its version.
+ * The id of a model, independent of its version.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/Payload.java
+++ b/src/main/java/org/orioleshed/model/Payload.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** An immutable run of bytes: the body of a request, or a piece of an answer. */
+/** An immutable byte sequence: the body of a request, or a part of an answer. */
 public final class Payload {
-    /** The payload of no bytes. */
+    /** The empty payload. */
     public static final Payload EMPTY = new Payload(new byte[0]);
 
     private final byte[] bytes;
@@ -15,7 +15,7 @@
         this.bytes = bytes;
     }
 
-    /** Returns a payload over a copy of {@code bytes}. */
+    /** Returns a payload with a copy of {@code bytes}. */
     public static Payload of(byte[] bytes) {
         return bytes.length == 0 ? EMPTY : new Payload(bytes.clone());
     }
@@ -25,7 +25,7 @@
         return new Payload(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns the bytes of all {@code parts}, one after another. */
+    /** Returns the concatenation of {@code parts}. */
     public static Payload join(List<Payload> parts) {
         int size = parts.stream().mapToInt(Payload::size).sum();
         byte[] joined = new byte[size];
@@ -47,7 +47,7 @@
         return bytes.clone();
     }
 
-    /** Returns the bytes read as UTF-8. */
+    /** Returns the bytes decoded as UTF-8. */
     public String text() {
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/src/main/java/org/orioleshed/model/PromptBlocks.java
+++ b/src/main/java/org/orioleshed/model/PromptBlocks.java
@@ -4,30 +4,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a prompt into blocks of tokens and hashes its leading parts, as prefix caches do. */
+/** Splits a prompt into blocks of tokens and hashes its prefixes, as prefix caches do. */
 public final class PromptBlocks {
     private PromptBlocks() {}
 
     /**
-     * Returns the number of tokens in {@code prompt}, a token being a run of characters without
-     * white space.
+     * Returns the number of tokens in {@code prompt}, where a token is a sequence of characters
+     * without whitespace.
      */
     public static int tokens(String prompt) {
         int count = 0;
-        boolean inside = false;
+        boolean inToken = false;
         for (int i = 0; i < prompt.length(); i++) {
-            boolean space = Character.isWhitespace(prompt.charAt(i));
-            if (!space && !inside) {
+            boolean isSpace = Character.isWhitespace(prompt.charAt(i));
+            if (!isSpace && !inToken) {
                 count++;
             }
-            inside = !space;
+            inToken = !isSpace;
         }
         return count;
     }
 
     /**
-     * Returns a hash for each whole leading part of {@link Work#PREFIX_BLOCK_TOKENS} tokens, the
-     * shortest first.
+     * Returns a hash for each prefix of whole blocks of {@link Work#PREFIX_BLOCK_TOKENS} tokens,
+     * the shortest first.
      */
     public static List<Long> hashes(String prompt) {
         List<Long> hashes = new ArrayList<>();
@@ -44,7 +44,7 @@
             }
             tokens++;
             if (tokens % Work.PREFIX_BLOCK_TOKENS == 0) {
-                previous = chain(previous, prompt, blockStart, i + 1);
+                previous = chainHash(previous, prompt, blockStart, i + 1);
                 hashes.add(previous);
                 blockStart = i + 1;
             }
@@ -52,7 +52,7 @@
         return hashes;
     }
 
-    private static long chain(long previous, String prompt, int start, int end) {
+    private static long chainHash(long previous, String prompt, int start, int end) {
         return Hashing.murmur3_128()
                 .newHasher()
                 .putLong(previous)
--- a/src/main/java/org/orioleshed/model/RequestId.java
+++ b/src/main/java/org/orioleshed/model/RequestId.java
@@ -1,11 +1,11 @@
 package org.orioleshed.model;
 
 /**
- * Names one accepted request. Unique over hosts and restarts, unlike the caller's {@link
+ * The id of an accepted request. Unique across hosts and restarts, unlike the caller's {@link
  * RequestKey}.
  *
  * @param host the entry host that accepted the request
- * @param incarnation the host's incarnation, which grows with each start
+ * @param incarnation the host's incarnation, which increases with each start
  * @param sequence the request's number within the incarnation
  */
 public record RequestId(HostId host, long incarnation, long sequence) {
@@ -22,15 +22,16 @@
     }
 
     /**
-     * Returns the id that {@link #toString} wrote.
+     * Parses the format of {@link #toString}.
      *
-     * @throws IllegalArgumentException when {@code text} is not such an id
+     * @throws IllegalArgumentException if {@code text} is not in that format
      */
     public static RequestId parse(String text) {
         int last = text.lastIndexOf('.');
         int middle = text.lastIndexOf('.', last - 1);
         if (last < 0 || middle < 1) {
-            throw new IllegalArgumentException("not a request id: " + text);
+            throw new IllegalArgumentException(
+                    "request id must be HOST.INCARNATION.SEQUENCE, found " + text);
         }
         return new RequestId(
                 new HostId(text.substring(0, middle)),
--- a/src/main/java/org/orioleshed/model/RequestKey.java
+++ b/src/main/java/org/orioleshed/model/RequestKey.java
@@ -1,10 +1,10 @@
 package org.orioleshed.model;
 
 /**
- * The caller's idempotency key within its workspace: resends carry the same key.
+ * The caller's idempotency key within its workspace; resends carry the same key.
  *
  * @param workspace the caller's workspace
- * @param key the key that the caller chose, not blank
+ * @param key the key chosen by the caller, not blank, at most 200 characters
  */
 public record RequestKey(WorkspaceId workspace, String key) {
     /** Checks the arguments. */
--- a/src/main/java/org/orioleshed/model/RolloutId.java
+++ b/src/main/java/org/orioleshed/model/RolloutId.java
@@ -1,14 +1,14 @@
 package org.orioleshed.model;
 
 /**
- * Names a planned move between two versions.
+ * The id of a rollout between two versions.
  *
  * @param value the id, not blank, at most 200 characters
  */
 public record RolloutId(String value) implements Comparable<RolloutId> {
     /** Checks the argument. */
     public RolloutId {
-        Ids.require(value, "move");
+        Ids.require(value, "rollout");
     }
 
     @Override
--- a/src/main/java/org/orioleshed/model/RouteId.java
+++ b/src/main/java/org/orioleshed/model/RouteId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a route: the model or service name that callers ask for.
+ * The id of a route: the model or service name that callers use.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/RunId.java
+++ b/src/main/java/org/orioleshed/model/RunId.java
@@ -1,10 +1,10 @@
 package org.orioleshed.model;
 
 /**
- * Names one attempt to run a request on a backend server.
+ * The id of one attempt to run a request on a backend server.
  *
  * @param request the request
- * @param attempt the attempt's number, from one
+ * @param attempt the number of the attempt, from one
  */
 public record RunId(RequestId request, int attempt) {
     /** Checks the arguments. */
@@ -13,7 +13,7 @@
             throw new IllegalArgumentException("request must be given");
         }
         if (attempt < 1) {
-            throw new IllegalArgumentException("attempt must be positive: " + attempt);
+            throw new IllegalArgumentException("attempt must be positive, found " + attempt);
         }
     }
 
--- a/src/main/java/org/orioleshed/model/ServerId.java
+++ b/src/main/java/org/orioleshed/model/ServerId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a backend server.
+ * The id of a backend server.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/ServiceId.java
+++ b/src/main/java/org/orioleshed/model/ServiceId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a plain service.
+ * The id of a plain service.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/VersionId.java
+++ b/src/main/java/org/orioleshed/model/VersionId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names one version of what a backend server runs.
+ * The id of a version of a model or service.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/WorkspaceId.java
+++ b/src/main/java/org/orioleshed/model/WorkspaceId.java
@@ -1,7 +1,7 @@
 package org.orioleshed.model;
 
 /**
- * Names a workspace.
+ * The id of a workspace.
  *
  * @param value the id, not blank, at most 200 characters
  */
--- a/src/main/java/org/orioleshed/model/package-info.java
+++ b/src/main/java/org/orioleshed/model/package-info.java
@@ -1,2 +1,2 @@
-/** Value types that every layer shares: ids, tiers, requests and their outcomes. */
+/** Value types shared by all layers: ids, tiers, requests and their outcomes. */
 package org.orioleshed.model;
--- a/src/main/java/org/orioleshed/package-info.java
+++ b/src/main/java/org/orioleshed/package-info.java
@@ -1,2 +1,2 @@
-/** The entry point of orioleshed, a request scheduler for unlike engines. */
+/** The entry point of orioleshed, a request scheduler for heterogeneous engines. */
 package org.orioleshed;
--- a/src/test/java/org/orioleshed/OrioleshedTest.java
+++ b/src/test/java/org/orioleshed/OrioleshedTest.java
@@ -37,7 +37,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests that {@link Orioleshed} needs nothing but events: here the test is the adapter. */
+/** Guards against state machines that need more than events; the test acts as the adapter. */
 public class OrioleshedTest {
     private static final HostId HOST = new HostId("h");
     private static final FailureDomain DOMAIN = new FailureDomain("d");
@@ -53,23 +53,23 @@
     }
 
     @Test(dataProvider = "hosts")
-    public void servesARequestWithoutAnySocket(StateMachine<HostEvent, HostAction> host) {
+    public void servesARequestWithoutSockets(StateMachine<HostEvent, HostAction> host) {
         Request request = request();
         host.on(NOW_NANOS, new HostEvent.FleetChanged(fleet()));
-        List<HostAction> todo =
+        List<HostAction> actions =
                 new ArrayList<>(host.on(NOW_NANOS, new HostEvent.RequestArrived(request)));
-        HostAction.StartRun start = only(todo, HostAction.StartRun.class);
+        HostAction.StartRun start = only(actions, HostAction.StartRun.class);
         host.on(NOW_NANOS, new HostEvent.RunAccepted(start.run(), SERVER));
-        todo =
+        actions =
                 host.on(
                         NOW_NANOS,
                         new HostEvent.RunTokens(start.run(), SERVER, 0, 1, Payload.of("yes")));
-        assertEquals(only(todo, HostAction.WriteTokens.class).text().text(), "yes");
-        todo =
+        assertEquals(only(actions, HostAction.WriteTokens.class).text().text(), "yes");
+        actions =
                 host.on(
                         NOW_NANOS,
                         new HostEvent.RunEnded(start.run(), SERVER, new RunEnd.Finished(1)));
-        Outcome outcome = only(todo, HostAction.Answer.class).outcome();
+        Outcome outcome = only(actions, HostAction.Answer.class).outcome();
         assertTrue(outcome instanceof Outcome.Answered, outcome.toString());
     }
 
--- a/src/test/java/org/orioleshed/model/TierProperties.java
+++ b/src/test/java/org/orioleshed/model/TierProperties.java
@@ -4,7 +4,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties of {@link Tier}. */
+/** Guards against a tier order in which two tiers outrank each other. */
 class TierProperties {
     @Property(seed = "1")
     boolean outranksIsAStrictOrder(@ForAll @IntRange int a, @ForAll @IntRange int b) {
--- a/src/test/java/org/orioleshed/model/TierTest.java
+++ b/src/test/java/org/orioleshed/model/TierTest.java
@@ -6,15 +6,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Tier}. */
+/** Guards against tiers without a name, with a negative rank, or ordered the wrong way round. */
 public class TierTest {
     @DataProvider
-    Object[][] badArguments() {
+    Object[][] invalidArguments() {
         return new Object[][] {{"", 0}, {" ", 0}, {"urgent", -1}};
     }
 
-    @Test(dataProvider = "badArguments", expectedExceptions = IllegalArgumentException.class)
-    public void refusesBadArguments(String name, int rank) {
+    @Test(dataProvider = "invalidArguments", expectedExceptions = IllegalArgumentException.class)
+    public void rejectsInvalidArguments(String name, int rank) {
         new Tier(name, rank);
     }
 
