--- a/src/main/java/org/orioleshed/fleet/BackendServer.java
+++ b/src/main/java/org/orioleshed/fleet/BackendServer.java
@@ -14,7 +14,7 @@
  * @param target the model or service that it runs
  * @param version the version that it runs
  * @param generation the hardware generation, such as {@code g1}
- * @param places the maximum number of concurrent requests
+ * @param slots the maximum number of concurrent requests (the setting {@code places})
  * @param cacheTokens the size of its prefix cache, in tokens; zero for a plain service
  * @param canResume whether it can resume a stream from a token offset
  * @param checksFencing whether it refuses orders with an outdated fencing number
@@ -27,7 +27,7 @@
         Target target,
         VersionId version,
         String generation,
-        int places,
+        int slots,
         long cacheTokens,
         boolean canResume,
         boolean checksFencing,
@@ -41,7 +41,7 @@
                 target,
                 version,
                 generation,
-                places,
+                slots,
                 cacheTokens,
                 canResume,
                 checksFencing,
--- a/src/main/java/org/orioleshed/host/RunEvidence.java
+++ b/src/main/java/org/orioleshed/host/RunEvidence.java
@@ -104,7 +104,7 @@
     private void recordLoad(RoutingMessage.ServerLoad load) {
         BackendServer server = fleet.servers().get(load.server());
         if (server != null) {
-            loads.put(load.server(), load.running() / (double) Math.max(1, server.places()));
+            loads.put(load.server(), load.running() / (double) Math.max(1, server.slots()));
         }
     }
 
--- a/src/main/java/org/orioleshed/model/StateMachine.java
+++ b/src/main/java/org/orioleshed/model/StateMachine.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A state machine that makes decisions without I/O, and without a clock or threads of its own.
+ * A state machine that makes decisions without I/O, clock, threads or randomness of its own.
  *
  * @param <E> the sealed type of its events
  * @param <A> the sealed type of its actions
--- a/src/main/java/org/orioleshed/request/ServicePlaces.java
+++ b/src/main/java/org/orioleshed/request/ServicePlaces.java
@@ -88,7 +88,7 @@
             score += FAR_CALLS;
         }
         if (avoidUntilNanos.getOrDefault(server.id(), Long.MIN_VALUE) > nowNanos) {
-            score += server.places();
+            score += server.slots();
         }
         return score;
     }
@@ -100,6 +100,6 @@
     /** Returns how many of a server's places this host may use: its even share and one more. */
     private int share(BackendServer server) {
         long hosts = fleet.hosts().values().stream().filter(EntryHost::takesWork).count();
-        return (int) Math.min(server.places(), server.places() / Math.max(1, hosts) + 1);
+        return (int) Math.min(server.slots(), server.slots() / Math.max(1, hosts) + 1);
     }
 }
--- a/src/main/java/org/orioleshed/routing/OwnedServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -38,13 +38,13 @@
     OwnedServer(
             RoutingLimits limits, SpeedHistory speedHistory, Outbox outbox, BackendServer server) {
         ServerId id = server.id();
-        AdaptiveLimit adaptive = new AdaptiveLimit(limits, server.places());
+        AdaptiveLimit adaptive = new AdaptiveLimit(limits, server.slots());
         this.outbox = outbox;
         this.server = server;
         queue = new OfferQueue(limits.policy());
         prefixes = new PrefixIndex(server.cacheTokens());
         speed = new ServerSpeed(speedHistory, server);
-        limit = new SlotLimit(limits.policy(), adaptive, backoff, server.places());
+        limit = new SlotLimit(limits.policy(), adaptive, backoff, server.slots());
         scheduler = new SlotScheduler(limits.policy(), queue, slots);
         preemption = new Preemption(limits, queue, slots, speed, id);
         waits = new WaitEstimate(limits, queue, slots, speed, scheduler);
@@ -72,7 +72,7 @@
         }
         server = updated;
         speed.setServer(updated);
-        limit.setSlots(updated.places());
+        limit.setSlots(updated.slots());
     }
 
     /** Starts to take offers. */
--- a/src/main/java/org/orioleshed/routing/ServerView.java
+++ b/src/main/java/org/orioleshed/routing/ServerView.java
@@ -74,7 +74,7 @@
     long waitMillis(int rank) {
         if (load == null) {
             return domainWaitMillis
-                    + sentSinceReport * WAIT_PER_EXCESS_REQUEST_MILLIS / server.places();
+                    + sentSinceReport * WAIT_PER_EXCESS_REQUEST_MILLIS / server.slots();
         }
         int freeSlots = Math.max(0, load.limit() - load.running());
         int excess = Math.max(0, sentSinceReport - freeSlots);
--- a/src/test/java/org/orioleshed/rollout/FakeFleet.java
+++ b/src/test/java/org/orioleshed/rollout/FakeFleet.java
@@ -136,7 +136,7 @@
                             s.target(),
                             s.version(),
                             s.generation(),
-                            s.places(),
+                            s.slots(),
                             s.cacheTokens(),
                             s.canResume(),
                             checks,
--- a/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
+++ b/src/test/java/org/orioleshed/settings/SettingsTreeTest.java
@@ -30,8 +30,8 @@
     @Test
     public void itemOverridesBranchAndBranchOverridesParent() {
         SettingsTree tree = tree(SampleTree.TEXT);
-        assertEquals(tree.servers().get(new ServerId("suva-a-1")).places(), 4);
-        assertEquals(tree.servers().get(new ServerId("suva-a-2")).places(), 2);
+        assertEquals(tree.servers().get(new ServerId("suva-a-1")).slots(), 4);
+        assertEquals(tree.servers().get(new ServerId("suva-a-2")).slots(), 2);
         assertEquals(tree.servers().get(new ServerId("suva-a-1")).generation(), "g1");
         Workspace clerks = tree.workspaces().get(new WorkspaceId("clerks"));
         assertEquals(clerks.weight(), 5);
@@ -149,7 +149,7 @@
         Workspace workspace = tree.workspaces().get(new WorkspaceId("w"));
         assertEquals(workspace.weight(), 1);
         assertEquals(workspace.defaultTier(), Tier.STANDARD);
-        assertEquals(tree.servers().get(new ServerId("s")).places(), 8);
+        assertEquals(tree.servers().get(new ServerId("s")).slots(), 8);
     }
 
     @Test
