--- a/src/main/java/org/orioleshed/control/ControlCore.java
+++ b/src/main/java/org/orioleshed/control/ControlCore.java
@@ -135,7 +135,7 @@
             case ControlEvent.ReadAnswered read -> onReadAnswered(read.key(), read.result());
             case ControlEvent.WatchChanged changed -> onWatchChanged(changed);
             case ControlEvent.WatchClosed closed ->
-                    followedStores.get(closed.key()).watchClosed(now, closed.watch());
+                    followedStores.get(closed.key()).watchClosed(now, closed.watchId());
             case ControlEvent.ProposalAnswered answered ->
                     proposals.on(
                             now,
@@ -347,7 +347,7 @@
     }
 
     private void onWatchChanged(ControlEvent.WatchChanged change) {
-        if (!followedStores.get(change.key()).isOpen(change.watch())) {
+        if (!followedStores.get(change.key()).isOpen(change.watchId())) {
             return;
         }
         switch (change.key()) {
--- a/src/main/java/org/orioleshed/control/ControlEvent.java
+++ b/src/main/java/org/orioleshed/control/ControlEvent.java
@@ -23,11 +23,11 @@
 
     /** A watch reported a change. */
     record WatchChanged(
-            FollowedKey key, long watch, String storeKey, Optional<Payload> value, long revision)
+            FollowedKey key, long watchId, String storeKey, Optional<Payload> value, long revision)
             implements ControlEvent {}
 
     /** A watch ended unexpectedly. */
-    record WatchClosed(FollowedKey key, long watch) implements ControlEvent {}
+    record WatchClosed(FollowedKey key, long watchId) implements ControlEvent {}
 
     /** The store answered a proposal. */
     record ProposalAnswered(long proposal, Store.Result result) implements ControlEvent {}
--- a/src/test/java/org/orioleshed/control/ControlDutyTest.java
+++ b/src/test/java/org/orioleshed/control/ControlDutyTest.java
@@ -53,22 +53,22 @@
     /** Waits for a fleet snapshot that meets a condition. */
     private static final class SnapshotWaiter {
         private FleetSnapshot latest = FleetSnapshot.EMPTY;
-        private Predicate<FleetSnapshot> wanted = snapshot -> false;
+        private Predicate<FleetSnapshot> condition = snapshot -> false;
         private CountDownLatch seen = new CountDownLatch(1);
 
         synchronized void take(FleetSnapshot snapshot) {
             latest = snapshot;
-            if (wanted.test(snapshot)) {
+            if (condition.test(snapshot)) {
                 seen.countDown();
             }
         }
 
-        void await(Predicate<FleetSnapshot> condition) throws InterruptedException {
+        void await(Predicate<FleetSnapshot> awaited) throws InterruptedException {
             CountDownLatch latch = new CountDownLatch(1);
             synchronized (this) {
-                wanted = condition;
+                condition = awaited;
                 seen = latch;
-                if (condition.test(latest)) {
+                if (awaited.test(latest)) {
                     latch.countDown();
                 }
             }
@@ -163,9 +163,9 @@
         duties.clear();
     }
 
-    private void awaitAll(Predicate<FleetSnapshot> wanted) throws InterruptedException {
+    private void awaitAll(Predicate<FleetSnapshot> condition) throws InterruptedException {
         for (SnapshotWaiter each : snapshots) {
-            each.await(wanted);
+            each.await(condition);
         }
     }
 
--- a/src/test/java/org/orioleshed/host/HostCoreProperties.java
+++ b/src/test/java/org/orioleshed/host/HostCoreProperties.java
@@ -137,14 +137,15 @@
         }
         String key = "k" + remainder % 5;
         int workKind = remainder / 5 % 5;
-        long deadline = new long[] {200, 2_000, 10_000, 30_000}[remainder / 25 % 4];
+        long deadlineMillis = new long[] {200, 2_000, 10_000, 30_000}[remainder / 25 % 4];
         if (workKind < 3) {
             Tier tier = TIERS.get(remainder / 100 % 3);
-            fleet.send(node, fleet.generate(node, "m" + key, "m" + key, tier, deadline));
+            fleet.send(node, fleet.generate(node, "m" + key, "m" + key, tier, deadlineMillis));
         } else {
             boolean repeatable = workKind == 4;
             fleet.send(
-                    node, fleet.call(node, (repeatable ? "l" : "h") + key, repeatable, deadline));
+                    node,
+                    fleet.call(node, (repeatable ? "l" : "h") + key, repeatable, deadlineMillis));
         }
     }
 
