--- a/src/main/java/org/orioleshed/entry/AdminReplies.java
+++ b/src/main/java/org/orioleshed/entry/AdminReplies.java
@@ -59,7 +59,7 @@
                     new AdminReply.NotFound("move " + missing.rollout());
             case RolloutWriteResult.Unreadable unreadable ->
                     new AdminReply.StoreUnavailable(unreadable.detail());
-            case RolloutWriteResult.StoreAway unavailable ->
+            case RolloutWriteResult.StoreUnavailable unavailable ->
                     new AdminReply.StoreUnavailable(unavailable.detail());
             case RolloutWriteResult.InDoubt inDoubt -> new AdminReply.Unknown("", inDoubt.detail());
         };
--- a/src/main/java/org/orioleshed/gateway/ResponseHeadLimit.java
+++ b/src/main/java/org/orioleshed/gateway/ResponseHeadLimit.java
@@ -34,8 +34,7 @@
         if (awaitingHead && receivedBytes > MAX_BYTES) {
             buffer.release();
             context.fireExceptionCaught(
-                    new TooLongFrameException(
-                            "no answer within %d bytes".formatted(MAX_BYTES)));
+                    new TooLongFrameException("no answer within %d bytes".formatted(MAX_BYTES)));
             return;
         }
         context.fireChannelRead(buffer);
