--- a/src/test/java/org/orioleshed/platform/AcceptorProperties.java
+++ b/src/test/java/org/orioleshed/platform/AcceptorProperties.java
@@ -18,11 +18,11 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /**
- * Properties of the callers' address: whatever bytes come, there is a clear answer or a closed
- * connection, nothing is run that was not asked, and the next caller is served.
+ * Properties of the callers' listener: for any bytes received, it sends a valid response or closes
+ * the connection, runs only complete requests, and serves the next caller.
  */
 class AcceptorProperties {
-    private static final String GOOD = Fleet.request("/o/x", "good", "body");
+    private static final String VALID_REQUEST = Fleet.request("/o/x", "good", "body");
     private static Fleet fleet;
 
     @BeforeContainer
@@ -41,58 +41,60 @@
     }
 
     @Property(tries = 120, seed = "8")
-    void aRequestWithOneSpoiltPlaceIsAnsweredOrClosed(@ForAll("spoilt") byte[] bytes)
+    void requestWithOneCorruptedByteIsAnsweredOrClosed(@ForAll("corrupted") byte[] bytes)
             throws IOException {
         check(bytes);
     }
 
     @Property(tries = 60, seed = "9")
-    void aTruncatedRequestIsNotRun(@ForAll("truncated") byte[] bytes) throws IOException {
+    void truncatedRequestIsNotRun(@ForAll("truncated") byte[] bytes) throws IOException {
         int before = fleet.first.requests.size();
-        String answer = sendAndEnd(bytes);
-        assertTrue(answer.isEmpty() || answer.startsWith("HTTP/1.1 4"), answer);
+        String response = sendAndEnd(bytes);
+        assertTrue(response.isEmpty() || response.startsWith("HTTP/1.1 4"), response);
         assertEquals(fleet.first.requests.size(), before);
     }
 
     @Provide
     Arbitrary<byte[]> truncated() {
         return Arbitraries.integers()
-                .between(0, GOOD.length() - 1)
-                .map(length -> WorkerFake.bytes(GOOD.substring(0, length)));
+                .between(0, VALID_REQUEST.length() - 1)
+                .map(length -> WorkerFake.bytes(VALID_REQUEST.substring(0, length)));
     }
 
     @Provide
-    Arbitrary<byte[]> spoilt() {
-        Arbitrary<Integer> places = Arbitraries.integers().between(0, GOOD.length() - 1);
+    Arbitrary<byte[]> corrupted() {
+        Arbitrary<Integer> positions =
+                Arbitraries.integers().between(0, VALID_REQUEST.length() - 1);
         Arbitrary<Byte> values = Arbitraries.bytes();
-        return Combinators.combine(places, values)
+        return Combinators.combine(positions, values)
                 .as(
-                        (place, value) -> {
-                            byte[] bytes = WorkerFake.bytes(GOOD);
-                            bytes[place] = value;
+                        (position, value) -> {
+                            byte[] bytes = WorkerFake.bytes(VALID_REQUEST);
+                            bytes[position] = value;
                             return bytes;
                         });
     }
 
     private static void check(byte[] bytes) throws IOException {
-        String answer = sendAndEnd(bytes);
-        assertTrue(answer.isEmpty() || answer.matches("(?s)HTTP/1\\.1 [2345]\\d\\d .*"), answer);
+        String response = sendAndEnd(bytes);
+        assertTrue(
+                response.isEmpty() || response.matches("(?s)HTTP/1\\.1 [2345]\\d\\d .*"), response);
         List<WorkerFake.Request> run = new ArrayList<>(fleet.first.requests);
         fleet.first.requests.clear();
-        assertTrue(run.size() <= 1, "ran " + run);
+        assertTrue(run.size() <= 1, "requests run: " + run);
         run.forEach(request -> assertTrue(request.body().length() <= 4, request.body()));
-        assertTrue(fleet.send(GOOD).startsWith("HTTP/1.1 200"));
+        assertTrue(fleet.send(VALID_REQUEST).startsWith("HTTP/1.1 200"));
         fleet.first.requests.clear();
     }
 
-    /** Sends bytes, ends the sending side, and returns what comes. */
+    /** Sends bytes, half-closes the connection, and returns the response. */
     private static String sendAndEnd(byte[] bytes) throws IOException {
         try (Socket socket = fleet.connect()) {
             socket.getOutputStream().write(bytes);
             socket.shutdownOutput();
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         } catch (java.net.SocketException e) {
-            // Closed with bytes unread: the connection is reset, which is a clear end as well.
+            // The gateway closed with bytes unread, which resets the connection: also a valid end.
             return "";
         }
     }
--- a/src/test/java/org/orioleshed/platform/EndlessAnswersTest.java
+++ b/src/test/java/org/orioleshed/platform/EndlessAnswersTest.java
@@ -16,19 +16,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of servers that send without end what is no answer, on sockets. */
+/** Tests over sockets with servers that send malformed responses without end. */
 public class EndlessAnswersTest {
     private static final long TIMEOUT_MILLIS = 30_000;
 
-    /** What may be read of an answer, and what fits into the buffers of both ends. */
+    /** The limit on a response, and the size of the socket buffers at both ends. */
     private static final long MAX_SENT_BYTES = 40L << 20;
 
     private Fleet fleet;
-    private final AtomicLong sent = new AtomicLong();
+    private final AtomicLong sentBytes = new AtomicLong();
 
     @BeforeMethod
     public void open() throws IOException {
-        sent.set(0);
+        sentBytes.set(0);
         fleet = new Fleet(TIMEOUT_MILLIS, 100_000);
     }
 
@@ -37,15 +37,20 @@
         fleet.close();
     }
 
-    /** Returns a server that sends a beginning, and then the same for as long as it is read. */
-    private Script endless(String beginning, String part, boolean isAnswer) {
-        String much = part.repeat(8_192 / part.length() + 1);
+    /**
+     * Returns a server that sends a beginning, and then repeats a part until the connection is
+     * closed.
+     *
+     * @param withHead whether to send a valid response head first
+     */
+    private Script endless(String beginning, String part, boolean withHead) {
+        String block = part.repeat(8_192 / part.length() + 1);
         return (request, out, in) -> {
-            if (isAnswer) {
+            if (withHead) {
                 out.write(bytes(head(request, 200, true)));
             }
             out.write(bytes(beginning));
-            sendForever(out, bytes(much));
+            sendForever(out, bytes(block));
             return false;
         };
     }
@@ -53,7 +58,7 @@
     private void sendForever(OutputStream out, byte[] part) throws IOException {
         while (true) {
             out.write(part);
-            sent.addAndGet(part.length);
+            sentBytes.addAndGet(part.length);
         }
     }
 
@@ -77,57 +82,57 @@
     }
 
     @Test(dataProvider = "endless")
-    public void theConnectionIsClosedAndTheCallNotCalledASuccess(Script fault) throws IOException {
+    public void endlessMalformedResponseFailsTheCall(Script fault) throws IOException {
         fleet.first.script(fault);
-        String answer = fleet.send(request("/o/x", "r1", ""));
+        String response = fleet.send(request("/o/x", "r1", ""));
         assertTrue(
-                answer.startsWith("HTTP/1.1 502"),
-                answer.substring(0, Math.min(80, answer.length())));
-        assertTrue(sent.get() < MAX_SENT_BYTES, "sent " + sent.get());
+                response.startsWith("HTTP/1.1 502"),
+                response.substring(0, Math.min(80, response.length())));
+        assertTrue(sentBytes.get() < MAX_SENT_BYTES, "bytes sent: " + sentBytes.get());
         assertEquals(fleet.first.requests.size(), 1);
     }
 
     @Test
-    public void aBodyPastItsLengthEndsItsConnectionOnly() throws IOException {
+    public void bytesAfterTheBodyCloseTheConnectionOnly() throws IOException {
         fleet.first.script(endless("Content-Length: 2\r\n\r\nok", "x", true));
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertTrue(answer.endsWith("\r\n\r\nok"), answer);
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertTrue(response.endsWith("\r\n\r\nok"), response);
         fleet.first.script(Script.answering(200, "next"));
         assertTrue(fleet.send(request("/o/x", "r2", "")).endsWith("next"));
-        assertTrue(sent.get() < MAX_SENT_BYTES, "sent " + sent.get());
+        assertTrue(sentBytes.get() < MAX_SENT_BYTES, "bytes sent: " + sentBytes.get());
     }
 
     @Test
-    public void aRefusalWithoutEndIsStillARefusal() throws IOException {
+    public void endlessRefusalIsStillARefusal() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 503, false) + "X-Not-Executed: 1\r\n\r\n"));
                     sendForever(out, bytes("sorry".repeat(1_000)));
                     return false;
                 });
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
-        assertTrue(sent.get() < MAX_SENT_BYTES, "sent " + sent.get());
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertTrue(response.startsWith("HTTP/1.1 503"), response);
+        assertTrue(sentBytes.get() < MAX_SENT_BYTES, "bytes sent: " + sentBytes.get());
     }
 
     @Test
-    public void anEventWithoutEndBreaksTheStream() throws IOException {
+    public void endlessEventFailsTheStream() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + WorkerFake.STREAM));
                     sendForever(out, bytes(chunk("data: " + "x".repeat(8_000))));
                     return false;
                 });
-        String answer = fleet.send(request("/s/x", "r1", ""));
+        String response = fleet.send(request("/s/x", "r1", ""));
         assertTrue(
-                answer.startsWith("HTTP/1.1 50"),
-                answer.substring(0, Math.min(80, answer.length())));
-        assertTrue(sent.get() < MAX_SENT_BYTES, "sent " + sent.get());
+                response.startsWith("HTTP/1.1 50"),
+                response.substring(0, Math.min(80, response.length())));
+        assertTrue(sentBytes.get() < MAX_SENT_BYTES, "bytes sent: " + sentBytes.get());
     }
 
-    /** A byte now and then is no sign of life where no event becomes whole. */
+    /** Bytes that complete no event are not a keep-alive. */
     @Test
-    public void aStreamThatDripsBytesIsLeftForAnotherServer() throws IOException {
+    public void streamWithoutCompleteEventsMovesToAnotherServer() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + WorkerFake.STREAM));
@@ -139,15 +144,15 @@
                     }
                 });
         fleet.second.script(Script.streaming(2, 3, 1));
-        String answer = fleet.send(request("/s/x", "r1", ""));
-        assertTrue(answer.contains("data: e3"), answer);
-        assertTrue(answer.endsWith("0\r\n\r\n"), answer);
+        String response = fleet.send(request("/s/x", "r1", ""));
+        assertTrue(response.contains("data: e3"), response);
+        assertTrue(response.endsWith("0\r\n\r\n"), response);
         assertEquals(fleet.second.requests.getFirst().headers().get("last-event-id"), "1");
     }
 
-    /** Events that come slowly, each in several parts, are events all the same. */
+    /** Slow events in several chunks each still count as progress. */
     @Test
-    public void aSlowStreamIsNotCut() throws IOException {
+    public void slowStreamIsNotCancelled() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + WorkerFake.STREAM));
@@ -161,19 +166,19 @@
                     return true;
                 });
         fleet.addSecond();
-        String answer = fleet.send(request("/s/x", "r1", ""));
-        assertTrue(answer.contains("data: e5") && answer.endsWith("0\r\n\r\n"), answer);
+        String response = fleet.send(request("/s/x", "r1", ""));
+        assertTrue(response.contains("data: e5") && response.endsWith("0\r\n\r\n"), response);
     }
 
-    /** The second copy of an answer comes when the connection carries the next request. */
+    /** The second copy of a response arrives while the connection carries the next request. */
     @Test
-    public void aSecondCopyWithoutAnIdIsNotTakenForTheNextAnswer() throws IOException {
+    public void secondCopyWithoutIdIsNotUsedForTheNextRequest() throws IOException {
         String copy = "HTTP/1.1 200 X\r\nX-Response-Signature: s\r\nContent-Length: 3\r\n\r\nold";
         fleet.first.script(
                 (request, out, in) -> {
-                    boolean again = request.id().equals("r2");
+                    boolean isRepeat = request.id().equals("r2");
                     out.write(
-                            again
+                            isRepeat
                                     ? bytes(copy)
                                     : bytes(
                                             head(request, 200, true)
@@ -181,7 +186,7 @@
                     return true;
                 });
         fleet.send(request("/i/x", "r1", ""));
-        String answer = fleet.send(request("/i/x", "r2", ""));
-        assertTrue(!answer.contains("old"), answer);
+        String response = fleet.send(request("/i/x", "r2", ""));
+        assertTrue(!response.contains("old"), response);
     }
 }
--- a/src/test/java/org/orioleshed/platform/Fleet.java
+++ b/src/test/java/org/orioleshed/platform/Fleet.java
@@ -18,7 +18,7 @@
 import org.orioleshed.gateway.LogRing;
 import org.orioleshed.model.FailureDomain;
 
-/** One gateway on loopback before stand-ins of the store and of two workers. */
+/** One gateway on loopback with a fake store and two fake servers. */
 final class Fleet implements AutoCloseable {
     static final String CONFIG =
             """
@@ -46,8 +46,8 @@
     final StoreFake store = new StoreFake();
     final WorkerFake first = new WorkerFake();
     final WorkerFake second = new WorkerFake();
-    final ByteArrayOutputStream logged = new ByteArrayOutputStream();
-    private final LogRing log = new LogRing(logged);
+    final ByteArrayOutputStream logBytes = new ByteArrayOutputStream();
+    private final LogRing log = new LogRing(logBytes);
     private final GatewayOptions options;
     private final PlatformNode node;
 
@@ -57,10 +57,11 @@
     }
 
     /**
-     * Returns a fleet.
+     * Returns a fleet whose gateway is ready.
      *
-     * @param slots the requests that the first worker runs at once
-     * @param graceMillis the time from the word to stop until the process would be killed
+     * @param slots the concurrent requests of the first server
+     * @param graceMillis the time from the stop signal until the process would be killed, in
+     *     milliseconds
      */
     static Fleet with(long timeoutMillis, int slots, long graceMillis) throws IOException {
         Fleet fleet = new Fleet(timeoutMillis, 100_000, slots, graceMillis, false);
@@ -72,7 +73,7 @@
         await(() -> get(options.ready(), "/ready").startsWith("HTTP/1.1 200"));
     }
 
-    /** Returns a fleet whose gateway does not know the servers yet, and is not ready. */
+    /** Returns a fleet whose gateway has not read the servers yet and is not ready. */
     static Fleet withoutServers(long timeoutMillis) throws IOException {
         return new Fleet(timeoutMillis, 100_000, SLOTS, GRACE_MILLIS, true);
     }
@@ -106,42 +107,42 @@
         node.start();
     }
 
-    /** Tells the gateway to stop; returns when its process would end. */
+    /** Stops the gateway; returns when its process would end. */
     void stop() {
         node.gateway().stop();
     }
 
-    /** Has the data thread do nothing for a time, from now on. */
-    void holdUp(long millis) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+    /** Blocks the data thread for a time; returns once it is blocked. */
+    void blockDataThread(long millis) throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
         node.gateway()
                 .metrics()
                 .gauge(
                         "pause",
                         () ->
                                 () -> {
-                                    held.countDown();
+                                    blocked.countDown();
                                     LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis));
                                     return 0;
                                 });
         Thread.ofVirtual().start(() -> get(options.metrics(), "/metrics"));
-        held.await();
+        blocked.await();
     }
 
-    /** Returns how many requests the gateway has read. */
+    /** Returns the number of requests that the gateway has read. */
     long requestsRead() {
         return node.gateway().metrics().counter("requests").getCount();
     }
 
-    /** Returns what the gateway has logged. */
+    /** Returns the gateway's log. */
     String log() {
-        return logged.toString(StandardCharsets.UTF_8);
+        return logBytes.toString(StandardCharsets.UTF_8);
     }
 
-    /** Adds the second worker and waits until the gateway knows it. */
+    /** Registers the second server and waits until the gateway has read its entry. */
     void addSecond() {
         store.put("servers/i-2", second.entry("pool", SLOTS));
-        await(() -> logged.toString(StandardCharsets.UTF_8).contains("server=i-2"));
+        await(() -> logBytes.toString(StandardCharsets.UTF_8).contains("server=i-2"));
     }
 
     private static InetSocketAddress freeAddress() throws IOException {
@@ -150,12 +151,12 @@
         }
     }
 
-    /** Opens a connection to the callers' address. */
+    /** Connects to the callers' listener. */
     Socket connect() throws IOException {
         return new Socket(options.callers().getAddress(), options.callers().getPort());
     }
 
-    /** Opens a connection whose caller takes few bytes at a time. */
+    /** Connects with a receive buffer of the given size. */
     Socket connect(int receiveBufferBytes) throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(receiveBufferBytes);
@@ -163,7 +164,7 @@
         return socket;
     }
 
-    /** Sends bytes on a new connection and returns all that comes until it closes. */
+    /** Sends bytes on a new connection and returns all bytes received until it closes. */
     String send(String bytes) throws IOException {
         try (Socket socket = connect()) {
             socket.getOutputStream().write(WorkerFake.bytes(bytes));
@@ -171,7 +172,7 @@
         }
     }
 
-    /** Returns a request for a path with the usual header fields and a body. */
+    /** Returns a valid request with a key, token counts and a deadline. */
     static String request(String path, String id, String body) {
         return "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nApi-Key: key\r\n"
                         .formatted(path, id)
@@ -191,12 +192,12 @@
         }
     }
 
-    /** Waits until something is so; fails if it never is. */
+    /** Waits until a condition holds; fails after {@link #WAIT_NANOS}. */
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + WAIT_NANOS;
+        long endNanos = System.nanoTime() + WAIT_NANOS;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("it never became so");
+            if (System.nanoTime() > endNanos) {
+                throw new AssertionError("condition not met within 20 s");
             }
             try {
                 Thread.sleep(5);
@@ -208,7 +209,8 @@
 
     @Override
     public void close() throws IOException {
-        // A client that lives on would call whatever gets the store's port next.
+        // Otherwise the store client would go on calling whichever process gets the store's port
+        // next.
         var unused = node.storeLoop().shutdownGracefully(0, 0, TimeUnit.SECONDS);
         store.close();
         first.close();
--- a/src/test/java/org/orioleshed/platform/GatewayCost.java
+++ b/src/test/java/org/orioleshed/platform/GatewayCost.java
@@ -5,20 +5,20 @@
 import java.lang.management.ThreadMXBean;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Measures the data thread's processor time for each request and event; run by hand. */
+/** Measures the data thread's processor time per request; run manually. */
 public final class GatewayCost {
     private static final int CALLERS = 40;
     private static final int EVENTS = 60;
     private static final long PAUSE_MILLIS = 10;
     private static final long SECONDS = 10;
-    private static final long QUOTA = 100_000_000;
+    private static final long QUOTA_PER_SECOND = 100_000_000;
 
     private GatewayCost() {}
 
     /** Runs the measurement. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         AtomicLong answered = new AtomicLong();
-        try (Fleet fleet = new Fleet(30_000, QUOTA)) {
+        try (Fleet fleet = new Fleet(30_000, QUOTA_PER_SECOND)) {
             fleet.store.put("servers/i-1", fleet.first.entry("pool", CALLERS));
             fleet.first.script(WorkerFake.Script.streaming(1, EVENTS, PAUSE_MILLIS));
             for (int caller = 0; caller < CALLERS; caller++) {
--- a/src/test/java/org/orioleshed/platform/GatewayPathTest.java
+++ b/src/test/java/org/orioleshed/platform/GatewayPathTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of the whole path on sockets: callers, gateway, store and workers. */
+/** Tests over sockets of the path of a request: caller, gateway, store and servers. */
 public class GatewayPathTest {
     private static final long TIMEOUT_MILLIS = 4_000;
 
@@ -35,34 +35,34 @@
         fleet.close();
     }
 
-    private static String status(String answer) {
-        return answer.isEmpty() ? "none" : answer.substring(9, 12);
+    private static String status(String response) {
+        return response.isEmpty() ? "none" : response.substring(9, 12);
     }
 
     @Test
-    public void aRequestBeforeTheServersAreKnownWaitsForThem() throws IOException {
+    public void requestWaitsUntilServersAreRead() throws IOException {
         fleet.close();
         fleet = Fleet.withoutServers(TIMEOUT_MILLIS);
         AtomicInteger status = new AtomicInteger();
         Thread caller =
                 Thread.ofVirtual()
-                        .start(() -> status.set(Integer.parseInt(status(quickly("/o/x")))));
+                        .start(() -> status.set(Integer.parseInt(status(sendRequest("/o/x")))));
         Fleet.await(() -> log().contains("event=config_in_force"));
         fleet.store.hideServers(false);
         Fleet.await(() -> !caller.isAlive());
         assertEquals(status.get(), 200);
     }
 
-    private String quickly(String path) {
+    private String sendRequest(String path) {
         return sendQuietly(request(path, "r1", ""));
     }
 
     @Test
-    public void passesARequestAndItsAnswerUnchanged() throws IOException {
-        String answer = fleet.send(request("/o/x?q=1", "r1", "body"));
-        assertEquals(status(answer), "200");
-        assertTrue(answer.contains("X-Response-Signature: s"));
-        assertTrue(answer.endsWith("\r\n\r\nok"));
+    public void forwardsRequestAndResponse() throws IOException {
+        String response = fleet.send(request("/o/x?q=1", "r1", "body"));
+        assertEquals(status(response), "200");
+        assertTrue(response.contains("X-Response-Signature: s"));
+        assertTrue(response.endsWith("\r\n\r\nok"));
         WorkerFake.Request seen = fleet.first.requests.getFirst();
         assertEquals(seen.line(), "POST /o/x?q=1 HTTP/1.1");
         assertEquals(seen.body(), "body");
@@ -73,24 +73,24 @@
     }
 
     @Test
-    public void readsAChunkedBody() throws IOException {
-        String answer =
+    public void readsChunkedBody() throws IOException {
+        String response =
                 fleet.send(
                         "POST /p/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
                                 + "Transfer-Encoding: chunked\r\n\r\n"
                                 + chunk("bo")
                                 + chunk("dy")
                                 + "0\r\n\r\n");
-        assertEquals(status(answer), "200");
+        assertEquals(status(response), "200");
         assertEquals(fleet.first.requests.getFirst().body(), "body");
     }
 
     @Test
-    public void answersRequestsOfAConnectionInOrder() throws IOException {
-        String one = request("/i/a", "r1", "").replace("Connection: close\r\n", "");
-        String answers = fleet.send(one + request("/i/b", "r2", ""));
-        assertTrue(answers.indexOf("X-Request-Id: r1") < answers.indexOf("X-Request-Id: r2"));
-        assertEquals(answers.split("HTTP/1.1 200", -1).length, 3);
+    public void pipelinedRequestsAreAnsweredInOrder() throws IOException {
+        String first = request("/i/a", "r1", "").replace("Connection: close\r\n", "");
+        String responses = fleet.send(first + request("/i/b", "r2", ""));
+        assertTrue(responses.indexOf("X-Request-Id: r1") < responses.indexOf("X-Request-Id: r2"));
+        assertEquals(responses.split("HTTP/1.1 200", -1).length, 3);
     }
 
     @DataProvider
@@ -125,7 +125,7 @@
     }
 
     @Test(dataProvider = "refusals")
-    public void badInputGetsAClearAnswerAndReachesNoWorker(String bytes, String expected)
+    public void badInputIsRejectedAndReachesNoServer(String bytes, String expected)
             throws IOException {
         assertEquals(status(fleet.send(bytes)), expected);
         assertTrue(fleet.first.requests.isEmpty());
@@ -133,16 +133,16 @@
     }
 
     @Test
-    public void passesEventsOfAStream() throws IOException {
+    public void forwardsEventsOfAStream() throws IOException {
         fleet.first.script(Script.streaming(1, 5, 1));
-        String answer = fleet.send(request("/s/x", "r1", ""));
-        assertEquals(status(answer), "200");
-        assertTrue(answer.contains("data: e5"));
-        assertTrue(answer.endsWith("0\r\n\r\n"));
+        String response = fleet.send(request("/s/x", "r1", ""));
+        assertEquals(status(response), "200");
+        assertTrue(response.contains("data: e5"));
+        assertTrue(response.endsWith("0\r\n\r\n"));
     }
 
     @Test
-    public void aBrokenStreamGoesOnAtAnotherWorkerWithoutGapOrRepeat() throws IOException {
+    public void brokenStreamResumesAtAnotherServerWithoutGapOrRepeat() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + WorkerFake.STREAM));
@@ -151,21 +151,21 @@
                     return false;
                 });
         fleet.second.script(Script.streaming(3, 4, 1));
-        String answer = fleet.send(request("/s/x", "r1", ""));
-        assertTrue(answer.endsWith("0\r\n\r\n"), answer);
-        String events = answer.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
+        String response = fleet.send(request("/s/x", "r1", ""));
+        assertTrue(response.endsWith("0\r\n\r\n"), response);
+        String events = response.replaceAll("(?m)^[0-9a-f]+\r\n|\r\n", "");
         int last = 0;
         for (int event = 1; event <= 4; event++) {
-            int at = events.indexOf("data: e" + event);
-            assertTrue(at > last, answer);
-            assertEquals(events.indexOf("data: e" + event, at + 1), -1, answer);
-            last = at;
+            int position = events.indexOf("data: e" + event);
+            assertTrue(position > last, response);
+            assertEquals(events.indexOf("data: e" + event, position + 1), -1, response);
+            last = position;
         }
         assertEquals(fleet.second.requests.getFirst().headers().get("last-event-id"), "2");
     }
 
     private String log() {
-        return fleet.logged.toString(StandardCharsets.UTF_8);
+        return fleet.logBytes.toString(StandardCharsets.UTF_8);
     }
 
     @DataProvider
@@ -190,24 +190,23 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aCallThatMayHaveRunOnceIsNotSentAgainAndNotCalledNotRun(Script fault)
-            throws IOException {
+    public void callThatMayHaveRunIsNotRetriedNorReportedAsNotRun(Script fault) throws IOException {
         fleet.first.script(fault);
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertEquals(status(answer), "502");
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertEquals(status(response), "502");
         assertEquals(fleet.first.requests.size(), 1);
-        assertFalse(answer.contains("X-Response-Signature"));
+        assertFalse(response.contains("X-Response-Signature"));
     }
 
     @Test(dataProvider = "faults")
-    public void anIdempotentCallIsSentToAnotherWorker(Script fault) throws IOException {
+    public void idempotentCallIsRetriedAtAnotherServer(Script fault) throws IOException {
         fleet.first.script(fault);
         fleet.second.script(fault);
         fleet.addSecond();
-        AtomicInteger left = new AtomicInteger(1);
+        AtomicInteger remainingFaults = new AtomicInteger(1);
         Script once =
                 (request, out, in) ->
-                        left.getAndDecrement() > 0
+                        remainingFaults.getAndDecrement() > 0
                                 ? fault.play(request, out, in)
                                 : Script.answering(200, "ok").play(request, out, in);
         fleet.first.script(once);
@@ -218,11 +217,11 @@
     }
 
     @Test
-    public void aWorkerThatDidNotRunACallLeavesItToAnother() throws IOException {
-        AtomicInteger left = new AtomicInteger(1);
+    public void refusedCallIsRetriedAtAnotherServer() throws IOException {
+        AtomicInteger remainingFaults = new AtomicInteger(1);
         Script full =
                 (request, out, in) -> {
-                    if (left.getAndDecrement() > 0) {
+                    if (remainingFaults.getAndDecrement() > 0) {
                         out.write(
                                 bytes(
                                         head(request, 503, false)
@@ -239,27 +238,27 @@
     }
 
     @Test
-    public void notRunIsSaidWithWhenToComeBack() throws IOException {
+    public void notRunResponseHasRetryAfter() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 421, false) + length("")));
                     return true;
                 });
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertEquals(status(answer), "503");
-        assertTrue(answer.contains("Retry-After: "), answer);
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertEquals(status(response), "503");
+        assertTrue(response.contains("Retry-After: "), response);
     }
 
     @Test
-    public void aFailureOfTheWorkerIsPassedOn() throws IOException {
+    public void serverFailureIsForwarded() throws IOException {
         fleet.first.script(Script.answering(500, "sorry"));
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertEquals(status(answer), "500");
-        assertTrue(answer.endsWith("sorry"));
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertEquals(status(response), "500");
+        assertTrue(response.endsWith("sorry"));
     }
 
     @Test
-    public void anUnproved503IsNotPassedOnAsAPromise() throws IOException {
+    public void unsigned503IsNotForwardedAsNotRun() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 503, false) + length("")));
@@ -269,7 +268,7 @@
     }
 
     @Test
-    public void aLateAnswerToAnotherRequestIsNotTakenForThisOne() throws IOException {
+    public void lateResponseToAnotherRequestIsDiscarded() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(
@@ -280,30 +279,30 @@
                                             + "old"));
                     return Script.answering(200, "new").play(request, out, in);
                 });
-        String answer = fleet.send(request("/o/x", "r1", ""));
-        assertTrue(answer.endsWith("new"), answer);
-        assertFalse(answer.contains("old"));
+        String response = fleet.send(request("/o/x", "r1", ""));
+        assertTrue(response.endsWith("new"), response);
+        assertFalse(response.contains("old"));
     }
 
     @Test
-    public void aStreamThatEndsEarlyDoesNotLookComplete() throws IOException {
+    public void truncatedStreamIsNotTerminated() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + WorkerFake.STREAM));
                     out.write(bytes(chunk("id: 1\ndata: e1\n\n")));
                     return false;
                 });
-        String answer;
+        String response;
         try {
-            answer = fleet.send(request("/s/x", "r1", ""));
+            response = fleet.send(request("/s/x", "r1", ""));
         } catch (IOException e) {
-            answer = "reset";
+            response = "reset";
         }
-        assertFalse(answer.endsWith("0\r\n\r\n"), answer);
+        assertFalse(response.endsWith("0\r\n\r\n"), response);
     }
 
     @Test
-    public void theCallersLeavingEndsTheWorkersWork() throws IOException {
+    public void callerDisconnectCancelsTheCallAtTheServer() throws IOException {
         AtomicInteger ended = new AtomicInteger();
         fleet.first.script(
                 (request, out, in) -> {
@@ -317,15 +316,15 @@
         Fleet.await(() -> ended.get() == 1);
     }
 
-    /** The host gets no processor for a time, and the caller leaves before it is read. */
+    /** The data thread is blocked, and the caller disconnects before its request is read. */
     @Test
-    public void aCallerThatLeftUnreadIsNotServed() throws Exception {
-        String kept = request("/s/x", "r1", "").replace("Connection: close\r\n", "");
+    public void requestOfDisconnectedCallerIsNotRun() throws Exception {
+        String keepAliveRequest = request("/s/x", "r1", "").replace("Connection: close\r\n", "");
         try (Socket socket = fleet.connect()) {
-            socket.getOutputStream().write(bytes(kept));
+            socket.getOutputStream().write(bytes(keepAliveRequest));
             Fleet.await(() -> log().contains("event=done request=r1"));
-            fleet.holdUp(600);
-            socket.getOutputStream().write(bytes(kept.replace("r1", "r2")));
+            fleet.blockDataThread(600);
+            socket.getOutputStream().write(bytes(keepAliveRequest.replace("r1", "r2")));
         }
         Fleet.await(() -> log().contains("event=done request=r2"));
         assertEquals(fleet.first.requests.size(), 1);
@@ -333,7 +332,7 @@
     }
 
     @Test
-    public void theRoutesTimeoutIsAnswered() throws IOException {
+    public void routeTimeoutIsAnswered() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     int unused = in.read();
@@ -343,7 +342,7 @@
     }
 
     @Test
-    public void aNewConfigurationAndALostServerAreInForceAtOnce() throws IOException {
+    public void newConfigurationAndRemovedServerTakeEffect() throws IOException {
         fleet.store.put(
                 "op/config",
                 Fleet.CONFIG.formatted(TIMEOUT_MILLIS, 100_000).replace("\"/o/\"", "\"/n/\""));
@@ -356,7 +355,7 @@
     }
 
     @Test
-    public void theStoresOutageAndForgottenHistoryAreSurvived() throws IOException {
+    public void survivesStoreOutageAndCompactedHistory() throws IOException {
         fleet.store.failWith(503);
         fleet.store.forgetHistory();
         assertEquals(status(fleet.send(request("/o/x", "r1", ""))), "200");
@@ -376,14 +375,14 @@
     }
 
     @Test
-    public void beyondTheQuotaACallIsRefusedWithWhenToComeBack() throws IOException {
+    public void callBeyondQuotaIsRefusedWithRetryAfter() throws IOException {
         fleet.close();
         fleet = new Fleet(TIMEOUT_MILLIS, 1);
-        String answer = "";
-        for (int i = 0; i < 5 && !status(answer).equals("429"); i++) {
-            answer = fleet.send(request("/i/x", "r" + i, ""));
+        String response = "";
+        for (int i = 0; i < 5 && !status(response).equals("429"); i++) {
+            response = fleet.send(request("/i/x", "r" + i, ""));
         }
-        assertEquals(status(answer), "429");
-        assertTrue(answer.contains("Retry-After: "));
+        assertEquals(status(response), "429");
+        assertTrue(response.contains("Retry-After: "));
     }
 }
--- a/src/test/java/org/orioleshed/platform/LeavingTest.java
+++ b/src/test/java/org/orioleshed/platform/LeavingTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of what callers get from a host that was told to stop, until its process is gone. */
+/** Tests of the responses of a host from the stop signal until its process ends. */
 public class LeavingTest {
     private static final long TIMEOUT_MILLIS = 5_000;
     private static final long GRACE_MILLIS = 2_000;
@@ -35,20 +35,20 @@
         fleet.close();
     }
 
-    /** A caller that notes what it has got. */
+    /** A caller that records the bytes received. */
     private static final class Caller {
         private final Socket socket;
-        private final ByteArrayOutputStream got = new ByteArrayOutputStream();
-        private final Thread reading;
+        private final ByteArrayOutputStream received = new ByteArrayOutputStream();
+        private final Thread reader;
 
         Caller(Socket socket) {
             this.socket = socket;
-            reading = Thread.ofVirtual().start(this::read);
+            reader = Thread.ofVirtual().start(this::read);
         }
 
-        /** Waits for what was sent before the process ended, a moment at most. */
+        /** Waits up to {@link #SETTLE_MILLIS} for bytes sent before the process ended. */
         void settle() throws InterruptedException {
-            reading.join(Duration.ofMillis(SETTLE_MILLIS));
+            reader.join(Duration.ofMillis(SETTLE_MILLIS));
         }
 
         void send(String bytes) throws IOException {
@@ -59,21 +59,21 @@
             try (InputStream in = socket.getInputStream()) {
                 byte[] bytes = new byte[4_096];
                 for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
-                    got.write(bytes, 0, count);
+                    received.write(bytes, 0, count);
                 }
             } catch (IOException e) {
-                // What has come until then is what counts.
+                // The tests check the bytes received until then.
                 return;
             }
         }
 
-        String answer() {
-            return got.toString(StandardCharsets.ISO_8859_1);
+        String response() {
+            return received.toString(StandardCharsets.ISO_8859_1);
         }
 
         String status() {
-            String answer = answer();
-            return answer.isEmpty() ? "none" : answer.substring(9, 12);
+            String response = response();
+            return response.isEmpty() ? "none" : response.substring(9, 12);
         }
     }
 
@@ -89,9 +89,12 @@
         return stopping;
     }
 
-    /** Incident inc1: it came when the balancer sent nothing new, was taken, and was cut. */
+    /**
+     * Incident inc1: a stream that arrived when the balancer should send none any more was
+     * accepted, and cut off by the end of the process.
+     */
     @Test
-    public void aStreamTakenLongAfterTheSignalIsNotCutByTheEndOfTheHost() throws Exception {
+    public void streamLongAfterTheSignalIsRefusedRatherThanCutOff() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 8, LONG_GRACE_MILLIS);
         fleet.first.script(Script.streaming(1, 400, 10));
@@ -103,24 +106,24 @@
         stopping.join();
         caller.settle();
         assertEquals(caller.status(), "503", fleet.log());
-        assertTrue(caller.answer().contains("Retry-After: 0.000"), caller.answer());
+        assertTrue(caller.response().contains("Retry-After: 0.000"), caller.response());
         assertEquals(fleet.first.requests.size(), 1);
     }
 
     @Test
-    public void aStreamThatTheBalancerStillSentIsServed() throws Exception {
+    public void streamShortlyAfterTheSignalIsServed() throws Exception {
         fleet.first.script(Script.streaming(1, 30, 10));
         Thread stopping = stop();
         Caller caller = call(request("/s/x", "r1", ""));
         stopping.join();
         caller.settle();
         assertEquals(caller.status(), "200");
-        assertTrue(caller.answer().endsWith("0\r\n\r\n"), caller.answer());
+        assertTrue(caller.response().endsWith("0\r\n\r\n"), caller.response());
     }
 
-    /** The place of a run that the end of the host ends must not go to one that waits. */
+    /** A slot freed by the host's shutdown must not go to a waiting request. */
     @Test
-    public void aRepeatThatWaitsWhenItsHostEndsGetsAnAnswerAndIsNotSent() throws Exception {
+    public void waitingRetryIsAnsweredAndNotSentAtShutdown() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 1, GRACE_MILLIS);
         fleet.first.script(Script.streaming(1, 500, 10));
@@ -131,33 +134,33 @@
         Caller waiting = call(request("/i/x", "r2", ""));
         Fleet.await(() -> fleet.second.requests.size() == 1);
         stop().join();
-        Fleet.await(() -> !waiting.answer().isEmpty());
+        Fleet.await(() -> !waiting.response().isEmpty());
         assertEquals(waiting.status(), "502", fleet.log());
         assertEquals(fleet.first.requests.size(), 1);
     }
 
-    /** A stream begun before the signal, on a connection that its caller keeps. */
+    /** The stream started before the signal, on a keep-alive connection. */
     @Test
-    public void aHostDoesNotWaitForAnIdleConnectionAfterItsLastStream() throws Exception {
+    public void idleConnectionDoesNotDelayShutdown() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 8, LONG_GRACE_MILLIS);
         fleet.first.script(Script.streaming(1, 280, 10));
         Caller kept = call(request("/s/x", "r1", "").replace("Connection: close\r\n", ""));
-        Fleet.await(() -> !kept.answer().isEmpty());
+        Fleet.await(() -> !kept.response().isEmpty());
         stop().join();
-        assertTrue(kept.answer().endsWith("0\r\n\r\n"), fleet.log());
-        assertTrue(endedAfterMillis() < LONG_GRACE_MILLIS / 2 + 1_000, fleet.log());
+        assertTrue(kept.response().endsWith("0\r\n\r\n"), fleet.log());
+        assertTrue(stoppedAfterMillis() < LONG_GRACE_MILLIS / 2 + 1_000, fleet.log());
     }
 
-    private long endedAfterMillis() {
+    private long stoppedAfterMillis() {
         String mark = "event=stopped after_ms=";
         Fleet.await(() -> fleet.log().contains(mark));
-        String rest = fleet.log().substring(fleet.log().indexOf(mark) + mark.length());
-        return Long.parseLong(rest.lines().findFirst().orElseThrow());
+        String suffix = fleet.log().substring(fleet.log().indexOf(mark) + mark.length());
+        return Long.parseLong(suffix.lines().findFirst().orElseThrow());
     }
 
     @Test
-    public void anAnswerThatIsNotYetReadIsNotCutWhenKeptConnectionsAreClosed() throws Exception {
+    public void slowlyReadResponseIsNotCutOffWhenIdleConnectionsClose() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 8, LONG_GRACE_MILLIS);
         String body = "x".repeat(8 << 20);
@@ -168,15 +171,15 @@
             Fleet.await(() -> fleet.log().contains("status=200"));
             Thread stopping = stop();
             Thread.sleep(2_700);
-            byte[] got = slow.getInputStream().readAllBytes();
+            byte[] received = slow.getInputStream().readAllBytes();
             stopping.join();
-            assertTrue(got.length > body.length(), "got " + got.length);
+            assertTrue(received.length > body.length(), "bytes received: " + received.length);
         }
     }
 
-    /** The grace period counts from the signal, not from when the data thread is free again. */
+    /** The grace period counts from the signal, not from when the data thread handles it. */
     @Test
-    public void aHostThatHearsOfTheSignalLateAnswersBeforeItIsKilled() throws Exception {
+    public void callsAreAnsweredWithinGracePeriodIfSignalIsHandledLate() throws Exception {
         fleet.close();
         fleet = Fleet.with(20_000, 8, 6_000);
         fleet.first.script(
@@ -186,15 +189,15 @@
                 });
         Caller caller = call(request("/o/x", "r1", "").replace("Ms: 5000", "Ms: 20000"));
         Fleet.await(() -> fleet.first.requests.size() == 1);
-        fleet.holdUp(900);
+        fleet.blockDataThread(900);
         fleet.stop();
         caller.settle();
         assertEquals(caller.status(), "502", fleet.log());
-        assertTrue(endedAfterMillis() < 6_000, fleet.log());
+        assertTrue(stoppedAfterMillis() < 6_000, fleet.log());
     }
 
     @Test
-    public void aRequestThatWaitsWhenItsHostEndsIsToldNotRun() throws Exception {
+    public void waitingRequestIsRefusedAsNotRunAtShutdown() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 1, GRACE_MILLIS);
         fleet.first.script(Script.streaming(1, 500, 10));
@@ -205,12 +208,12 @@
         stop().join();
         waiting.settle();
         assertEquals(waiting.status(), "503", fleet.log());
-        assertTrue(waiting.answer().contains("Retry-After: "), waiting.answer());
+        assertTrue(waiting.response().contains("Retry-After: "), waiting.response());
         assertEquals(fleet.first.requests.size(), 1);
     }
 
     @Test
-    public void aCallStillAtWorkWhenItsHostEndsGetsAnAnswerThatPromisesNothing() throws Exception {
+    public void runningCallIsAnswered502AtShutdown() throws Exception {
         fleet.first.script(
                 (request, out, in) -> {
                     Thread.sleep(TIMEOUT_MILLIS);
@@ -224,19 +227,19 @@
     }
 
     @Test
-    public void aCallThatEndsBeforeItsHostIsServed() throws Exception {
+    public void callThatCompletesBeforeShutdownIsServed() throws Exception {
         String quick = request("/o/x", "r1", "").replace("Ms: 5000", "Ms: 600");
         Thread stopping = stop();
         Caller caller = call(quick);
         stopping.join();
         caller.settle();
         assertEquals(caller.status(), "200");
-        assertTrue(caller.answer().contains("onnection: close"), caller.answer());
+        assertTrue(caller.response().contains("onnection: close"), caller.response());
     }
 
-    /** A balancer with too few ready hosts goes on sending callers to those that leave. */
+    /** A balancer with too few ready hosts continues to send callers to stopping hosts. */
     @Test
-    public void newConnectionsAreAnsweredUntilTheHostEnds() throws Exception {
+    public void newConnectionsAreAnsweredUntilShutdown() throws Exception {
         fleet.close();
         fleet = Fleet.with(TIMEOUT_MILLIS, 8, 5_500);
         fleet.first.script(Script.streaming(1, 290, 10));
@@ -253,7 +256,7 @@
         kept.settle();
         assertEquals(quick.status(), "200", fleet.log());
         assertEquals(patient.status(), "503", fleet.log());
-        assertTrue(patient.answer().contains("Retry-After: 0.000"), patient.answer());
-        assertTrue(kept.answer().endsWith("0\r\n\r\n"), fleet.log());
+        assertTrue(patient.response().contains("Retry-After: 0.000"), patient.response());
+        assertTrue(kept.response().endsWith("0\r\n\r\n"), fleet.log());
     }
 }
--- a/src/test/java/org/orioleshed/platform/ManifestDecoderTest.java
+++ b/src/test/java/org/orioleshed/platform/ManifestDecoderTest.java
@@ -17,7 +17,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link ManifestDecoder}. */
+/** Tests of {@link ManifestDecoder} with valid and malformed entries. */
 public class ManifestDecoderTest {
     private static final String CONFIG =
             """
@@ -72,7 +72,7 @@
     }
 
     @Test(dataProvider = "paths")
-    public void theLongestPrefixWins(String path, String route) throws BadCatalogException {
+    public void longestPrefixWins(String path, String route) throws BadCatalogException {
         Catalog catalog = decoder.config(bytes(CONFIG));
         assertEquals(
                 catalog.route("h.example", path).map(CallRoute::id),
@@ -95,12 +95,12 @@
     }
 
     @Test(dataProvider = "badConfigs")
-    public void aConfigThatCannotBeReadIsRefusedWhole(String text) {
+    public void malformedConfigIsRejected(String text) {
         assertThrows(BadCatalogException.class, () -> decoder.config(bytes(text)));
     }
 
     @Test
-    public void readsAServer() throws BadCatalogException {
+    public void readsServer() throws BadCatalogException {
         PoolServer server =
                 decoder.server(
                         "servers/i-1",
@@ -134,7 +134,7 @@
     }
 
     @Test(dataProvider = "badServers")
-    public void anEntryOfAnotherWriterNamesNoServer(String text) {
+    public void malformedServerEntryIsRejected(String text) {
         assertThrows(BadCatalogException.class, () -> decoder.server("servers/i", bytes(text)));
     }
 }
--- a/src/test/java/org/orioleshed/platform/NodeSettingsTest.java
+++ b/src/test/java/org/orioleshed/platform/NodeSettingsTest.java
@@ -10,9 +10,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link NodeSettings}. */
+/** Tests of {@link NodeSettings} with valid and invalid settings. */
 public class NodeSettingsTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             // comments are fine
             {"ip":"10.1.0.25","zone":"suva-a","port-range":[7600,7615],
@@ -24,8 +24,8 @@
             """;
 
     @Test
-    public void readsWhatTheGatewayNeeds() throws BadSettingsException {
-        NodeSettings settings = NodeSettings.parse(GOOD);
+    public void readsGatewayOptionsAndStoreAddress() throws BadSettingsException {
+        NodeSettings settings = NodeSettings.parse(VALID);
         assertEquals(settings.gateway().peer(), new InetSocketAddress("10.1.0.25", 7600));
         assertEquals(settings.gateway().seeds(), List.of(new InetSocketAddress("10.2.0.17", 7600)));
         assertEquals(settings.gateway().graceMillis(), 8_000);
@@ -33,22 +33,22 @@
     }
 
     @DataProvider
-    Object[][] bad() {
+    Object[][] invalidSettings() {
         return new Object[][] {
             {"{", "not JSON"},
-            {GOOD.replace("\"ip\"", "\"ip2\""), "/ip"},
-            {GOOD.replace("\"zone\":\"suva-a\"", "\"zone\":7"), "/zone"},
-            {GOOD.replace("[7600,7615]", "[]"), "/port-range/0"},
-            {GOOD.replace("7600", "99999"), "/port-range/0"},
-            {GOOD.replace("10.1.0.25:8221", "front:8221"), "/listen/front"},
-            {GOOD.replace("10.2.0.17:8229", "nowhere"), "/seeds"},
-            {GOOD.replace("\"retry-ratio\":0.2", "\"retry-ratio\":\"x\""), "/bounds/retry-ratio"},
-            {GOOD.replace("10.200.1.7:8225", ""), "/platform/address"},
+            {VALID.replace("\"ip\"", "\"ip2\""), "/ip"},
+            {VALID.replace("\"zone\":\"suva-a\"", "\"zone\":7"), "/zone"},
+            {VALID.replace("[7600,7615]", "[]"), "/port-range/0"},
+            {VALID.replace("7600", "99999"), "/port-range/0"},
+            {VALID.replace("10.1.0.25:8221", "front:8221"), "/listen/front"},
+            {VALID.replace("10.2.0.17:8229", "nowhere"), "/seeds"},
+            {VALID.replace("\"retry-ratio\":0.2", "\"retry-ratio\":\"x\""), "/bounds/retry-ratio"},
+            {VALID.replace("10.200.1.7:8225", ""), "/platform/address"},
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void aMistakeIsNamedByItsField(String text, String field) {
+    @Test(dataProvider = "invalidSettings")
+    public void errorMessageNamesTheField(String text, String field) {
         BadSettingsException error =
                 expectThrows(BadSettingsException.class, () -> NodeSettings.parse(text));
         assertTrue(error.getMessage().contains(field), error.getMessage());
--- a/src/test/java/org/orioleshed/platform/PlatformHeaderTranslatorTest.java
+++ b/src/test/java/org/orioleshed/platform/PlatformHeaderTranslatorTest.java
@@ -16,12 +16,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PlatformHeaderTranslator}. */
+/** Tests of {@link PlatformHeaderTranslator}, including malformed and forged header fields. */
 public class PlatformHeaderTranslatorTest {
     private final PlatformHeaderTranslator translator = new PlatformHeaderTranslator();
 
     @Test
-    public void readsACallersFacts() {
+    public void readsCallerHeaders() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set("x-request-id", "9c")
@@ -35,12 +35,12 @@
     }
 
     @DataProvider
-    Object[][] odd() {
+    Object[][] malformedNumbers() {
         return new Object[][] {{"", ""}, {"x", "x"}, {"-5", "1,2,3"}, {"1e9", ","}};
     }
 
-    @Test(dataProvider = "odd")
-    public void oddNumbersAreNone(String deadline, String tokens) {
+    @Test(dataProvider = "malformedNumbers")
+    public void malformedNumbersAreIgnored(String deadline, String tokens) {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set("X-Deadline-Ms", deadline)
@@ -51,13 +51,13 @@
     }
 
     @Test
-    public void twoKeysAreNone() {
+    public void twoKeysCountAsNone() {
         HttpHeaders headers = new DefaultHttpHeaders().add("Api-Key", "a").add("Api-Key", "b");
         assertEquals(translator.read(headers).key(), Optional.empty());
     }
 
     @Test
-    public void aServerGetsWhatTheSystemSetsAndNothingThatACallerForged() {
+    public void reservedHeadersOfCallersAreReplaced() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set("Api-Key", "k")
@@ -88,7 +88,7 @@
     }
 
     @Test
-    public void readsAServersFacts() {
+    public void readsServerHeaders() {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set("X-Request-Id", "9c")
@@ -118,13 +118,13 @@
     }
 
     @Test(dataProvider = "limits")
-    public void readsTheLimitOfAServerAndNothingThatIsNone(String stated, StatedLimit limit) {
+    public void readsServerLimitAndMarksMalformedOneUnknown(String stated, StatedLimit limit) {
         HttpHeaders headers = new DefaultHttpHeaders().set("Server-Limit", stated);
         assertEquals(translator.readAnswer(503, headers).limit(), limit);
     }
 
     @Test
-    public void ownAnswersBearNoSignatureAndSayWhenToComeBack() {
+    public void ownResponsesHaveRetryAfterAndNoSignature() {
         HttpHeaders headers = new DefaultHttpHeaders();
         translator.markOwn(headers, "9c", 350);
         assertEquals(headers.get("Retry-After"), "0.350");
--- a/src/test/java/org/orioleshed/platform/PlatformNamesTest.java
+++ b/src/test/java/org/orioleshed/platform/PlatformNamesTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Tests that nothing outside the translation knows the platform's names. */
+/** Tests that the platform's names occur in the platform package only. */
 public class PlatformNamesTest {
     private static final Pattern NAMES =
             Pattern.compile(
@@ -21,13 +21,13 @@
                             + "|org\\.orioleshed\\.platform");
 
     @Test
-    public void stayInTheTranslation() throws IOException {
+    public void areAbsentFromTheCore() throws IOException {
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
-            List<Path> found =
+            List<Path> filesWithNames =
                     files.filter(file -> file.toString().endsWith(".java"))
                             .filter(PlatformNamesTest::hasName)
                             .toList();
-            assertEquals(found, List.of());
+            assertEquals(filesWithNames, List.of());
         }
     }
 
--- a/src/test/java/org/orioleshed/platform/PlatformStoreTest.java
+++ b/src/test/java/org/orioleshed/platform/PlatformStoreTest.java
@@ -16,17 +16,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link PlatformStore} against a stand-in of the store. */
+/** Tests of {@link PlatformStore} with a fake store. */
 public class PlatformStoreTest {
     private static final long WAIT_SECONDS = 20;
     private static final int CHANGES = 30;
     private static final int PAGES = 3;
 
-    /** The stand-in looks for changes more often than this. */
-    private static final long GAP_MILLIS = 12;
+    /** The interval between writes; longer than the poll interval of the fake store. */
+    private static final long WRITE_INTERVAL_MILLIS = 12;
 
-    /** No more than one call in this time is wanted. */
-    private static final long REST_NANOS = 200_000_000L;
+    /** The time in which at most one call is expected. */
+    private static final long CALL_INTERVAL_NANOS = 200_000_000L;
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private EventLoopGroup group;
@@ -64,29 +64,29 @@
         String next = "";
         while (!key.equals(next)) {
             next = seen.poll(WAIT_SECONDS, TimeUnit.SECONDS);
-            assertTrue(next != null, "never saw " + key);
+            assertTrue(next != null, "no change of " + key + " was reported");
         }
     }
 
     @Test
-    public void changesThatComeTogetherCostFewCalls() throws InterruptedException {
+    public void frequentChangesAreCollectedIntoFewCalls() throws InterruptedException {
         store.watch("servers/", 1, new Watcher());
         fake.put("servers/first", "x");
         awaitSeen("servers/first");
         long beginNanos = System.nanoTime();
         for (int i = 0; i < CHANGES; i++) {
             fake.put("servers/" + i, "x");
-            Thread.sleep(GAP_MILLIS);
+            Thread.sleep(WRITE_INTERVAL_MILLIS);
         }
         awaitSeen("servers/" + (CHANGES - 1));
-        long rests = (System.nanoTime() - beginNanos) / REST_NANOS;
-        assertTrue(fake.watchCalls() <= 3 + rests, "calls " + fake.watchCalls());
+        long expectedCalls = (System.nanoTime() - beginNanos) / CALL_INTERVAL_NANOS;
+        assertTrue(fake.watchCalls() <= 3 + expectedCalls, "watch calls: " + fake.watchCalls());
     }
 
-    /** A watch from its revision must bring what changed on pages that were already read. */
+    /** A watch from the revision of a list must report changes to pages that were already read. */
     @Test
-    public void aListOfSeveralPagesIsAsOfItsFirst() throws Exception {
-        for (int i = 0; i < PAGES * StoreFake.PAGE; i++) {
+    public void listOfSeveralPagesHasRevisionOfFirstPage() throws Exception {
+        for (int i = 0; i < PAGES * StoreFake.PAGE_ITEMS; i++) {
             fake.put("servers/" + i, "x");
         }
         long before = listedRevision();
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void aWatchThatIsClosedAsksNoMore() throws InterruptedException {
+    public void closedWatchReportsNothing() throws InterruptedException {
         Store.Watch watch = store.watch("servers/", 1, new Watcher());
         fake.put("servers/first", "x");
         awaitSeen("servers/first");
--- a/src/test/java/org/orioleshed/platform/ServerNoticesTest.java
+++ b/src/test/java/org/orioleshed/platform/ServerNoticesTest.java
@@ -15,15 +15,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of what servers say of themselves in their answers, on sockets. */
+/**
+ * Tests over sockets of the notices in responses: a server leaves, states a limit, or needs a
+ * backoff.
+ */
 public class ServerNoticesTest {
     private static final String LEAVING = "Server-Leaving: 1\r\n";
     private static final String NOT_RUN = "X-Not-Executed: 1\r\n";
     private static final int CALLS = 12;
     private static final double LIMIT_PER_SECOND = 0.5;
-    private static final long SLOWER_MILLIS = 40;
-    private static final int CALLS_BEYOND_THE_LIMIT = 60;
-    private static final long PATIENCE_NANOS = 20_000_000_000L;
+    private static final long SLOW_RESPONSE_MILLIS = 40;
+    private static final int CALLS_ABOVE_LIMIT = 60;
+    private static final long WAIT_NANOS = 20_000_000_000L;
 
     private Fleet fleet;
 
@@ -38,8 +41,8 @@
         fleet.close();
     }
 
-    /** Returns answers of each kind that bear a header field, and the paths that get them. */
-    private static Object[][] answersWith(String field) {
+    /** Returns a script for each kind of response with a header field, and the path to call. */
+    private static Object[][] responsesWith(String field) {
         Script success =
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + field + length("ok") + "ok"));
@@ -67,12 +70,12 @@
     }
 
     @DataProvider
-    Object[][] leavings() {
-        return answersWith(LEAVING);
+    Object[][] leavingNotices() {
+        return responsesWith(LEAVING);
     }
 
-    @Test(dataProvider = "leavings")
-    public void aServerThatSaysThatItLeavesGetsNothingMore(Script leaving, String path)
+    @Test(dataProvider = "leavingNotices")
+    public void leavingServerReceivesNoFurtherRequests(Script leaving, String path)
             throws IOException {
         fleet.first.script(leaving);
         callUntilFirstHas(1, path);
@@ -82,9 +85,9 @@
         assertEquals(fleet.first.requests.size(), 1);
     }
 
-    /** Late heartbeats take an entry away for a while. */
+    /** A late heartbeat of a server removes its entry from the store for some time. */
     @Test
-    public void aNoticeOutlastsAnEntryThatVanishesForAWhile() throws IOException {
+    public void leavingNoticeSurvivesRemovalOfTheEntry() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + LEAVING + length("ok") + "ok"));
@@ -93,9 +96,12 @@
         callUntilFirstHas(1, "/o/x");
         fleet.store.delete("servers/i-1");
         Fleet.await(() -> fleet.log().contains("event=server_gone key=servers/i-1"));
-        int known = fleet.log().split("event=server_known server=i-1 ", -1).length;
+        int previousParts = fleet.log().split("event=server_known server=i-1 ", -1).length;
         fleet.store.put("servers/i-1", fleet.first.entry("pool", 8));
-        Fleet.await(() -> fleet.log().split("event=server_known server=i-1 ", -1).length > known);
+        Fleet.await(
+                () ->
+                        fleet.log().split("event=server_known server=i-1 ", -1).length
+                                > previousParts);
         for (int call = 0; call < CALLS; call++) {
             fleet.send(request("/o/x", "later-" + call, ""));
         }
@@ -103,15 +109,15 @@
     }
 
     private void callUntilFirstHas(int requests, String path) throws IOException {
-        long endNanos = System.nanoTime() + PATIENCE_NANOS;
+        long endNanos = System.nanoTime() + WAIT_NANOS;
         for (int call = 0; fleet.first.requests.size() < requests; call++) {
-            assertTrue(System.nanoTime() < endNanos, "the first server is never chosen");
+            assertTrue(System.nanoTime() < endNanos, "the first server was not chosen within 20 s");
             fleet.send(request(path, "early-" + call, ""));
         }
     }
 
     @Test
-    public void anotherStartOfTheServerIsUsedAgain() throws IOException {
+    public void restartedServerIsUsedAgain() throws IOException {
         fleet.first.script(
                 (request, out, in) -> {
                     out.write(bytes(head(request, 200, true) + LEAVING + length("ok") + "ok"));
@@ -130,31 +136,31 @@
 
     @DataProvider
     Object[][] limits() {
-        return answersWith("Server-Limit: " + LIMIT_PER_SECOND + "\r\n");
+        return responsesWith("Server-Limit: " + LIMIT_PER_SECOND + "\r\n");
     }
 
-    /** Incident LIMIT: a server that named a limit got requests as before. */
+    /** Incident LIMIT: a server that stated a limit received as many requests as before. */
     @Test(dataProvider = "limits")
-    public void aServerThatNamesALimitGetsNoMoreThanThat(Script limited, String path)
+    public void serverReceivesNoMoreThanItsStatedLimit(Script limited, String path)
             throws IOException {
         fleet.first.script(limited);
         fleet.second.script(
                 (request, out, in) -> {
-                    Thread.sleep(SLOWER_MILLIS);
+                    Thread.sleep(SLOW_RESPONSE_MILLIS);
                     return Script.answering(200, "ok").play(request, out, in);
                 });
         callUntilFirstHas(1, path);
         long sinceNanos = System.nanoTime();
-        for (int call = 0; call < CALLS_BEYOND_THE_LIMIT; call++) {
+        for (int call = 0; call < CALLS_ABOVE_LIMIT; call++) {
             fleet.send(request(path, "later-" + call, ""));
         }
         double seconds = (System.nanoTime() - sinceNanos) / 1e9;
         double allowed = 1.5 * LIMIT_PER_SECOND * seconds + 5;
-        int got = fleet.first.requests.size();
-        assertTrue(got <= allowed, got + " requests in " + seconds + " s");
+        int received = fleet.first.requests.size();
+        assertTrue(received <= allowed, received + " requests in " + seconds + " s");
     }
 
-    private static Script resting(String retryAfter) {
+    private static Script backingOff(String retryAfter) {
         return (request, out, in) -> {
             String fields = NOT_RUN + "Retry-After: %s\r\n".formatted(retryAfter);
             out.write(bytes(head(request, 503, false) + fields + length("")));
@@ -163,42 +169,44 @@
     }
 
     @DataProvider
-    Object[][] rests() {
+    Object[][] backoffs() {
         return new Object[][] {{"30"}, {"30.5"}, {"1e300"}};
     }
 
-    /** One that is sent already may still arrive, and one more is allowed. */
-    @Test(dataProvider = "rests")
-    public void aServerThatWantsToRestIsLeftAlone(String seconds) throws IOException {
-        fleet.first.script(resting(seconds));
+    /**
+     * A request that is already sent may still arrive during a backoff, and one more is allowed.
+     */
+    @Test(dataProvider = "backoffs")
+    public void serverReceivesNoRequestsDuringBackoff(String seconds) throws IOException {
+        fleet.first.script(backingOff(seconds));
         callUntilFirstHas(1, "/i/x");
         for (int call = 0; call < CALLS; call++) {
-            String answer = fleet.send(request("/i/x", "later-" + call, ""));
-            assertTrue(answer.startsWith("HTTP/1.1 200"), answer);
+            String response = fleet.send(request("/i/x", "later-" + call, ""));
+            assertTrue(response.startsWith("HTTP/1.1 200"), response);
         }
         assertEquals(fleet.first.requests.size(), 1);
     }
 
     @DataProvider
-    Object[][] noRests() {
+    Object[][] invalidBackoffs() {
         return new Object[][] {{"-5"}, {"soon"}, {"NaN"}, {"0"}};
     }
 
-    @Test(dataProvider = "noRests")
-    public void whatIsNoTimeIsNoRest(String value) throws IOException {
-        fleet.first.script(resting(value));
+    @Test(dataProvider = "invalidBackoffs")
+    public void invalidRetryAfterCausesNoBackoff(String value) throws IOException {
+        fleet.first.script(backingOff(value));
         callUntilFirstHas(2, "/i/x");
         assertEquals(fleet.first.requests.size(), 2);
     }
 
     @Test
-    public void callersHearAtOnceWhenAllServersRest() throws IOException {
-        fleet.first.script(resting("30"));
-        fleet.second.script(resting("30"));
+    public void callersAreRefusedAtOnceIfAllServersBackOff() throws IOException {
+        fleet.first.script(backingOff("30"));
+        fleet.second.script(backingOff("30"));
         fleet.send(request("/i/x", "r1", ""));
-        String answer = fleet.send(request("/i/x", "r2", ""));
-        assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
-        assertTrue(answer.contains("Retry-After: "), answer);
+        String response = fleet.send(request("/i/x", "r2", ""));
+        assertTrue(response.startsWith("HTTP/1.1 503"), response);
+        assertTrue(response.contains("Retry-After: "), response);
         assertTrue(fleet.first.requests.size() + fleet.second.requests.size() <= 2);
     }
 }
--- a/src/test/java/org/orioleshed/platform/StoreFake.java
+++ b/src/test/java/org/orioleshed/platform/StoreFake.java
@@ -17,17 +17,15 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/**
- * A small stand-in of the platform's store: ranges and watches, and what can go wrong with them.
- */
+/** A fake of the platform's store with ranges, watches, transactions and injected faults. */
 public final class StoreFake implements AutoCloseable {
-    /** Items on a page of a list. */
-    static final int PAGE = 3;
+    /** The number of items on a page of a list. */
+    static final int PAGE_ITEMS = 3;
 
     private static final long POLL_MILLIS = 5;
 
-    /** Leases never end here. */
-    private static final String LEASE = "{\"lease\":7,\"ttl-ms\":60000}";
+    /** The response to lease calls; leases never expire. */
+    private static final String LEASE_RESPONSE = "{\"lease\":7,\"ttl-ms\":60000}";
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -37,17 +35,17 @@
     private long revision = 10;
     private volatile int failWith;
     private volatile boolean watchesSilent;
-    private volatile boolean historyGone;
+    private volatile boolean historyDropped;
     private volatile boolean serversHidden;
     private volatile Runnable pageHook = () -> {};
     private volatile boolean writable;
-    private final AtomicInteger watches = new AtomicInteger();
+    private final AtomicInteger watchCalls = new AtomicInteger();
 
     private record Item(String value, long revision) {}
 
     private record Change(String key, String json, long revision) {}
 
-    /** Opens it at a free port of the loopback address. */
+    /** Starts a store on a free loopback port. */
     public StoreFake() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(Executors.newVirtualThreadPerTaskExecutor());
@@ -55,12 +53,12 @@
         server.start();
     }
 
-    /** Returns where it listens. */
+    /** Returns the address of the store. */
     public InetSocketAddress address() {
         return server.getAddress();
     }
 
-    /** Writes an item; the return is the acknowledgement. */
+    /** Writes an item; the write is acknowledged on return. */
     public synchronized void put(String key, String value) {
         revision++;
         items.put(key, new Item(value, revision));
@@ -76,17 +74,17 @@
         changes.add(new Change(key, json, revision));
     }
 
-    /** Takes the writes of hosts from now on; before, none are served. */
+    /** Accepts writes of hosts from now on; until then they are answered with 404. */
     public void takeWrites() {
         writable = true;
     }
 
-    /** Returns how many watch calls came. */
+    /** Returns the number of watch calls received. */
     int watchCalls() {
-        return watches.get();
+        return watchCalls.get();
     }
 
-    /** Answers all calls with a status; 0 ends that. */
+    /** Answers all calls with an HTTP status; 0 restores normal operation. */
     public void failWith(int status) {
         failWith = status;
     }
@@ -95,14 +93,14 @@
         watchesSilent = silent;
     }
 
-    /** Reads of the servers are refused, or that ends. */
+    /** Sets whether reads of the servers' entries fail. */
     void hideServers(boolean hidden) {
         serversHidden = hidden;
     }
 
-    /** Watches from before now are told that the history is gone. */
+    /** Drops the history: the next watch call is answered with 410. */
     synchronized void forgetHistory() {
-        historyGone = true;
+        historyDropped = true;
         changes.clear();
     }
 
@@ -128,7 +126,7 @@
             } else if (!writable) {
                 reply(exchange, 404, "{}");
             } else if (path.startsWith("/kv-lease") || path.startsWith("/kv-keep/")) {
-                reply(exchange, 200, LEASE);
+                reply(exchange, 200, LEASE_RESPONSE);
             } else if (path.equals("/kv-txn")) {
                 transact(exchange);
             } else {
@@ -139,7 +137,7 @@
         }
     }
 
-    /** Has something happen after each page of a list. */
+    /** Sets an action to run after each page of a list. */
     void afterEachPage(Runnable newHook) {
         pageHook = newHook;
     }
@@ -154,7 +152,7 @@
             if (entry.getKey().compareTo(after) <= 0) {
                 continue;
             }
-            if (found.size() == PAGE) {
+            if (found.size() == PAGE_ITEMS) {
                 more = true;
                 break;
             }
@@ -176,7 +174,9 @@
         }
     }
 
-    /** Writes all or nothing; returns the items whose revision is another one. */
+    /**
+     * Applies all writes if all revisions match; returns the items whose revision differs, as JSON.
+     */
     private synchronized String transact(JsonNode call) {
         List<String> conflicts = new ArrayList<>();
         for (JsonNode row : call.path("if-rev")) {
@@ -196,11 +196,11 @@
     }
 
     private void watch(HttpExchange exchange) throws IOException, InterruptedException {
-        watches.incrementAndGet();
+        watchCalls.incrementAndGet();
         String prefix = query(exchange, "prefix");
         long after = Long.parseLong(query(exchange, "after"));
-        if (historyGone) {
-            historyGone = false;
+        if (historyDropped) {
+            historyDropped = false;
             reply(exchange, 410, "{}");
             return;
         }
--- a/src/test/java/org/orioleshed/platform/WorkerFake.java
+++ b/src/test/java/org/orioleshed/platform/WorkerFake.java
@@ -17,16 +17,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * A small stand-in of a worker on a bare socket, so that it can misbehave in any way. It notes what
- * reaches it.
- */
+/** A fake server on a plain socket, which can send any bytes and records the requests received. */
 public final class WorkerFake implements AutoCloseable {
     final List<Request> requests = Collections.synchronizedList(new ArrayList<>());
     private final ServerSocket socket;
     private volatile Script script = Script.answering(200, "ok");
 
-    /** A request as it arrived; header names in lower case. */
+    /** A received request; header names are in lower case. */
     public record Request(String line, Map<String, String> headers, String body) {
         /** Returns the request's id; empty where it has none. */
         public String id() {
@@ -34,9 +31,9 @@
         }
     }
 
-    /** What the worker does with a request. */
+    /** The server's response to a request. */
     public interface Script {
-        /** Answers on {@code out}; returns whether the connection stays open. */
+        /** Writes the response to {@code out}; returns whether the connection stays open. */
         boolean play(Request request, OutputStream out, InputStream in)
                 throws IOException, InterruptedException;
 
@@ -62,22 +59,22 @@
         }
     }
 
-    /** The header fields of a stream, and the end of the head. */
+    /** The header fields of a stream's response, and the end of the head. */
     public static final String STREAM =
             "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    /** Listens at a free port of the loopback address. */
+    /** Starts a server on a free loopback port. */
     public WorkerFake() throws IOException {
         socket = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
         Thread.ofVirtual().start(this::accept);
     }
 
-    /** Sets what happens to the next requests. */
+    /** Sets the script for the next requests. */
     public void script(Script newScript) {
         script = newScript;
     }
 
-    /** Returns where it listens. */
+    /** Returns the address of the server. */
     public InetSocketAddress address() {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
@@ -87,13 +84,13 @@
                 .formatted(service, address().getPort(), slots);
     }
 
-    /** Returns the first lines of an answer. */
+    /** Returns the first lines of a response. */
     public static String head(Request request, int status, boolean signed) {
         return "HTTP/1.1 %d X\r\nX-Request-Id: %s\r\n".formatted(status, request.id())
                 + (signed ? "X-Response-Signature: s\r\n" : "");
     }
 
-    /** Returns the length of a body, and the end of the head. */
+    /** Returns a body's Content-Length field, and the end of the head. */
     public static String length(String body) {
         return "Content-Length: %d\r\n\r\n".formatted(body.length());
     }
@@ -103,7 +100,7 @@
         return Integer.toHexString(data.length()) + "\r\n" + data + "\r\n";
     }
 
-    /** Returns text as it is sent. */
+    /** Returns the bytes of a text in ISO 8859-1. */
     public static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -124,7 +121,7 @@
             InputStream in = new BufferedInputStream(connection.getInputStream());
             boolean open = true;
             while (open) {
-                Request request = read(in);
+                Request request = readRequest(in);
                 if (request == null) {
                     return;
                 }
@@ -133,14 +130,14 @@
                 connection.getOutputStream().flush();
             }
         } catch (IOException e) {
-            // The other side is gone.
+            // The peer closed the connection.
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static Request read(InputStream in) throws IOException {
+    private static Request readRequest(InputStream in) throws IOException {
         String line = line(in);
         if (line.isEmpty()) {
             return null;
