--- a/src/main/java/org/orioleshed/catalog/BadCatalogException.java
+++ b/src/main/java/org/orioleshed/catalog/BadCatalogException.java
@@ -1,15 +1,24 @@
 package org.orioleshed.catalog;
 
-/** What the store holds can't be read; the message says which field, and why. */
+/** Thrown if an entry of the store can't be decoded; the message names the field and the fault. */
 public final class BadCatalogException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes one with a sentence on what is wrong. */
+    /**
+     * Creates an exception.
+     *
+     * @param message the fault
+     */
     public BadCatalogException(String message) {
         super(message);
     }
 
-    /** Makes one for an error of the codec library. */
+    /**
+     * Creates an exception for an error of the codec library.
+     *
+     * @param message the fault
+     * @param cause the error
+     */
     public BadCatalogException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/org/orioleshed/catalog/CallRoute.java
+++ b/src/main/java/org/orioleshed/catalog/CallRoute.java
@@ -5,21 +5,22 @@
 import org.orioleshed.model.ServiceId;
 
 /**
- * How calls below one path prefix of one host name are served.
+ * The settings of a route: how calls to one path prefix of a host name are served.
  *
  * @param id the operators' name of the route
  * @param host the host name that callers use
  * @param prefix the path prefix; begins and ends with a slash
- * @param repeatability what may be repeated
- * @param resumable whether a stream may go on at another server after its last event
- * @param timeoutMillis the longest time that a caller is kept waiting, in milliseconds; positive
- * @param targetMillis the time within which an answer is worth most, in milliseconds; positive
- * @param gapMillis the longest pause between events of a stream that is on time, in milliseconds; 0
- *     where none is declared
- * @param attempts the most servers that one caller's attempt may be sent to; positive
+ * @param repeatability whether calls may be repeated
+ * @param resumable whether another server may resume a stream after its last event
+ * @param timeoutMillis the maximum time until a call is answered, in milliseconds; positive
+ * @param targetMillis the target latency, within which a response is worth most, in milliseconds;
+ *     positive
+ * @param gapMillis the longest gap between events of a stream that is on time, in milliseconds; 0
+ *     if none is declared
+ * @param attempts the maximum number of servers to which one attempt of a caller is sent; positive
  * @param priority the rank of the route's calls, 0 first
- * @param open whether calls need no key
- * @param shares the pools that serve the route, each with its weight; not empty
+ * @param open whether calls need no API key
+ * @param shares the traffic split: the pools that serve the route and their weights; not empty
  */
 public record CallRoute(
         RouteId id,
@@ -35,28 +36,30 @@
         boolean open,
         List<Share> shares) {
     /**
-     * A pool's part of a route's calls.
+     * A pool's share of a route's calls.
      *
      * @param service the pool
      * @param weight its weight among the route's pools; not negative
      */
     public record Share(ServiceId service, int weight) {}
 
-    /** Checks the arguments and copies the list. */
+    /** Validates the arguments and copies the list. */
     public CallRoute {
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw new IllegalArgumentException("prefix must begin and end with a slash: " + prefix);
+            throw new IllegalArgumentException(
+                    "prefix must begin and end with a slash, found " + prefix);
         }
         if (timeoutMillis <= 0 || targetMillis <= 0 || attempts <= 0) {
-            throw new IllegalArgumentException("times and attempts must be positive: " + id);
+            throw new IllegalArgumentException(
+                    "timeoutMillis, targetMillis and attempts must be positive in route " + id);
         }
         shares = List.copyOf(shares);
         if (shares.isEmpty()) {
-            throw new IllegalArgumentException("no service: " + id);
+            throw new IllegalArgumentException("shares must not be empty in route " + id);
         }
     }
 
-    /** Returns whether a call that a server may have begun may be sent to another one. */
+    /** Returns whether a call that a server may have started may be sent to another server. */
     public boolean mayRunAgain() {
         return switch (repeatability) {
             case IDEMPOTENT -> true;
@@ -65,13 +68,17 @@
         };
     }
 
-    /** Returns the pool for a draw from [0, 1). */
+    /**
+     * Returns a pool, chosen by weight.
+     *
+     * @param draw a random number from [0, 1)
+     */
     public ServiceId pick(double draw) {
-        long total = shares.stream().mapToLong(Share::weight).sum();
-        double left = draw * total;
+        long totalWeight = shares.stream().mapToLong(Share::weight).sum();
+        double remaining = draw * totalWeight;
         for (Share share : shares) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/src/main/java/org/orioleshed/catalog/Catalog.java
+++ b/src/main/java/org/orioleshed/catalog/Catalog.java
@@ -8,14 +8,14 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * One whole configuration as operators wrote it.
+ * A complete configuration, as operators wrote it.
  *
- * @param version the operators' number
- * @param routes all routes, by host name and prefix
+ * @param version the operators' version number
+ * @param routes all routes, by host name and path prefix
  * @param pools all pools, by service
- * @param keys the workspace that holds each key
- * @param workspaces all workspaces
- * @param limits what callers may send
+ * @param keys the workspace of each API key
+ * @param workspaces all workspaces, by id
+ * @param limits the limits on callers' requests
  */
 public record Catalog(
         long version,
@@ -32,10 +32,10 @@
         workspaces = Map.copyOf(workspaces);
     }
 
-    /** Returns routes as {@link #routes} holds them. */
-    public static Map<String, Map<String, CallRoute>> byHost(Collection<CallRoute> all) {
+    /** Returns the routes by host name and path prefix, as in {@link #routes}. */
+    public static Map<String, Map<String, CallRoute>> byHost(Collection<CallRoute> routes) {
         Map<String, Map<String, CallRoute>> result = new HashMap<>();
-        for (CallRoute route : all) {
+        for (CallRoute route : routes) {
             result.computeIfAbsent(route.host(), host -> new HashMap<>())
                     .put(route.prefix(), route);
         }
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Returns the route with the longest prefix that begins {@code path}.
+     * Returns the route with the longest matching prefix of {@code path}.
      *
      * @param host the host name that the caller used, without a port
-     * @param path the path without its query
+     * @param path the path, without a query
      */
     public Optional<CallRoute> route(String host, String path) {
         Map<String, CallRoute> byPrefix = routes.get(host);
@@ -62,12 +62,12 @@
         return Optional.empty();
     }
 
-    /** Returns the workspace that holds {@code key}. */
+    /** Returns the workspace of an API key. */
     public Optional<WorkspaceConfig> holder(String key) {
         return Optional.ofNullable(keys.get(key)).map(workspaces::get);
     }
 
-    /** Returns whether callers need a key on routes that are not open. */
+    /** Returns whether callers need an API key on routes that are not open. */
     public boolean requiresKeys() {
         return !workspaces.isEmpty();
     }
--- a/src/main/java/org/orioleshed/catalog/CatalogDecoder.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogDecoder.java
@@ -3,50 +3,50 @@
 import java.util.Optional;
 import org.orioleshed.model.ServiceId;
 
-/** Translates what the platform's store holds of the configuration and of backend servers. */
+/** Decodes the store's entries of operators and backend servers. */
 public interface CatalogDecoder {
-    /** Returns the key under which the newest configuration lies. */
+    /** Returns the key of the current configuration. */
     String configKey();
 
-    /** Returns the prefix of all that operators write, the configuration included. */
+    /** Returns the key prefix of all entries that operators write, including the configuration. */
     String operatorPrefix();
 
     /**
-     * Returns the order to roll out a version of a pool that lies under {@code key}; empty where
-     * the key holds something else.
+     * Decodes a rollout order; empty if {@code key} belongs to another kind of entry.
      *
-     * @throws BadCatalogException when it can't be read
+     * @param revision the store's revision of the entry
+     * @throws BadCatalogException if the order is malformed
      */
     Optional<RolloutOrder> order(String key, byte[] value, long revision)
             throws BadCatalogException;
 
-    /** Returns the key under which the outcome of a pool's rollout is recorded. */
+    /** Returns the key of the recorded outcome of a pool's rollout. */
     String outcomeKey(ServiceId service);
 
-    /** Returns an outcome as it is recorded. */
+    /** Encodes an outcome for the store. */
     byte[] encodeOutcome(RolloutOrder order, RolloutOutcome outcome);
 
     /**
-     * Returns the recorded outcome; empty where it belongs to another order.
+     * Decodes a recorded outcome; empty if it belongs to another order.
      *
-     * @throws BadCatalogException when it can't be read
+     * @throws BadCatalogException if the outcome is malformed
      */
     Optional<RolloutOutcome> outcome(RolloutOrder order, byte[] value) throws BadCatalogException;
 
-    /** Returns the prefix of the keys under which servers register themselves. */
+    /** Returns the key prefix of the entries with which servers register. */
     String serversPrefix();
 
     /**
-     * Returns the configuration in {@code value}.
+     * Decodes a configuration.
      *
-     * @throws BadCatalogException when it can't be read
+     * @throws BadCatalogException if the configuration is malformed
      */
     Catalog config(byte[] value) throws BadCatalogException;
 
     /**
-     * Returns the server that registered itself under {@code key}.
+     * Decodes a server's entry.
      *
-     * @throws BadCatalogException when the entry names no server to use
+     * @throws BadCatalogException if the entry describes no usable server
      */
     PoolServer server(String key, byte[] value) throws BadCatalogException;
 }
--- a/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * The configuration and the servers in force at one host.
+ * The configuration, servers and rollout orders in force at one host.
  *
- * @param configRevision the store's revision of the configuration; 0 while none is known
- * @param catalog the configuration; empty while none is known
- * @param operators what operators wrote, as the store holds it
- * @param entries the servers' entries, as the store holds them
- * @param servers the servers that may be used
+ * @param configRevision the store's revision of the configuration; 0 if none was loaded
+ * @param catalog the configuration; empty if none was loaded
+ * @param operators the operators' entries, as stored
+ * @param entries the servers' entries, as stored
+ * @param servers the usable servers
  * @param orders the newest rollout order of each pool
  */
 public record CatalogSnapshot(
@@ -20,7 +20,7 @@
         EntryView entries,
         List<PoolServer> servers,
         List<RolloutOrder> orders) {
-    /** What a host knows at its start. */
+    /** The snapshot at a host's start. */
     public static final CatalogSnapshot NOTHING =
             new CatalogSnapshot(
                     0,
@@ -36,12 +36,18 @@
         orders = List.copyOf(orders);
     }
 
-    /** Returns the configuration once the servers are known, too; empty before. */
+    /** Returns the configuration; empty until the servers' entries were read, too. */
     public Optional<Catalog> usable() {
         return entries.revision() > 0 ? catalog : Optional.empty();
     }
 
-    /** Returns whether a host that knows of changes up to these revisions knows something later. */
+    /**
+     * Returns whether another host has seen a later change.
+     *
+     * @param operatorsChanged the revision of the last change to operators' entries that it has
+     *     seen
+     * @param serversChanged the revision of the last change to servers' entries that it has seen
+     */
     public boolean isBehind(long operatorsChanged, long serversChanged) {
         return operatorsChanged > operators.revision() || serversChanged > entries.revision();
     }
--- a/src/main/java/org/orioleshed/catalog/CatalogState.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogState.java
@@ -13,21 +13,24 @@
 import org.orioleshed.store.Store;
 
 /**
- * What a host believes of the configuration and the servers, from what the store and peers say.
- * Revisions only rise, whatever order news comes in.
+ * The configuration, rollout orders and servers that one host has received from the store and from
+ * peers. Revisions never decrease, in whatever order updates arrive.
  */
 public final class CatalogState {
-    /** Live servers are back in the store this long after its return at the latest. */
-    public static final long BACK_NANOS = 2_000_000_000L;
+    /**
+     * The time after an outage of the store, in nanoseconds, within which live servers register
+     * again.
+     */
+    public static final long RECOVERY_NANOS = 2_000_000_000L;
 
-    /** A host that is further behind than so many removals gets the whole list. */
-    private static final int MAX_REMOVED = 256;
+    /** The number of removals kept; a peer that lacks older ones gets all entries instead. */
+    private static final int MAX_REMOVALS = 256;
 
     private final CatalogDecoder decoder;
     private final Consumer<String> log;
     private final Map<String, Store.Entry> operators = new HashMap<>();
     private final Map<ServiceId, RolloutOrder> orders = new HashMap<>();
-    private final Map<String, Known> servers = new HashMap<>();
+    private final Map<String, ServerRecord> servers = new HashMap<>();
     private final LinkedHashMap<String, Long> removed = new LinkedHashMap<>();
     private Optional<Catalog> catalog = Optional.empty();
     private long configRevision;
@@ -39,23 +42,24 @@
     /**
      * A server's entry.
      *
-     * @param server empty where the entry names none to use
-     * @param goneNanos when it is dropped, by the monotonic clock; 0 while its entry is there
+     * @param server the decoded server; empty if the entry is malformed
+     * @param expiryNanos when a server whose entry was removed is dropped, by the monotonic clock;
+     *     0 while the entry is present
      */
-    private record Known(Store.Entry entry, Optional<PoolServer> server, long goneNanos) {
+    private record ServerRecord(Store.Entry entry, Optional<PoolServer> server, long expiryNanos) {
         boolean isPresent() {
-            return goneNanos == 0;
+            return expiryNanos == 0;
         }
 
-        Known until(long nanos) {
-            return new Known(entry, server, nanos);
+        ServerRecord withExpiry(long nanos) {
+            return new ServerRecord(entry, server, nanos);
         }
     }
 
     /**
-     * Makes one that knows nothing.
+     * Creates an empty state.
      *
-     * @param log takes a line for each change of belief
+     * @param log receives a line for each change
      */
     public CatalogState(CatalogDecoder decoder, Consumer<String> log) {
         this.decoder = decoder;
@@ -63,24 +67,26 @@
     }
 
     /**
-     * Takes an entry that an operator wrote.
+     * Applies an operator's entry, unless it is outdated or of another kind than those decoded
+     * here.
      *
-     * @return whether that changed what is in force, or what is to be told
+     * @param source the origin of the entry, for the log
+     * @return whether the entry was applied and must be published
      */
     public boolean operator(Store.Entry entry, String source) {
-        Store.Entry known = operators.get(entry.key());
-        if (known != null && known.revision() >= entry.revision()) {
+        Store.Entry current = operators.get(entry.key());
+        if (current != null && current.revision() >= entry.revision()) {
             return false;
         }
-        boolean concerns =
+        boolean relevant =
                 entry.key().equals(decoder.configKey())
                         ? config(entry, source)
                         : order(entry, source);
-        if (concerns) {
+        if (relevant) {
             operators.put(entry.key(), entry);
             operatorsRevision = Math.max(operatorsRevision, entry.revision());
         }
-        return concerns;
+        return relevant;
     }
 
     private boolean config(Store.Entry entry, String source) {
@@ -117,7 +123,7 @@
         }
     }
 
-    /** Takes a server's entry that came or changed, unless later news is known. */
+    /** Applies a new or changed server entry, unless a later revision was applied. */
     public void put(Store.Entry entry, String source) {
         if (entry.revision() < serversRevision) {
             return;
@@ -132,13 +138,13 @@
             return;
         }
         removed.remove(entry.key());
-        Known known = servers.get(entry.key());
-        if (known != null && known.entry().revision() >= entry.revision()) {
-            servers.put(entry.key(), known.until(0));
+        ServerRecord current = servers.get(entry.key());
+        if (current != null && current.entry().revision() >= entry.revision()) {
+            servers.put(entry.key(), current.withExpiry(0));
             return;
         }
         Optional<PoolServer> server = decode(entry, source);
-        servers.put(entry.key(), new Known(entry, server, 0));
+        servers.put(entry.key(), new ServerRecord(entry, server, 0));
         server.ifPresent(
                 it ->
                         log.accept(
@@ -165,9 +171,10 @@
     }
 
     /**
-     * Takes the removal of a server's entry, unless later news is known.
+     * Applies the removal of a server's entry, unless a later revision was applied.
      *
-     * @param settled false shortly after an outage of the store; then the server is held a moment
+     * @param settled false shortly after an outage of the store; the server is then kept for {@link
+     *     #RECOVERY_NANOS}
      */
     public void remove(String key, long revision, boolean settled, long nowNanos, String source) {
         if (revision < serversRevision) {
@@ -180,16 +187,16 @@
 
     private void removeServer(
             String key, long revision, boolean settled, long nowNanos, String source) {
-        Known known = servers.get(key);
-        if (known != null && known.entry().revision() > revision) {
+        ServerRecord current = servers.get(key);
+        if (current != null && current.entry().revision() > revision) {
             return;
         }
-        noteRemoved(key, revision);
-        if (known == null || !known.isPresent()) {
+        recordRemoval(key, revision);
+        if (current == null || !current.isPresent()) {
             return;
         }
         if (!settled) {
-            servers.put(key, known.until(nowNanos + BACK_NANOS));
+            servers.put(key, current.withExpiry(nowNanos + RECOVERY_NANOS));
             return;
         }
         servers.remove(key);
@@ -197,17 +204,19 @@
                 "event=server_gone key=%s revision=%d source=%s".formatted(key, revision, source));
     }
 
-    private void noteRemoved(String key, long revision) {
-        long before = removed.getOrDefault(key, 0L);
+    private void recordRemoval(String key, long revision) {
+        long previousRevision = removed.getOrDefault(key, 0L);
         removed.remove(key);
-        removed.put(key, Math.max(before, revision));
-        while (removed.size() > MAX_REMOVED) {
+        removed.put(key, Math.max(previousRevision, revision));
+        while (removed.size() > MAX_REMOVALS) {
             Map.Entry<String, Long> oldest = removed.pollFirstEntry();
             removedSince = Math.max(removedSince, oldest.getValue());
         }
     }
 
-    /** Takes all servers' entries as they were at a revision, unless later news is known. */
+    /**
+     * Replaces all servers' entries by those at a revision, unless a later revision was applied.
+     */
     public void list(
             List<Store.Entry> entries,
             long revision,
@@ -228,12 +237,12 @@
             serversChanged = revision;
         }
         serversRevision = revision;
-        // What came and went since the last list was not seen here.
+        // Entries that were added and removed since the last list are missing from the removals.
         removedSince = Math.max(removedSince, revision);
     }
 
     /**
-     * Takes what a peer knows, where it is later than what is known here.
+     * Applies a peer's entries that are later than those of this host.
      *
      * @return whether anything changed
      */
@@ -262,10 +271,10 @@
         change.entries().forEach(entry -> putServer(entry, change.revision(), "peer"));
         change.removed()
                 .forEach(
-                        gone ->
+                        removal ->
                                 removeServer(
-                                        gone.key(),
-                                        gone.revision(),
+                                        removal.key(),
+                                        removal.revision(),
                                         change.settled(),
                                         nowNanos,
                                         "peer"));
@@ -275,28 +284,28 @@
     }
 
     /**
-     * Drops the servers that were held and did not come back.
+     * Drops the servers whose entries were removed and did not return in time.
      *
-     * @return whether there was one
+     * @return whether any server was dropped
      */
     public boolean expire(long nowNanos) {
-        List<String> over = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         servers.forEach(
-                (key, known) -> {
-                    if (!known.isPresent() && nowNanos - known.goneNanos() >= 0) {
-                        over.add(key);
+                (key, serverRecord) -> {
+                    if (!serverRecord.isPresent() && nowNanos - serverRecord.expiryNanos() >= 0) {
+                        expired.add(key);
                     }
                 });
-        for (String key : over) {
+        for (String key : expired) {
             servers.remove(key);
             log.accept("event=server_gone key=%s source=hold_over".formatted(key));
         }
-        return !over.isEmpty();
+        return !expired.isEmpty();
     }
 
-    /** Returns whether a server is held whose entry is gone. */
-    public boolean holds() {
-        return servers.values().stream().anyMatch(known -> !known.isPresent());
+    /** Returns whether a server is kept although its entry was removed. */
+    public boolean hasPendingRemovals() {
+        return servers.values().stream().anyMatch(serverRecord -> !serverRecord.isPresent());
     }
 
     /** Returns whether a configuration is in force. */
@@ -305,17 +314,17 @@
     }
 
     /**
-     * Returns what is in force.
+     * Returns a snapshot of the state.
      *
      * @param settled false shortly after an outage of the store
      */
     public CatalogSnapshot snapshot(boolean settled) {
         List<Store.Entry> present = new ArrayList<>();
         List<PoolServer> usable = new ArrayList<>();
-        for (Known known : servers.values()) {
-            known.server().ifPresent(usable::add);
-            if (known.isPresent()) {
-                present.add(known.entry());
+        for (ServerRecord serverRecord : servers.values()) {
+            serverRecord.server().ifPresent(usable::add);
+            if (serverRecord.isPresent()) {
+                present.add(serverRecord.entry());
             }
         }
         return new CatalogSnapshot(
--- a/src/main/java/org/orioleshed/catalog/CatalogWatcher.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogWatcher.java
@@ -10,8 +10,8 @@
 import org.orioleshed.store.Store;
 
 /**
- * Keeps the configuration and the servers in force, from the store's watches and from what peers
- * know. Revisions only rise. All work is done on one executor's thread.
+ * Keeps a host's catalog up to date from watches of the store and from peers. Revisions never
+ * decrease. All work runs on one executor's thread.
  */
 public final class CatalogWatcher {
     private static final long CALL_TIMEOUT_MILLIS = 1_500;
@@ -23,16 +23,18 @@
     private final ScheduledExecutorService executor;
     private final RandomGenerator random;
     private final Consumer<String> log;
-    private final Followed configWatch;
-    private final Followed serverWatch;
+    private final PrefixWatcher operatorWatcher;
+    private final PrefixWatcher serverWatcher;
     private Consumer<CatalogSnapshot> listener = snapshot -> {};
     private boolean following = true;
-    private boolean toldSettled;
+    private boolean publishedSettled;
 
     /**
-     * Makes one that does nothing yet.
+     * Creates a watcher; {@link #start} starts it.
      *
-     * @param log takes a line for each change of belief
+     * @param executor a single-threaded executor
+     * @param random the source of the jitter of retries
+     * @param log receives a line for each change
      */
     public CatalogWatcher(
             Store store,
@@ -45,119 +47,125 @@
         this.executor = executor;
         this.random = random;
         this.log = log;
-        this.configWatch = new Followed(decoder.operatorPrefix());
-        this.serverWatch = new Followed(decoder.serversPrefix());
+        this.operatorWatcher = new PrefixWatcher(decoder.operatorPrefix());
+        this.serverWatcher = new PrefixWatcher(decoder.serversPrefix());
     }
 
     /**
-     * Starts to read and watch the store.
+     * Starts reading and watching the store.
      *
-     * @param newListener takes each new state, on the executor's thread
+     * @param newListener receives each new snapshot, on the executor's thread
      */
     public void start(Consumer<CatalogSnapshot> newListener) {
         executor.execute(
                 () -> {
                     listener = newListener;
-                    configWatch.list();
-                    serverWatch.list();
+                    operatorWatcher.list();
+                    serverWatcher.list();
                 });
     }
 
     /**
-     * Watches the store, or leaves that to peers after one read; may be called from any thread, as
-     * often as wanted.
+     * Enables or disables the watches. Without them this host reads the store once and then depends
+     * on peers. May be called repeatedly, from any thread.
      */
-    public void follow(boolean wanted) {
+    public void follow(boolean enabled) {
         executor.execute(
                 () -> {
-                    following = wanted;
-                    configWatch.follow();
-                    serverWatch.follow();
+                    following = enabled;
+                    operatorWatcher.updateWatch();
+                    serverWatcher.updateWatch();
                 });
     }
 
-    /** Takes what a peer knows, where it is later than what is known here. */
+    /**
+     * Applies a peer's entries that are later than those of this host. May be called from any
+     * thread.
+     */
     public void adopt(Optional<EntryChange> operators, Optional<EntryChange> servers) {
         executor.execute(
                 () -> {
                     if (state.adopt(operators, servers, System.nanoTime())) {
                         publish();
-                        hold();
+                        scheduleExpiry();
                     }
                 });
     }
 
     private void publish() {
-        toldSettled = serverWatch.isSettled();
-        listener.accept(state.snapshot(toldSettled));
+        publishedSettled = serverWatcher.isSettled();
+        listener.accept(state.snapshot(publishedSettled));
     }
 
-    /** Sees to it that servers that are held now are dropped in time. */
-    private void hold() {
-        if (state.holds() || !serverWatch.isSettled()) {
-            executor.schedule(this::expire, CatalogState.BACK_NANOS, TimeUnit.NANOSECONDS);
+    /** Schedules the check for servers whose entries were removed and did not return. */
+    private void scheduleExpiry() {
+        if (state.hasPendingRemovals() || !serverWatcher.isSettled()) {
+            executor.schedule(this::expire, CatalogState.RECOVERY_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
     private void expire() {
         boolean dropped = state.expire(System.nanoTime());
-        if (dropped || toldSettled != serverWatch.isSettled()) {
+        if (dropped || publishedSettled != serverWatcher.isSettled()) {
             publish();
         }
     }
 
-    /** One prefix of the store: read whole, then watched, then read whole again after a break. */
-    private final class Followed implements Store.Watcher {
+    /**
+     * Lists the entries under one key prefix, then watches them; lists them again if the watch
+     * fails.
+     */
+    private final class PrefixWatcher implements Store.Watcher {
         private final String prefix;
-        private boolean well = true;
-        private long backSinceNanos;
+        private boolean available = true;
+        private long availableSinceNanos;
         private int failures;
-        private boolean listing;
+        private boolean listPending;
         private Store.Watch watch;
 
-        Followed(String prefix) {
+        PrefixWatcher(String prefix) {
             this.prefix = prefix;
-            this.backSinceNanos = System.nanoTime() - CatalogState.BACK_NANOS;
+            this.availableSinceNanos = System.nanoTime() - CatalogState.RECOVERY_NANOS;
         }
 
         private boolean isServers() {
-            return this == serverWatch;
+            return this == serverWatcher;
         }
 
-        /** Begins or ends the watch as is wanted. */
-        void follow() {
+        /** Opens or closes the watch as enabled. */
+        void updateWatch() {
             if (!following && watch != null) {
                 watch.close();
                 watch = null;
             }
-            if (following && watch == null && !listing) {
+            if (following && watch == null && !listPending) {
                 list();
             }
         }
 
         void list() {
-            listing = true;
-            store.list(prefix, CALL_TIMEOUT_MILLIS).thenAcceptAsync(this::listed, executor);
+            listPending = true;
+            store.list(prefix, CALL_TIMEOUT_MILLIS).thenAcceptAsync(this::onListed, executor);
         }
 
-        private void listed(Store.Result result) {
-            listing = false;
+        private void onListed(Store.Result result) {
+            listPending = false;
             if (!(result instanceof Store.Result.Entries entries)) {
-                failed("list=" + result);
+                onFailure("list=" + result);
                 return;
             }
-            recovered();
+            onSuccess();
             if (isServers()) {
-                takeServers(entries);
+                applyServers(entries);
             } else {
-                takeOperators(entries.entries());
+                applyOperators(entries.entries());
             }
             if (following && watch == null) {
                 watch = store.watch(prefix, entries.storeRevision() + 1, this);
             }
         }
 
-        private void takeServers(Store.Result.Entries listed) {
+        private void applyServers(Store.Result.Entries listed) {
             state.list(
                     listed.entries(),
                     listed.storeRevision(),
@@ -165,10 +173,10 @@
                     System.nanoTime(),
                     "store");
             publish();
-            hold();
+            scheduleExpiry();
         }
 
-        private void takeOperators(List<Store.Entry> entries) {
+        private void applyOperators(List<Store.Entry> entries) {
             boolean changed = false;
             for (Store.Entry entry : entries) {
                 changed |= state.operator(entry, "store");
@@ -178,38 +186,38 @@
             }
         }
 
-        private void recovered() {
+        private void onSuccess() {
             failures = 0;
-            if (!well) {
-                well = true;
-                backSinceNanos = System.nanoTime();
+            if (!available) {
+                available = true;
+                availableSinceNanos = System.nanoTime();
                 log.accept("event=store_back prefix=%s".formatted(prefix));
             }
         }
 
-        private void failed(String detail) {
-            if (well) {
-                well = false;
+        private void onFailure(String detail) {
+            if (available) {
+                available = false;
                 log.accept("event=store_lost prefix=%s reason=\"%s\"".formatted(prefix, detail));
             }
             if (!following && state.hasConfig()) {
                 return;
             }
-            long most = Math.min(MAX_RETRY_MILLIS, FIRST_RETRY_MILLIS << failures);
+            long maxMillis = Math.min(MAX_RETRY_MILLIS, FIRST_RETRY_MILLIS << failures);
             failures = Math.min(failures + 1, 4);
-            long waitMillis = most / 2 + random.nextLong(most / 2 + 1);
-            listing = true;
+            long waitMillis = maxMillis / 2 + random.nextLong(maxMillis / 2 + 1);
+            listPending = true;
             executor.schedule(this::list, waitMillis, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void onChange(String key, Optional<Payload> value, long revision) {
-            executor.execute(() -> changed(key, value, revision));
+            executor.execute(() -> applyChange(key, value, revision));
         }
 
-        private void changed(String key, Optional<Payload> value, long revision) {
+        private void applyChange(String key, Optional<Payload> value, long revision) {
             if (!isServers()) {
-                value.ifPresent(it -> takeOperators(List.of(new Store.Entry(key, it, revision))));
+                value.ifPresent(it -> applyOperators(List.of(new Store.Entry(key, it, revision))));
                 return;
             }
             if (value.isPresent()) {
@@ -218,12 +226,16 @@
                 state.remove(key, revision, isSettled(), System.nanoTime(), "store");
             }
             publish();
-            hold();
+            scheduleExpiry();
         }
 
-        /** Returns whether the store has been well for long enough to lack no live entry. */
+        /**
+         * Returns whether the store has been available long enough for all live servers to be
+         * registered.
+         */
         boolean isSettled() {
-            return well && System.nanoTime() - backSinceNanos >= CatalogState.BACK_NANOS;
+            return available
+                    && System.nanoTime() - availableSinceNanos >= CatalogState.RECOVERY_NANOS;
         }
 
         @Override
@@ -231,7 +243,7 @@
             executor.execute(
                     () -> {
                         watch = null;
-                        failed("watch=" + detail);
+                        onFailure("watch=" + detail);
                     });
         }
     }
--- a/src/main/java/org/orioleshed/catalog/EntryChange.java
+++ b/src/main/java/org/orioleshed/catalog/EntryChange.java
@@ -4,15 +4,15 @@
 import org.orioleshed.store.Store;
 
 /**
- * How the store's entries under one prefix changed between two revisions.
+ * A change to the store's entries under one key prefix, between two revisions.
  *
- * @param since who takes the change must know all entries up to this revision; 0 where {@code
- *     entries} is all there is
+ * @param since the revision up to which the receiver must have all entries; 0 if {@code entries} is
+ *     complete
  * @param revision the store's revision after the change
- * @param changed the store's revision of the last change among them
+ * @param changed the store's revision of the last change to these entries
  * @param settled false shortly after an outage of the store, while live entries may be missing
- * @param entries the entries that are new or changed
- * @param removed the keys of the entries that are gone
+ * @param entries the new and changed entries
+ * @param removed the removed keys
  */
 public record EntryChange(
         long since,
@@ -21,20 +21,28 @@
         boolean settled,
         List<Store.Entry> entries,
         List<Removal> removed) {
-    /** A key that is gone since the store's revision. */
+    /**
+     * A removed key.
+     *
+     * @param key the key
+     * @param revision the store's revision of the removal
+     */
     public record Removal(String key, long revision) {}
 
-    /** Checks the revisions and copies the lists. */
+    /** Validates the revisions and copies the lists. */
     public EntryChange {
         if (since < 0 || revision < since) {
             throw new IllegalArgumentException(
-                    "revisions out of order: " + since + ", " + revision);
+                    "revision must not be less than since, and since not negative, found revision "
+                            + revision
+                            + ", since "
+                            + since);
         }
         entries = List.copyOf(entries);
         removed = List.copyOf(removed);
     }
 
-    /** Returns whether the entries are all there is. */
+    /** Returns whether the entries are complete, rather than a difference. */
     public boolean isWhole() {
         return since == 0;
     }
--- a/src/main/java/org/orioleshed/catalog/EntryView.java
+++ b/src/main/java/org/orioleshed/catalog/EntryView.java
@@ -5,14 +5,14 @@
 import org.orioleshed.store.Store;
 
 /**
- * The store's entries under one prefix, as one host knows them.
+ * One host's copy of the store's entries under one key prefix.
  *
- * @param revision the store's revision up to which they are known; 0 for none
- * @param changed the store's revision of the last change known
+ * @param revision the store's revision up to which the copy is complete; 0 if nothing was read
+ * @param changed the store's revision of the last change in the copy
  * @param settled false shortly after an outage of the store, while live entries may be missing
- * @param entries the entries present
- * @param removedSince removals after this revision are all in {@code removed}
- * @param removed what was removed lately
+ * @param entries the present entries
+ * @param removedSince the revision after which {@code removed} has all removals
+ * @param removed the recent removals
  */
 public record EntryView(
         long revision,
@@ -21,7 +21,7 @@
         List<Store.Entry> entries,
         long removedSince,
         List<Removal> removed) {
-    /** What a host knows at its start. */
+    /** The view at a host's start. */
     public static final EntryView NOTHING = new EntryView(0, 0, true, List.of(), 0, List.of());
 
     /** Copies the lists. */
@@ -31,19 +31,21 @@
     }
 
     /**
-     * Returns what a host lacks that knows the entries up to a revision: the difference, or all
-     * entries where the difference is not known any more.
+     * Returns the change that updates a host from a revision: the difference, or all entries if the
+     * removals since that revision are no longer kept.
+     *
+     * @param since the revision up to which the host has the entries; 0 if it has none
      */
-    public EntryChange after(long known) {
-        if (known == 0 || known < removedSince) {
+    public EntryChange after(long since) {
+        if (since == 0 || since < removedSince) {
             return new EntryChange(0, revision, changed, settled, entries, List.of());
         }
         return new EntryChange(
-                known,
-                Math.max(known, revision),
+                since,
+                Math.max(since, revision),
                 changed,
                 settled,
-                entries.stream().filter(entry -> entry.revision() > known).toList(),
-                removed.stream().filter(removal -> removal.revision() > known).toList());
+                entries.stream().filter(entry -> entry.revision() > since).toList(),
+                removed.stream().filter(removal -> removal.revision() > since).toList());
     }
 }
--- a/src/main/java/org/orioleshed/catalog/Pool.java
+++ b/src/main/java/org/orioleshed/catalog/Pool.java
@@ -3,11 +3,11 @@
 import org.orioleshed.model.ServiceId;
 
 /**
- * A service, as operators declare it.
+ * A pool of servers for one service, as declared by operators.
  *
- * @param service its name
+ * @param service the service
  * @param engine whether its servers are model engines
- * @param memoryTokens the tokens that an engine's memory holds; 0 where none are declared
- * @param eventTokens the tokens that one event of a stream holds; at least 1
+ * @param memoryTokens the capacity of an engine's memory, in tokens; 0 if not declared
+ * @param eventTokens the tokens in each event of a stream; at least 1
  */
 public record Pool(ServiceId service, boolean engine, long memoryTokens, int eventTokens) {}
--- a/src/main/java/org/orioleshed/catalog/PoolServer.java
+++ b/src/main/java/org/orioleshed/catalog/PoolServer.java
@@ -7,16 +7,16 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * One start of a backend server, as it registers itself.
+ * One start of a backend server, as registered in the store.
  *
- * @param id its id
- * @param service the pool that it belongs to
- * @param address where it takes calls
- * @param domain its failure domain
- * @param version the version of its software
- * @param slots the calls that it runs at once; positive
- * @param draining whether it is about to leave
- * @param startMillis the wall-clock time of its start, in Unix milliseconds; 0 where it states none
+ * @param id the id of the server
+ * @param service the server's pool
+ * @param address the address for calls
+ * @param domain the failure domain
+ * @param version the version of the server's software
+ * @param slots the maximum number of concurrent calls; positive
+ * @param draining whether the server is about to stop
+ * @param startMillis the wall-clock start time, in Unix milliseconds; 0 if not stated
  */
 public record PoolServer(
         ServerId id,
--- a/src/main/java/org/orioleshed/catalog/Quota.java
+++ b/src/main/java/org/orioleshed/catalog/Quota.java
@@ -1,12 +1,12 @@
 package org.orioleshed.catalog;
 
 /**
- * What a workspace may use, over all hosts.
+ * A workspace's rate limit over all hosts.
  *
- * @param perSecond units a second; 0 for no limit
- * @param burst units at once
- * @param inTokens whether a unit is a token; else a call
- * @param plainUnits the units of a call that states no tokens; used where a unit is a token
+ * @param perSecond the rate in units per second; 0 for no limit
+ * @param burst the burst in units
+ * @param inTokens whether a unit is a token rather than a call
+ * @param plainUnits the units charged for a call that states no tokens, if a unit is a token
  */
 public record Quota(double perSecond, double burst, boolean inTokens, long plainUnits) {
     /** No limit. */
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Returns what a call uses.
+     * Returns the units charged for a call.
      *
-     * @param statedTokens the tokens that the call states; negative where it states none
+     * @param statedTokens the tokens that the call states; negative if none
      */
     public long units(long statedTokens) {
         if (!inTokens) {
--- a/src/main/java/org/orioleshed/catalog/Repeatability.java
+++ b/src/main/java/org/orioleshed/catalog/Repeatability.java
@@ -1,11 +1,11 @@
 package org.orioleshed.catalog;
 
-/** What may be repeated of a call. */
+/** Whether a call may be repeated. */
 public enum Repeatability {
     /** The call may run any number of times. */
     IDEMPOTENT,
-    /** The call runs at most once for each attempt of its caller. */
+    /** The call runs at most once for each attempt of the caller. */
     ONCE,
-    /** The answer is a stream of events, which may be resumed only where the route says so. */
+    /** The response is a stream of events, which may be resumed only if the route is resumable. */
     STREAM
 }
--- a/src/main/java/org/orioleshed/catalog/RolloutOrder.java
+++ b/src/main/java/org/orioleshed/catalog/RolloutOrder.java
@@ -4,24 +4,28 @@
 import org.orioleshed.model.VersionId;
 
 /**
- * An operator's order to move a pool's calls to servers of another version.
+ * An operator's order to roll out another version of a pool's servers.
  *
  * @param service the pool
- * @param target the version to move to
- * @param durationMillis the time within which the rollout is done or taken back, in milliseconds;
- *     positive
+ * @param target the version to roll out
+ * @param durationMillis the time within which the rollout is completed or rolled back, in
+ *     milliseconds; positive
  * @param revision the store's revision of the order
  */
 public record RolloutOrder(
         ServiceId service, VersionId target, long durationMillis, long revision) {
-    /** Checks the arguments. */
+    /** Validates the arguments. */
     public RolloutOrder {
         if (durationMillis <= 0) {
-            throw new IllegalArgumentException("a move needs time: " + service);
+            throw new IllegalArgumentException(
+                    "durationMillis must be positive in the rollout order for "
+                            + service
+                            + ", found "
+                            + durationMillis);
         }
     }
 
-    /** Keeps the name and format that operators' log lines have for an order. */
+    /** Returns the text for operators' log lines, whose name and format must not change. */
     @Override
     public String toString() {
         return "MoveOrder[service=%s, target=%s, durationMillis=%d, revision=%d]"
--- a/src/main/java/org/orioleshed/catalog/RolloutOutcome.java
+++ b/src/main/java/org/orioleshed/catalog/RolloutOutcome.java
@@ -1,11 +1,11 @@
 package org.orioleshed.catalog;
 
-/** How far a rollout is. */
+/** The state of a rollout. */
 public enum RolloutOutcome {
-    /** Under way. */
+    /** In progress. */
     RUNNING,
-    /** All calls go to the target, and the old servers may stop. */
+    /** All calls go to the target version; servers of the old version may stop. */
     COMPLETED,
-    /** All calls go to the old version, and the new servers may stop. */
+    /** Rolled back: all calls go to the old version; servers of the target version may stop. */
     TAKEN_BACK
 }
--- a/src/main/java/org/orioleshed/catalog/WorkspaceConfig.java
+++ b/src/main/java/org/orioleshed/catalog/WorkspaceConfig.java
@@ -4,10 +4,11 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * A workspace, as operators declare it.
+ * A workspace, as declared by operators.
  *
- * @param workspace its name
- * @param priority the rank of its calls, which goes before the route's; empty for the route's
- * @param quota what it may use
+ * @param workspace the id of the workspace
+ * @param priority the rank of the workspace's calls, which overrides the route's; empty to use the
+ *     route's
+ * @param quota the rate limit
  */
 public record WorkspaceConfig(WorkspaceId workspace, Optional<Integer> priority, Quota quota) {}
--- a/src/main/java/org/orioleshed/catalog/package-info.java
+++ b/src/main/java/org/orioleshed/catalog/package-info.java
@@ -1,2 +1,2 @@
-/** What operators and backend servers declare: routes, pools, workspaces, servers. */
+/** The catalog of routes, pools, workspaces and servers, as declared in the store. */
 package org.orioleshed.catalog;
--- a/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
@@ -13,9 +13,9 @@
 import org.orioleshed.store.Store;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CatalogState}: what one host believes, and what another gets from it. */
+/** Tests of {@link CatalogState}: updates from the store, and the changes sent to peers. */
 public class CatalogStateTest {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final CatalogState first = state();
     private final CatalogState second = state();
@@ -34,16 +34,16 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Brings one host up to what another knows. */
-    private static EntryChange tell(CatalogState from, CatalogState to, boolean settled) {
-        long known = to.snapshot(true).entries().revision();
-        EntryChange change = from.snapshot(settled).entries().after(known);
-        assertTrue(to.adopt(Optional.empty(), Optional.of(change), SECOND));
+    /** Applies to one host the change that another host would send it. */
+    private static EntryChange sendChange(CatalogState from, CatalogState to, boolean settled) {
+        long knownRevision = to.snapshot(true).entries().revision();
+        EntryChange change = from.snapshot(settled).entries().after(knownRevision);
+        assertTrue(to.adopt(Optional.empty(), Optional.of(change), SECOND_NANOS));
         return change;
     }
 
     @Test
-    public void whoIsALittleBehindGetsTheDifferenceOnly() {
+    public void peerSlightlyBehindReceivesDifference() {
         CatalogState ahead = state();
         CatalogState behind = state();
         List<Store.Entry> all = List.of(entry("a", 1), entry("b", 2), entry("c", 3));
@@ -51,25 +51,25 @@
         behind.list(all, 3, true, 0, "store");
         ahead.put(entry("d", 4), "store");
         ahead.remove("servers/a", 5, true, 0, "store");
-        EntryChange change = tell(ahead, behind, true);
+        EntryChange change = sendChange(ahead, behind, true);
         assertFalse(change.isWhole());
         assertEquals(change.entries(), List.of(entry("d", 4)));
         assertEquals(servers(behind), Set.of("b", "c", "d"));
     }
 
     @Test
-    public void whoIsFarBehindGetsAll() {
+    public void peerFarBehindReceivesAllEntries() {
         CatalogState ahead = state();
         CatalogState behind = state();
         behind.list(List.of(entry("gone", 1)), 1, true, 0, "store");
         ahead.list(List.of(entry("a", 2)), 3, true, 0, "store");
         ahead.put(entry("b", 4), "store");
-        assertTrue(tell(ahead, behind, true).isWhole());
+        assertTrue(sendChange(ahead, behind, true).isWhole());
         assertEquals(servers(behind), Set.of("a", "b"));
     }
 
     @Test
-    public void removalsBeyondThoseKeptAreMadeUpForByAll() {
+    public void peerReceivesAllEntriesIfRemovalsAreNoLongerKept() {
         CatalogState ahead = state();
         CatalogState behind = state();
         List<Store.Entry> many = new ArrayList<>();
@@ -81,40 +81,40 @@
         for (int i = 1; i <= 300; i++) {
             ahead.remove("servers/m" + i, 300 + i, true, 0, "store");
         }
-        tell(ahead, behind, true);
+        sendChange(ahead, behind, true);
         assertEquals(servers(behind), Set.of());
     }
 
     @Test
-    public void aServerThatIsMissingAfterAnOutageIsHeldAndThenGoneAtPeersToo() {
+    public void serverMissingAfterOutageIsKeptAndThenDroppedHereAndAtPeers() {
         CatalogState ahead = state();
         CatalogState behind = state();
         ahead.list(List.of(entry("a", 1)), 1, true, 0, "store");
-        tell(ahead, behind, true);
-        ahead.list(List.of(entry("b", 3)), 3, false, SECOND, "store");
-        tell(ahead, behind, false);
+        sendChange(ahead, behind, true);
+        ahead.list(List.of(entry("b", 3)), 3, false, SECOND_NANOS, "store");
+        sendChange(ahead, behind, false);
         assertEquals(servers(ahead), Set.of("a", "b"));
         assertEquals(servers(behind), Set.of("a", "b"));
-        assertTrue(ahead.expire(SECOND + CatalogState.BACK_NANOS));
-        assertTrue(behind.expire(SECOND + CatalogState.BACK_NANOS));
+        assertTrue(ahead.expire(SECOND_NANOS + CatalogState.RECOVERY_NANOS));
+        assertTrue(behind.expire(SECOND_NANOS + CatalogState.RECOVERY_NANOS));
         assertEquals(servers(ahead), Set.of("b"));
         assertEquals(servers(behind), Set.of("b"));
     }
 
     @Test
-    public void aServerThatIsBackIsNotDroppedByAnEarlierAbsence() {
+    public void returnedServerIsNotDroppedForEarlierRemoval() {
         CatalogState state = state();
         state.list(List.of(entry("a", 1)), 1, true, 0, "store");
         state.list(List.of(), 2, false, 0, "store");
         state.put(entry("a", 3), "store");
-        state.list(List.of(), 4, false, SECOND, "store");
-        assertFalse(state.expire(CatalogState.BACK_NANOS));
+        state.list(List.of(), 4, false, SECOND_NANOS, "store");
+        assertFalse(state.expire(CatalogState.RECOVERY_NANOS));
         assertEquals(servers(state), Set.of("a"));
-        assertTrue(state.expire(SECOND + CatalogState.BACK_NANOS));
+        assertTrue(state.expire(SECOND_NANOS + CatalogState.RECOVERY_NANOS));
     }
 
     @Test
-    public void olderNewsBringsNoServerBack() {
+    public void outdatedUpdateDoesNotRestoreRemovedServer() {
         first.list(List.of(entry("a", 1), entry("b", 2)), 2, true, 0, "store");
         first.remove("servers/a", 5, true, 0, "store");
         first.put(entry("a", 1), "store");
@@ -125,7 +125,7 @@
     }
 
     @Test
-    public void aDifferenceThatBeginsBeyondWhatIsKnownIsNotTaken() {
+    public void differenceFromLaterRevisionIsRejected() {
         second.list(List.of(entry("a", 1)), 1, true, 0, "store");
         EntryChange gap = new EntryChange(7, 8, 8, true, List.of(entry("b", 8)), List.of());
         assertFalse(second.adopt(Optional.empty(), Optional.of(gap), 0));
@@ -133,7 +133,7 @@
     }
 
     @Test
-    public void rolloutOrdersPropagateByPeers() {
+    public void rolloutOrdersPropagateThroughPeers() {
         CatalogState ahead = state();
         CatalogState behind = state();
         assertTrue(ahead.operator(new Store.Entry("op/config", Payload.of("1"), 1), "store"));
@@ -145,11 +145,11 @@
     }
 
     @Test
-    public void aHostThatJustReadTheStoreIsNotAheadOfThoseThatSawEachChange() {
-        CatalogState watcher = state();
+    public void freshListWithoutChangesIsNotLaterThanWatchedState() {
+        CatalogState watching = state();
         CatalogState fresh = state();
-        watcher.list(List.of(entry("a", 1)), 1, true, 0, "store");
+        watching.list(List.of(entry("a", 1)), 1, true, 0, "store");
         fresh.list(List.of(entry("a", 1)), 50, true, 0, "store");
-        assertFalse(watcher.snapshot(true).isBehind(0, fresh.snapshot(true).entries().changed()));
+        assertFalse(watching.snapshot(true).isBehind(0, fresh.snapshot(true).entries().changed()));
     }
 }
--- a/src/test/java/org/orioleshed/catalog/CatalogWatcherTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogWatcherTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CatalogWatcher}. */
+/** Tests of {@link CatalogWatcher} with a store in memory and with outages of it. */
 public class CatalogWatcherTest {
     private ScheduledExecutorService executor;
     private MemoryStore store;
@@ -46,18 +46,19 @@
         return snapshot.catalog().map(Catalog::version).orElse(0L);
     }
 
-    private void await(Predicate<CatalogSnapshot> wanted) {
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (!wanted.test(latest)) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("it never became so: " + latest);
+    private void await(Predicate<CatalogSnapshot> condition) {
+        long endNanos = System.nanoTime() + 20_000_000_000L;
+        while (!condition.test(latest)) {
+            if (System.nanoTime() > endNanos) {
+                throw new AssertionError(
+                        "condition not met within 20 s, latest snapshot: " + latest);
             }
             Thread.onSpinWait();
         }
     }
 
     @Test
-    public void followsChangesAsTheyCome() {
+    public void appliesWatchedChanges() {
         store.put("op/config", "2");
         store.put("servers/b", "x");
         await(it -> version(it) == 2 && it.servers().size() == 2);
@@ -66,7 +67,7 @@
     }
 
     @Test
-    public void anEntryThatCannotBeReadNamesNoServerAndTheOthersHold() {
+    public void malformedServerEntryIsSkipped() {
         store.put("servers/b", "bad");
         store.put("servers/c", "x");
         await(it -> it.entries().entries().size() == 3);
@@ -74,20 +75,20 @@
     }
 
     @Test
-    public void aConfigurationThatCannotBeReadChangesNothing() {
+    public void malformedConfigurationIsSkipped() {
         store.put("op/config", "odd");
         store.put("op/config", "3");
         await(it -> version(it) == 3);
     }
 
     @Test
-    public void takesRolloutOrders() {
+    public void appliesRolloutOrders() {
         store.put("op/rollout/s", "x");
         await(it -> it.orders().size() == 1);
     }
 
     @Test
-    public void aBrokenWatchIsMadeUpForByReadingAgain() {
+    public void listsAgainAfterFailedWatch() {
         store.setUnavailable(true);
         store.setUnavailable(false);
         store.put("op/config", "4");
@@ -95,7 +96,7 @@
     }
 
     @Test
-    public void aServerThatVanishedDuringAnOutageIsHeldAndThenGone() {
+    public void serverMissingAfterOutageIsKeptAndThenDropped() {
         store.setUnavailable(true);
         store.delete("servers/a");
         store.setUnavailable(false);
@@ -106,7 +107,7 @@
     }
 
     @Test
-    public void takesWhatPeersKnowLaterAndNothingOlder() {
+    public void adoptsOnlyLaterRevisionsFromPeers() {
         store.setUnavailable(true);
         adopt(1_000, "9");
         await(it -> version(it) == 9);
@@ -123,7 +124,7 @@
     }
 
     @Test
-    public void leavesTheStoreToPeersAndComesBackToIt() {
+    public void closesAndReopensWatches() {
         watcher.follow(false);
         awaitWatches(0);
         store.put("op/config", "5");
@@ -135,10 +136,11 @@
     }
 
     private void awaitWatches(int count) {
-        long end = System.nanoTime() + 20_000_000_000L;
+        long endNanos = System.nanoTime() + 20_000_000_000L;
         while (store.watches() != count) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("watches " + store.watches());
+            if (System.nanoTime() > endNanos) {
+                throw new AssertionError(
+                        "expected " + count + " watches, found " + store.watches());
             }
             Thread.onSpinWait();
         }
--- a/src/test/java/org/orioleshed/catalog/PlainDecoder.java
+++ b/src/test/java/org/orioleshed/catalog/PlainDecoder.java
@@ -11,8 +11,9 @@
 import org.orioleshed.model.WorkspaceId;
 
 /**
- * A configuration is its version, and, after a stroke, the quota a second of one workspace; a
- * server is "draining", "bad", or anything else; outcomes are written by their names.
+ * A decoder of plain text. A configuration is its version, optionally followed by a slash and the
+ * quota per second of one workspace. A server entry is "draining", "bad" (malformed), or any other
+ * text. Outcomes are written by name.
  */
 public final class PlainDecoder implements CatalogDecoder {
     /** The only pool. */
@@ -23,7 +24,7 @@
 
     private final int slots;
 
-    /** Makes one whose servers run {@code slots} requests at once. */
+    /** Creates a decoder whose servers have {@code slots} slots each. */
     public PlainDecoder(int slots) {
         this.slots = slots;
     }
@@ -46,15 +47,16 @@
     @Override
     public Catalog config(byte[] value) throws BadCatalogException {
         String text = new String(value, StandardCharsets.UTF_8);
-        int stroke = text.indexOf('/');
+        int slash = text.indexOf('/');
         try {
-            return stroke < 0
+            return slash < 0
                     ? catalog(Long.parseLong(text), Map.of())
                     : catalog(
-                            Long.parseLong(text.substring(0, stroke)),
-                            workspaces(Double.parseDouble(text.substring(stroke + 1))));
+                            Long.parseLong(text.substring(0, slash)),
+                            workspaces(Double.parseDouble(text.substring(slash + 1))));
         } catch (NumberFormatException e) {
-            throw new BadCatalogException("no number", e);
+            throw new BadCatalogException(
+                    "configuration must be a version or version/quota, found " + text, e);
         }
     }
 
@@ -71,7 +73,7 @@
     public PoolServer server(String key, byte[] value) throws BadCatalogException {
         String text = new String(value, StandardCharsets.UTF_8);
         if (text.equals("bad")) {
-            throw new BadCatalogException("bad");
+            throw new BadCatalogException("malformed server entry: " + key);
         }
         return new PoolServer(
                 new ServerId(key),
--- a/src/test/java/org/orioleshed/catalog/RolloutOrderTest.java
+++ b/src/test/java/org/orioleshed/catalog/RolloutOrderTest.java
@@ -6,10 +6,10 @@
 import org.orioleshed.model.VersionId;
 import org.testng.annotations.Test;
 
-/** Tests that the text of a {@link RolloutOrder} in operators' log lines stays as it is. */
+/** Tests that the text of a {@link RolloutOrder} in operators' log lines does not change. */
 public class RolloutOrderTest {
     @Test
-    public void keepsItsTextInLogLines() {
+    public void textInLogLinesIsStable() {
         RolloutOrder order = new RolloutOrder(new ServiceId("s"), new VersionId("v2"), 12_000, 7);
         assertEquals(
                 order.toString(),
