--- a/src/main/java/org/orioleshed/load/AdminClient.java
+++ b/src/main/java/org/orioleshed/load/AdminClient.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import org.orioleshed.load.FleetLayout.Host;
 
-/** An operator at the admin API of entry hosts. */
+/** Client of the admin API of entry hosts, authenticated as an operator. */
 final class AdminClient {
     private static final Duration TIMEOUT = Duration.ofSeconds(12);
-    private static final String PREFIX = "/v1/admin/";
+    private static final String PATH_PREFIX = "/v1/admin/";
 
     private final Http http;
 
@@ -22,24 +22,25 @@
         this.http = http;
     }
 
-    /** What a host answered. */
-    record Answer(int status, JsonNode body) {}
+    /** A response of a host. */
+    record Response(int status, JsonNode body) {}
 
-    /** Changes the value at a path of the settings. */
-    Answer set(Host host, String path, JsonNode value, String reason)
+    /** Sets the value at a path of the settings. */
+    Response set(Host host, String path, JsonNode value, String reason)
             throws IOException, InterruptedException {
         ObjectNode body = Json.MAPPER.createObjectNode();
         body.put("path", path).put("reason", reason).set("value", value);
         return call(host, "PUT", "settings", body);
     }
 
-    /** Returns the revision of the settings in force on a host; zero when it does not say. */
+    /** Returns the revision of the settings in force on a host; zero when the response has none. */
     long revision(Host host) throws IOException, InterruptedException {
         return call(host, "GET", "settings?path=tiers", null).body().path("revision").asLong();
     }
 
-    /** Plans a move of a model between two versions on the given routes. */
-    Answer plan(Host host, String id, String model, List<String> routes, long completeByMillis)
+    /** Plans a rollout of the new version of a model on the given routes. */
+    Response planRollout(
+            Host host, String id, String model, List<String> routes, long completeByMillis)
             throws IOException, InterruptedException {
         ObjectNode body = Json.MAPPER.createObjectNode();
         body.put("id", id).put("target", "model:" + model);
@@ -49,24 +50,24 @@
         return call(host, "POST", "moves", body);
     }
 
-    /** Returns what a host tells of a move. */
-    Answer rollout(Host host, String id) throws IOException, InterruptedException {
+    /** Returns the status of a rollout on a host. */
+    Response rollout(Host host, String id) throws IOException, InterruptedException {
         return call(host, "GET", "moves/" + id, null);
     }
 
-    private Answer call(Host host, String method, String path, JsonNode body)
+    private Response call(Host host, String method, String path, JsonNode body)
             throws IOException, InterruptedException {
         HttpRequest.BodyPublisher publisher =
                 body == null
                         ? HttpRequest.BodyPublishers.noBody()
                         : HttpRequest.BodyPublishers.ofString(body.toString());
         HttpRequest request =
-                HttpRequest.newBuilder(URI.create(host.adminUrl() + PREFIX + path))
+                HttpRequest.newBuilder(URI.create(host.adminUrl() + PATH_PREFIX + path))
                         .header("Authorization", "Bearer " + FleetFiles.OPERATOR_KEY)
                         .timeout(TIMEOUT)
                         .method(method, publisher)
                         .build();
         HttpResponse<byte[]> response = http.client.send(request, BodyHandlers.ofByteArray());
-        return new Answer(response.statusCode(), Json.MAPPER.readTree(response.body()));
+        return new Response(response.statusCode(), Json.MAPPER.readTree(response.body()));
     }
 }
--- a/src/main/java/org/orioleshed/load/Arrivals.java
+++ b/src/main/java/org/orioleshed/load/Arrivals.java
@@ -6,73 +6,73 @@
 import java.util.SplittableRandom;
 
 /**
- * Draws an open-loop plan of requests: Poisson arrivals with a short burst now and then, the same
- * for the same seed.
+ * Generates an open-loop plan of requests: Poisson arrivals with periodic short bursts. The same
+ * seed gives the same plan.
  */
 final class Arrivals {
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final long BURST_EVERY_MILLIS = 10_000;
+    private static final long BURST_PERIOD_MILLIS = 10_000;
     private static final long BURST_MILLIS = 1_000;
     private static final double BURST_FACTOR = 2;
 
-    /** One drawn request, before the order of all arrivals is known. */
-    private record Draw(
+    /** A generated request, before all requests are sorted by arrival. */
+    private record Arrival(
             long atMillis, Traffic traffic, String workspace, int promptTokens, int answerTokens) {}
 
     private Arrivals() {}
 
     static List<PlannedRequest> plan(List<Traffic> mix, double seconds, long seed) {
-        List<Draw> draws = new ArrayList<>();
-        for (int kind = 0; kind < mix.size(); kind++) {
-            SplittableRandom random = new SplittableRandom(seed * 31 + kind);
-            draw(mix.get(kind), seconds * MILLIS_PER_SECOND, random, draws);
+        List<Arrival> arrivals = new ArrayList<>();
+        for (int index = 0; index < mix.size(); index++) {
+            SplittableRandom random = new SplittableRandom(seed * 31 + index);
+            generate(mix.get(index), seconds * MILLIS_PER_SECOND, random, arrivals);
         }
-        draws.sort(Comparator.comparingLong(Draw::atMillis));
+        arrivals.sort(Comparator.comparingLong(Arrival::atMillis));
         List<PlannedRequest> plan = new ArrayList<>();
-        for (Draw draw : draws) {
-            int index = plan.size();
+        for (Arrival arrival : arrivals) {
+            int position = plan.size();
             plan.add(
                     new PlannedRequest(
-                            index,
-                            draw.atMillis(),
-                            draw.traffic(),
-                            draw.workspace(),
-                            draw.promptTokens(),
-                            draw.answerTokens(),
-                            "s" + seed + "r" + index));
+                            position,
+                            arrival.atMillis(),
+                            arrival.traffic(),
+                            arrival.workspace(),
+                            arrival.promptTokens(),
+                            arrival.answerTokens(),
+                            "s" + seed + "r" + position));
         }
         return plan;
     }
 
-    private static void draw(
-            Traffic traffic, double endMillis, SplittableRandom random, List<Draw> draws) {
+    private static void generate(
+            Traffic traffic, double endMillis, SplittableRandom random, List<Arrival> arrivals) {
         if (traffic.perSecond() <= 0) {
             return;
         }
-        double at = 0;
+        double nowMillis = 0;
         while (true) {
             double rate = traffic.perSecond() / MILLIS_PER_SECOND;
-            boolean burst = at % BURST_EVERY_MILLIS >= BURST_EVERY_MILLIS - BURST_MILLIS;
-            at += -Math.log(1 - random.nextDouble()) / (burst ? rate * BURST_FACTOR : rate);
-            if (at >= endMillis) {
+            boolean burst = nowMillis % BURST_PERIOD_MILLIS >= BURST_PERIOD_MILLIS - BURST_MILLIS;
+            nowMillis += -Math.log(1 - random.nextDouble()) / (burst ? rate * BURST_FACTOR : rate);
+            if (nowMillis >= endMillis) {
                 return;
             }
-            draws.add(drawOne(traffic, (long) at, random));
+            arrivals.add(nextArrival(traffic, (long) nowMillis, random));
         }
     }
 
-    private static Draw drawOne(Traffic traffic, long atMillis, SplittableRandom random) {
+    private static Arrival nextArrival(Traffic traffic, long atMillis, SplittableRandom random) {
         List<String> workspaces = traffic.workspaces();
         String workspace = workspaces.get(random.nextInt(workspaces.size()));
-        return switch (traffic.ask()) {
-            case Traffic.Ask.Text text ->
-                    new Draw(
+        return switch (traffic.payload()) {
+            case Traffic.Payload.Text text ->
+                    new Arrival(
                             atMillis,
                             traffic,
                             workspace,
                             text.prompt().draw(random),
                             text.answer().draw(random));
-            case Traffic.Ask.Call call -> new Draw(atMillis, traffic, workspace, 0, 0);
+            case Traffic.Payload.Call call -> new Arrival(atMillis, traffic, workspace, 0, 0);
         };
     }
 }
--- a/src/main/java/org/orioleshed/load/Balancer.java
+++ b/src/main/java/org/orioleshed/load/Balancer.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.orioleshed.load.FleetLayout.Host;
 
-/** A stand-in for the platform's balancer: round robin over the entry hosts that say ready. */
+/** Stand-in for the platform's load balancer: round robin over the entry hosts that are ready. */
 final class Balancer implements Runnable {
     private static final Duration CHECK_TIMEOUT = Duration.ofSeconds(1);
-    private static final long CHECK_EVERY_MILLIS = 200;
+    private static final long CHECK_INTERVAL_MILLIS = 200;
 
     private final Http http;
     private final List<Host> hosts;
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextIndex = new AtomicInteger();
     private volatile List<Host> ready = List.of();
 
     Balancer(Http http, List<Host> hosts) {
@@ -24,23 +24,23 @@
         this.hosts = hosts;
     }
 
-    /** Returns the next host in turn; any host when none is ready. */
+    /** Returns the next ready host, or the next of all hosts when none is ready. */
     Host next() {
-        List<Host> from = ready.isEmpty() ? hosts : ready;
-        return from.get(Math.floorMod(turn.getAndIncrement(), from.size()));
+        List<Host> candidates = ready.isEmpty() ? hosts : ready;
+        return candidates.get(Math.floorMod(nextIndex.getAndIncrement(), candidates.size()));
     }
 
     int readyCount() {
         return ready.size();
     }
 
-    /** Asks all hosts again and again until the thread is interrupted. */
+    /** Polls the readiness of all hosts until the thread is interrupted. */
     @Override
     public void run() {
         try {
             while (true) {
                 ready = hosts.parallelStream().filter(this::isReady).toList();
-                Thread.sleep(CHECK_EVERY_MILLIS);
+                Thread.sleep(CHECK_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/org/orioleshed/load/Caller.java
+++ b/src/main/java/org/orioleshed/load/Caller.java
@@ -13,74 +13,75 @@
 import org.orioleshed.load.Result.Send;
 
 /**
- * One caller with one request: sends it, sends it again under the same key where that makes sense,
- * and notes the outcome. Used by one thread.
+ * Sends one request, retries it under the same idempotency key where the reply allows a retry, and
+ * records the outcome. Confined to one thread.
  */
 final class Caller {
     private static final int MAX_SENDS = 4;
-    private static final int MAX_CONNECTS = 8;
-    private static final long PATIENCE_AFTER_DEADLINE_MILLIS = 3_000;
-    private static final long RESEND_AFTER_BREAK_MILLIS = 100;
+    private static final int MAX_CONNECT_ATTEMPTS = 8;
+    private static final long GRACE_AFTER_DEADLINE_MILLIS = 3_000;
+    private static final long RETRY_DELAY_AFTER_BREAK_MILLIS = 100;
     private static final long MIN_REMAINING_MILLIS = 50;
 
     private final Http http;
     private final Balancer balancer;
-    private final Timings gaps;
-    private final ScheduledExecutorService timer;
+    private final LatencyHistograms tokenGaps;
+    private final ScheduledExecutorService scheduler;
     private final PlannedRequest request;
-    private final long arrivedNanos;
+    private final long arrivalNanos;
     private final List<Send> sends = new ArrayList<>();
     private long firstTokenMillis = -1;
-    private boolean right = true;
+    private boolean correct = true;
 
     Caller(
             Http http,
             Balancer balancer,
-            Timings gaps,
-            ScheduledExecutorService timer,
+            LatencyHistograms tokenGaps,
+            ScheduledExecutorService scheduler,
             PlannedRequest request,
-            long arrivedNanos) {
+            long arrivalNanos) {
         this.http = http;
         this.balancer = balancer;
-        this.gaps = gaps;
-        this.timer = timer;
+        this.tokenGaps = tokenGaps;
+        this.scheduler = scheduler;
         this.request = request;
-        this.arrivedNanos = arrivedNanos;
+        this.arrivalNanos = arrivalNanos;
     }
 
     Result call() throws InterruptedException {
         End end = End.LOST;
         while (sends.size() < MAX_SENDS && remainingMillis() > MIN_REMAINING_MILLIS) {
             Reply reply = send();
-            end = end(reply, end);
-            long pauseMillis = pauseMillis(reply);
-            if (pauseMillis < 0 || pauseMillis + MIN_REMAINING_MILLIS > remainingMillis()) {
+            end = outcome(reply, end);
+            long retryDelayMillis = retryDelayMillis(reply);
+            if (retryDelayMillis < 0
+                    || retryDelayMillis + MIN_REMAINING_MILLIS > remainingMillis()) {
                 break;
             }
-            Thread.sleep(pauseMillis);
+            Thread.sleep(retryDelayMillis);
         }
-        boolean inTime = end == End.ANSWERED && remainingMillis() >= 0 && right;
-        return new Result(request, end, inTime, right, firstTokenMillis, sends);
+        boolean inTime = end == End.ANSWERED && remainingMillis() >= 0 && correct;
+        return new Result(request, end, inTime, correct, firstTokenMillis, sends);
     }
 
-    /** Returns how long to wait before another send, in milliseconds; negative for no other. */
-    private long pauseMillis(Reply reply) {
+    /** Returns the delay before the next send in milliseconds; negative for no retry. */
+    private long retryDelayMillis(Reply reply) {
         return switch (reply) {
-            case Reply.Whole whole -> -1;
-            case Reply.Silence silence -> -1;
-            case Reply.Broken broken -> RESEND_AFTER_BREAK_MILLIS;
-            case Reply.Refusal refusal ->
-                    refusal.ran().equals("failed") ? -1 : refusal.retryAfterMillis();
+            case Reply.Complete complete -> -1;
+            case Reply.TimedOut timedOut -> -1;
+            case Reply.Broken broken -> RETRY_DELAY_AFTER_BREAK_MILLIS;
+            case Reply.ErrorReply error ->
+                    error.executionStatus().equals("failed") ? -1 : error.retryAfterMillis();
         };
     }
 
-    private static End end(Reply reply, End before) {
+    private static End outcome(Reply reply, End previous) {
         return switch (reply) {
-            case Reply.Whole whole -> End.ANSWERED;
-            case Reply.Silence silence -> End.LOST;
-            case Reply.Broken broken -> before == End.IN_DOUBT ? before : End.LOST;
-            case Reply.Refusal refusal ->
-                    switch (refusal.ran()) {
+            case Reply.Complete complete -> End.ANSWERED;
+            case Reply.TimedOut timedOut -> End.LOST;
+            case Reply.Broken broken -> previous == End.IN_DOUBT ? previous : End.LOST;
+            case Reply.ErrorReply error ->
+                    switch (error.executionStatus()) {
                         case "not_run" -> End.NOT_RUN;
                         case "in_doubt" -> End.IN_DOUBT;
                         default -> End.FAILED;
@@ -90,21 +91,22 @@
 
     private Reply send() throws InterruptedException {
         long startMillis = System.currentTimeMillis();
-        SendOnce once = new SendOnce(http, request, gaps);
+        RequestSender sender = new RequestSender(http, request, tokenGaps);
         Host host = balancer.next();
-        Reply reply = new Reply.Broken("no host can be reached");
-        for (int connect = 0; connect < MAX_CONNECTS; connect++) {
+        Reply reply = new Reply.Broken("no host reachable");
+        for (int attempt = 0; attempt < MAX_CONNECT_ATTEMPTS; attempt++) {
             try {
-                reply = watched(once, host);
+                reply = sendWithTimeout(sender, host);
                 break;
             } catch (ConnectException | HttpConnectTimeoutException e) {
                 host = balancer.next();
             }
         }
-        if (once.firstByteNanos() != 0 && firstTokenMillis < 0) {
-            firstTokenMillis = TimeUnit.NANOSECONDS.toMillis(once.firstByteNanos() - arrivedNanos);
+        if (sender.firstByteNanos() != 0 && firstTokenMillis < 0) {
+            firstTokenMillis =
+                    TimeUnit.NANOSECONDS.toMillis(sender.firstByteNanos() - arrivalNanos);
         }
-        right &= !(reply instanceof Reply.Whole whole) || whole.right();
+        correct &= !(reply instanceof Reply.Complete complete) || complete.correct();
         sends.add(record(host, startMillis, reply));
         return reply;
     }
@@ -112,38 +114,41 @@
     private static Send record(Host host, long startMillis, Reply reply) {
         String code =
                 switch (reply) {
-                    case Reply.Refusal refusal -> refusal.code();
+                    case Reply.ErrorReply error -> error.code();
                     case Reply.Broken broken -> broken.detail();
                     default -> "";
                 };
-        return new Send(host.id(), startMillis, System.currentTimeMillis(), reply.word(), code);
+        return new Send(host.id(), startMillis, System.currentTimeMillis(), reply.label(), code);
     }
 
-    private Reply watched(SendOnce once, Host host)
+    private Reply sendWithTimeout(RequestSender sender, Host host)
             throws ConnectException, HttpConnectTimeoutException {
         Thread self = Thread.currentThread();
-        long patienceMillis = remainingMillis() + PATIENCE_AFTER_DEADLINE_MILLIS;
-        Future<?> watchdog = timer.schedule(self::interrupt, patienceMillis, TimeUnit.MILLISECONDS);
+        long timeoutMillis = remainingMillis() + GRACE_AFTER_DEADLINE_MILLIS;
+        Future<?> timeout =
+                scheduler.schedule(self::interrupt, timeoutMillis, TimeUnit.MILLISECONDS);
         try {
-            return once.send(host, remainingMillis());
+            return sender.send(host, remainingMillis());
         } catch (ConnectException | HttpConnectTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            return over() ? new Reply.Silence() : new Reply.Broken(String.valueOf(e.getMessage()));
+            return graceExpired()
+                    ? new Reply.TimedOut()
+                    : new Reply.Broken(String.valueOf(e.getMessage()));
         } catch (InterruptedException e) {
-            return new Reply.Silence();
+            return new Reply.TimedOut();
         } finally {
-            watchdog.cancel(false);
+            timeout.cancel(false);
             Thread.interrupted();
         }
     }
 
-    private boolean over() {
-        return remainingMillis() + PATIENCE_AFTER_DEADLINE_MILLIS <= 0;
+    private boolean graceExpired() {
+        return remainingMillis() + GRACE_AFTER_DEADLINE_MILLIS <= 0;
     }
 
     private long remainingMillis() {
-        long goneMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - arrivedNanos);
-        return request.traffic().deadlineMillis() - goneMillis;
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - arrivalNanos);
+        return request.traffic().deadlineMillis() - elapsedMillis;
     }
 }
--- a/src/main/java/org/orioleshed/load/Deployment.java
+++ b/src/main/java/org/orioleshed/load/Deployment.java
@@ -2,20 +2,21 @@
 
 import java.util.List;
 import java.util.stream.Stream;
-import org.orioleshed.load.Traffic.Ask;
+import org.orioleshed.load.Traffic.Payload;
 
 /**
- * A deployment: those of the users are at the size of today, in the time scale of the stand-ins.
+ * A deployment. {@link #ASSOCIATION} and {@link #OFFICE} have the size of the production
+ * deployments, in the time scale of the stand-ins.
  *
- * @param id its name on the command line
- * @param domains its failure domains
+ * @param id the name on the command line
+ * @param domains the failure domains
  * @param hosts the number of entry hosts
  * @param engines the number of model engines
  * @param services the number of servers of the plain service
- * @param serviceRoute the plain service's name, and its route's
+ * @param serviceRoute the name of the plain service and of its route
  * @param workspaces the workspaces
- * @param mix the requests at full load
- * @param costless whether engines take no time at all
+ * @param mix the kinds of requests, with their rates at full load
+ * @param costless whether engines compute in zero time
  */
 record Deployment(
         String id,
@@ -50,7 +51,7 @@
                     officeMix(),
                     false);
 
-    /** One entry host and one engine that takes no time, to measure what the host adds. */
+    /** One entry host and one zero-time engine, to measure the latency that the host adds. */
     static final Deployment SINGLE =
             new Deployment(
                     "single",
@@ -65,27 +66,38 @@
 
     private static final String MODEL = "letters";
 
-    /** Returns the deployment with this id. */
-    static Deployment named(String id) {
+    /**
+     * Returns the deployment with this id.
+     *
+     * @throws IllegalArgumentException if there is none
+     */
+    static Deployment byId(String id) {
         return Stream.of(ASSOCIATION, OFFICE, SINGLE)
                 .filter(deployment -> deployment.id().equals(id))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no deployment is named " + id));
+                .orElseThrow(
+                        () ->
+                                new IllegalArgumentException(
+                                        "unknown deployment "
+                                                + id
+                                                + "; allowed: association, office, single"));
     }
 
-    /** Returns the model that all text routes use. */
+    /** Returns the model of all text routes. */
     String model() {
         return MODEL;
     }
 
-    /** Returns the failure domain of the host or server with this number. */
-    String domain(int number) {
-        return domains.get(number % domains.size());
+    /** Returns the failure domain of the host or server with this index. */
+    String domain(int index) {
+        return domains.get(index % domains.size());
     }
 
-    /** Returns the name of the member of a failure domain with this number, from 1 on. */
-    String member(String kind, int number) {
-        return domain(number) + "-" + kind + (number / domains.size() + 1);
+    /**
+     * Returns the name of the host or server with this index; names count from 1 in each domain.
+     */
+    String memberName(String kind, int index) {
+        return domain(index) + "-" + kind + (index / domains.size() + 1);
     }
 
     /** Returns the bearer key of a workspace. */
@@ -94,9 +106,12 @@
     }
 
     private static List<Traffic> associationMix() {
-        Ask reply = new Ask.Text(256, new Sizes(30, 0.6, 8, 300), new Sizes(12, 0.7, 2, 80));
-        Ask letter = new Ask.Text(384, new Sizes(120, 1.0, 20, 3_000), new Sizes(40, 0.9, 4, 250));
-        Ask summary = new Ask.Text(192, new Sizes(300, 0.9, 40, 4_000), new Sizes(40, 0.9, 4, 250));
+        Payload reply =
+                new Payload.Text(256, new Sizes(30, 0.6, 8, 300), new Sizes(12, 0.7, 2, 80));
+        Payload letter =
+                new Payload.Text(384, new Sizes(120, 1.0, 20, 3_000), new Sizes(40, 0.9, 4, 250));
+        Payload summary =
+                new Payload.Text(192, new Sizes(300, 0.9, 40, 4_000), new Sizes(40, 0.9, 4, 250));
         List<String> stewards = List.of("stewards", "stewards", "marina");
         List<String> clerks = List.of("clerks", "clerks", "clerks", "guides", "marina");
         List<String> reviews = List.of("reviews", "reviews", "clerks");
@@ -110,9 +125,12 @@
     }
 
     private static List<Traffic> officeMix() {
-        Ask answer = new Ask.Text(320, new Sizes(40, 0.7, 8, 400), new Sizes(16, 0.7, 2, 100));
-        Ask letter = new Ask.Text(448, new Sizes(150, 1.0, 20, 3_000), new Sizes(50, 0.9, 5, 250));
-        Ask sorting = new Ask.Text(256, new Sizes(400, 0.8, 40, 4_000), new Sizes(8, 0.6, 2, 40));
+        Payload answer =
+                new Payload.Text(320, new Sizes(40, 0.7, 8, 400), new Sizes(16, 0.7, 2, 100));
+        Payload letter =
+                new Payload.Text(448, new Sizes(150, 1.0, 20, 3_000), new Sizes(50, 0.9, 5, 250));
+        Payload sorting =
+                new Payload.Text(256, new Sizes(400, 0.8, 40, 4_000), new Sizes(8, 0.6, 2, 40));
         List<String> hotline = List.of("hotline", "hotline", "counter");
         List<String> counter = List.of("counter", "letters-desk", "letters-desk");
         List<String> scans = List.of("scans", "scans", "archive");
@@ -125,7 +143,12 @@
     }
 
     private static Traffic call(
-            String route, String call, boolean repeatable, double perSecond, List<String> from) {
-        return new Traffic(route, "urgent", perSecond, from, 5_000, new Ask.Call(call, repeatable));
+            String route,
+            String call,
+            boolean repeatable,
+            double perSecond,
+            List<String> workspaces) {
+        return new Traffic(
+                route, "urgent", perSecond, workspaces, 5_000, new Payload.Call(call, repeatable));
     }
 }
--- a/src/main/java/org/orioleshed/load/Experiment.java
+++ b/src/main/java/org/orioleshed/load/Experiment.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.TimeUnit;
 import org.orioleshed.load.Result.End;
 
-/** Sends a scenario's load to a running fleet and reports what came of it. */
+/** Sends a scenario's load to a running fleet and reports the results. */
 final class Experiment {
-    private static final long READY_WITHIN_MILLIS = 60_000;
-    private static final long READY_POLL_MILLIS = 100;
-    private static final long PROGRESS_SECONDS = 5;
-    private static final int TIMER_THREADS = 2;
+    private static final long READY_TIMEOUT_MILLIS = 60_000;
+    private static final long READY_POLL_INTERVAL_MILLIS = 100;
+    private static final long PROGRESS_INTERVAL_SECONDS = 5;
+    private static final int SCHEDULER_THREADS = 2;
     private static final double WARM_UP_SECONDS = 4;
 
     private final FleetLayout layout;
@@ -29,12 +29,13 @@
     private final PrintStream out;
     private final Http http = new Http();
     private final Balancer balancer;
-    private final Steps steps;
-    private final Timings gaps = new Timings();
+    private final StepRunner stepRunner;
+    private final LatencyHistograms tokenGaps = new LatencyHistograms();
     private final Queue<Result> results = new ConcurrentLinkedQueue<>();
     private final ExecutorService callers = Executors.newVirtualThreadPerTaskExecutor();
-    private final ScheduledExecutorService timer =
-            Executors.newScheduledThreadPool(TIMER_THREADS, Thread.ofPlatform().daemon().factory());
+    private final ScheduledExecutorService scheduler =
+            Executors.newScheduledThreadPool(
+                    SCHEDULER_THREADS, Thread.ofPlatform().daemon().factory());
 
     Experiment(FleetLayout layout, Scenario scenario, double seconds, long seed, PrintStream out) {
         this.layout = layout;
@@ -43,7 +44,7 @@
         this.seed = seed;
         this.out = out;
         this.balancer = new Balancer(http, layout.hosts());
-        this.steps = new Steps(http, layout, scenario, seconds, out);
+        this.stepRunner = new StepRunner(http, layout, scenario, seconds, out);
     }
 
     /** Runs the experiment and returns its report. */
@@ -56,28 +57,28 @@
                 "scenario %s: %d requests in %.0f s, seed %d%n",
                 scenario.name(), plan.size(), seconds, seed);
         long startNanos = System.nanoTime();
-        steps.schedule(timer);
+        stepRunner.schedule(scheduler);
         var progress =
-                timer.scheduleAtFixedRate(
+                scheduler.scheduleAtFixedRate(
                         () -> printProgress(plan.size(), startNanos),
-                        PROGRESS_SECONDS,
-                        PROGRESS_SECONDS,
+                        PROGRESS_INTERVAL_SECONDS,
+                        PROGRESS_INTERVAL_SECONDS,
                         TimeUnit.SECONDS);
         send(plan, startNanos);
         progress.cancel(false);
-        steps.await();
+        stepRunner.await();
         return report();
     }
 
-    /** Sends a light load whose results are left out, so that no cold process is measured. */
+    /** Sends a light load and discards its results, so that no cold process is measured. */
     private void warmUp() throws InterruptedException {
-        List<Traffic> light = Scenario.named("steady").mix(layout.deployment());
-        List<PlannedRequest> plan = Arrivals.plan(light, WARM_UP_SECONDS, -seed);
+        List<Traffic> warmUpMix = Scenario.byName("steady").mix(layout.deployment());
+        List<PlannedRequest> plan = Arrivals.plan(warmUpMix, WARM_UP_SECONDS, -seed);
         send(plan, System.nanoTime());
-        long good = results.stream().filter(Result::inTime).count();
-        out.printf("warm-up: %d of %d answered whole in time%n", good, plan.size());
+        long inTime = results.stream().filter(Result::inTime).count();
+        out.printf("warm-up: %d of %d answered in full in time%n", inTime, plan.size());
         results.clear();
-        gaps.clear();
+        tokenGaps.clear();
         out.println("started");
         out.flush();
     }
@@ -86,51 +87,52 @@
         Thread.ofVirtual().name("balancer").start(balancer);
         long waitedMillis = 0;
         while (balancer.readyCount() < layout.hosts().size()) {
-            if (waitedMillis > READY_WITHIN_MILLIS) {
+            if (waitedMillis > READY_TIMEOUT_MILLIS) {
                 throw new IllegalStateException(
                         String.format(
-                                "only %d of %d entry hosts are ready",
-                                balancer.readyCount(), layout.hosts().size()));
+                                "only %d of %d entry hosts are ready after %d ms",
+                                balancer.readyCount(), layout.hosts().size(), waitedMillis));
             }
-            Thread.sleep(READY_POLL_MILLIS);
-            waitedMillis += READY_POLL_MILLIS;
+            Thread.sleep(READY_POLL_INTERVAL_MILLIS);
+            waitedMillis += READY_POLL_INTERVAL_MILLIS;
         }
     }
 
     private void send(List<PlannedRequest> plan, long startNanos) throws InterruptedException {
-        CountDownLatch open = new CountDownLatch(plan.size());
+        CountDownLatch pending = new CountDownLatch(plan.size());
         for (PlannedRequest request : plan) {
-            long atNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(request.atMillis());
-            long waitNanos = atNanos - System.nanoTime();
+            long arrivalNanos = startNanos + TimeUnit.MILLISECONDS.toNanos(request.atMillis());
+            long waitNanos = arrivalNanos - System.nanoTime();
             if (waitNanos > 0) {
                 TimeUnit.NANOSECONDS.sleep(waitNanos);
             }
-            var unused = callers.submit(() -> call(request, atNanos, open));
+            var unused = callers.submit(() -> call(request, arrivalNanos, pending));
         }
-        open.await();
+        pending.await();
     }
 
-    private void call(PlannedRequest request, long atNanos, CountDownLatch open) {
+    private void call(PlannedRequest request, long arrivalNanos, CountDownLatch pending) {
         try {
-            results.add(new Caller(http, balancer, gaps, timer, request, atNanos).call());
+            results.add(
+                    new Caller(http, balancer, tokenGaps, scheduler, request, arrivalNanos).call());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException e) {
-            out.println("caller failed " + request.tag() + " " + e);
+            out.println("unexpected error in caller of request " + request.tag() + " " + e);
             results.add(new Result(request, End.LOST, false, true, -1, List.of()));
         } finally {
-            open.countDown();
+            pending.countDown();
         }
     }
 
     private void printProgress(int planned, long startNanos) {
-        long good = results.stream().filter(Result::inTime).count();
+        long inTime = results.stream().filter(Result::inTime).count();
         out.printf(
-                "%3d s: %d of %d requests ended, %d answered whole in time, %d hosts ready%n",
+                "%3d s: %d of %d requests ended, %d answered in full in time, %d hosts ready%n",
                 TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos),
                 results.size(),
                 planned,
-                good,
+                inTime,
                 balancer.readyCount());
         out.flush();
     }
@@ -141,15 +143,15 @@
         json.put("deployment", layout.deployment().id());
         json.put("seconds", seconds);
         json.put("seed", seed);
-        Ledger ledger = Ledger.read(http, layout.servers());
-        json.setAll(new Report(new ArrayList<>(results), ledger).json(gaps));
+        RunLog runLog = RunLog.read(http, layout.servers());
+        json.setAll(new Report(new ArrayList<>(results), runLog).json(tokenGaps));
         var counts = http.get(layout.storeUrl() + "/standin/counts");
         json.put("storeCalls", counts.path("calls").asLong());
-        steps.report(json, ledger);
+        stepRunner.report(json, runLog);
         return json;
     }
 
-    /** Returns all results, for those who look for single requests. */
+    /** Returns the result of each request. */
     List<Result> results() {
         return new ArrayList<>(results);
     }
--- a/src/main/java/org/orioleshed/load/FleetFiles.java
+++ b/src/main/java/org/orioleshed/load/FleetFiles.java
@@ -11,13 +11,13 @@
 import org.orioleshed.load.FleetLayout.Host;
 import org.orioleshed.load.FleetLayout.Server;
 
-/** Writes what the processes of an experiment read: entry hosts' files, settings, stand-ins. */
+/** Writes the configuration files of an experiment: entry hosts, settings and stand-ins. */
 final class FleetFiles {
-    /** The bearer key of the operator who may change settings. */
+    /** The bearer key of the operator with permission to change settings. */
     static final String OPERATOR_KEY = "key-of-the-operator";
 
-    private static final int PLACES = 16;
-    private static final int SERVICE_PLACES = 32;
+    private static final int SLOTS = 16;
+    private static final int SERVICE_SLOTS = 32;
     private static final int CACHE_TOKENS = 60_000;
     private static final int MAX_WAITING = 400;
     private static final int MAX_OUTPUT_TOKENS = 4_000;
@@ -29,13 +29,13 @@
         this.layout = layout;
     }
 
-    /** Writes all files; hosts' files are named {@code entry-ID.json}. */
+    /** Writes all files; the file of an entry host is named {@code hostConfig-ID.json}. */
     void write(Path directory, String policy) throws IOException {
         Files.createDirectories(directory);
-        write(directory.resolve("standin.json"), Json.MAPPER.valueToTree(layout.standins()));
-        write(directory.resolve("tree.json"), tree());
+        write(directory.resolve("standin.json"), Json.MAPPER.valueToTree(layout.standinSpec()));
+        write(directory.resolve("tree.json"), settingsTree());
         for (Host host : layout.hosts()) {
-            write(directory.resolve("entry-" + host.id() + ".json"), entry(host, policy));
+            write(directory.resolve("entry-" + host.id() + ".json"), hostConfig(host, policy));
         }
         List<String> ids = layout.hosts().stream().map(Host::id).toList();
         Files.write(directory.resolve("hosts.txt"), ids);
@@ -45,14 +45,14 @@
         Json.MAPPER.writerWithDefaultPrettyPrinter().writeValue(file.toFile(), content);
     }
 
-    private ObjectNode entry(Host self, String policy) {
-        ObjectNode entry = Json.MAPPER.createObjectNode();
-        entry.putObject("host").put("id", self.id()).put("domain", self.domain());
-        entry.putObject("addresses")
+    private ObjectNode hostConfig(Host self, String policy) {
+        ObjectNode config = Json.MAPPER.createObjectNode();
+        config.putObject("host").put("id", self.id()).put("domain", self.domain());
+        config.putObject("addresses")
                 .put("caller", self.caller())
                 .put("peer", self.peer())
                 .put("admin", self.admin());
-        var peers = entry.putArray("peers");
+        var peers = config.putArray("peers");
         for (Host host : layout.hosts()) {
             if (!host.id().equals(self.id())) {
                 peers.addObject()
@@ -61,17 +61,17 @@
                         .put("peerAddress", host.peer());
             }
         }
-        entry.putObject("store").putArray("addresses").add(layout.storeUrl());
-        entry.putArray("operators")
+        config.putObject("store").putArray("addresses").add(layout.storeUrl());
+        config.putArray("operators")
                 .addObject()
                 .put("name", "operator")
-                .put("keyHash", hash(OPERATOR_KEY))
+                .put("keyHash", sha256Hex(OPERATOR_KEY))
                 .put("role", "change");
-        return entry.put("drainMillis", DRAIN_MILLIS).put("policy", policy);
+        return config.put("drainMillis", DRAIN_MILLIS).put("policy", policy);
     }
 
     /** Returns the settings tree of the deployment. */
-    ObjectNode tree() {
+    ObjectNode settingsTree() {
         ObjectNode tree = Json.MAPPER.createObjectNode();
         ObjectNode tiers = tree.putObject("tiers");
         tiers.putObject("urgent").put("rank", 0);
@@ -88,12 +88,12 @@
         ObjectNode versions = tree.putObject("currentVersions");
         ObjectNode calls = Json.MAPPER.createObjectNode();
         for (Traffic traffic : layout.deployment().mix()) {
-            switch (traffic.ask()) {
-                case Traffic.Ask.Text text -> {
+            switch (traffic.payload()) {
+                case Traffic.Payload.Text text -> {
                     routes.putObject(traffic.route()).put("model", layout.deployment().model());
                     versions.put(traffic.route(), FleetLayout.OLD_VERSION);
                 }
-                case Traffic.Ask.Call call ->
+                case Traffic.Payload.Call call ->
                         calls.putObject(call.call()).put("repeatable", call.repeatable());
             }
         }
@@ -103,7 +103,7 @@
 
     private void putServers(ObjectNode servers) {
         servers.putObject("defaults")
-                .put("places", PLACES)
+                .put("places", SLOTS)
                 .put("cacheTokens", CACHE_TOKENS)
                 .put("canResume", true)
                 .put("checksFencing", true)
@@ -126,7 +126,7 @@
             item.put("model", server.target());
         } else {
             item.put("service", server.target());
-            item.put("places", SERVICE_PLACES).put("cacheTokens", 0);
+            item.put("places", SERVICE_SLOTS).put("cacheTokens", 0);
         }
         item.put("version", server.version()).put("generation", server.generation().id());
     }
@@ -147,11 +147,11 @@
         for (String workspace : layout.deployment().workspaces()) {
             items.putObject(workspace)
                     .putArray("keyHashes")
-                    .add(hash(Deployment.bearerKey(workspace)));
+                    .add(sha256Hex(Deployment.bearerKey(workspace)));
         }
     }
 
-    private static String hash(String key) {
+    private static String sha256Hex(String key) {
         return Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString();
     }
 }
--- a/src/main/java/org/orioleshed/load/FleetLayout.java
+++ b/src/main/java/org/orioleshed/load/FleetLayout.java
@@ -8,28 +8,28 @@
 import org.orioleshed.standin.StoreSpec;
 
 /**
- * The processes of an experiment and their loopback ports.
+ * The processes of an experiment and their loopback addresses.
  *
- * @param deployment whose sizes and workload
- * @param basePort the port of the store; all others follow it
- * @param newVersion whether as many engines of a new version stand beside the old ones
+ * @param deployment the deployment that sets sizes and workload
+ * @param basePort the port of the store; all other ports are offsets from it
+ * @param newVersion whether to add an equal number of engines of a new version
  */
 record FleetLayout(Deployment deployment, int basePort, boolean newVersion) {
     static final String OLD_VERSION = "v1";
     static final String NEW_VERSION = "v2";
 
-    private static final int CALLER_PORTS = 10;
-    private static final int PEER_PORTS = 40;
-    private static final int ADMIN_PORTS = 70;
-    private static final int ENGINE_PORTS = 100;
-    private static final int SERVICE_PORTS = 180;
+    private static final int CALLER_PORT_OFFSET = 10;
+    private static final int PEER_PORT_OFFSET = 40;
+    private static final int ADMIN_PORT_OFFSET = 70;
+    private static final int ENGINE_PORT_OFFSET = 100;
+    private static final int SERVICE_PORT_OFFSET = 180;
     private static final int WRITES_PER_SECOND = 500;
     private static final int READS_PER_SECOND = 2_000;
     private static final int MAX_BATCH = 24;
     private static final int CACHE_TOKENS = 60_000;
     private static final int CALL_MILLIS = 20;
 
-    /** An entry host. */
+    /** An entry host with the addresses of its listeners. */
     record Host(String id, String domain, String caller, String peer, String admin) {
         String callerUrl() {
             return "http://" + caller;
@@ -40,7 +40,7 @@
         }
     }
 
-    /** A backend server; its target is a model or a service. */
+    /** A backend server; its target is the name of a model or of a service. */
     record Server(
             String id,
             String domain,
@@ -50,12 +50,12 @@
             String version,
             Generation generation) {
         String url() {
-            return "http://" + local(port);
+            return "http://" + loopbackAddress(port);
         }
     }
 
     String storeUrl() {
-        return "http://" + local(basePort);
+        return "http://" + loopbackAddress(basePort);
     }
 
     List<Host> hosts() {
@@ -63,11 +63,11 @@
         for (int i = 0; i < deployment.hosts(); i++) {
             hosts.add(
                     new Host(
-                            deployment.member("host", i),
+                            deployment.memberName("host", i),
                             deployment.domain(i),
-                            local(basePort + CALLER_PORTS + i),
-                            local(basePort + PEER_PORTS + i),
-                            local(basePort + ADMIN_PORTS + i)));
+                            loopbackAddress(basePort + CALLER_PORT_OFFSET + i),
+                            loopbackAddress(basePort + PEER_PORT_OFFSET + i),
+                            loopbackAddress(basePort + ADMIN_PORT_OFFSET + i)));
         }
         return hosts;
     }
@@ -76,17 +76,17 @@
         List<Server> servers = new ArrayList<>();
         int count = newVersion ? 2 * deployment.engines() : deployment.engines();
         for (int i = 0; i < count; i++) {
-            int number = i % deployment.engines();
+            int index = i % deployment.engines();
             boolean isNew = i >= deployment.engines();
             servers.add(
                     new Server(
-                            deployment.member(isNew ? "new" : "engine", number),
-                            deployment.domain(number),
-                            basePort + ENGINE_PORTS + i,
+                            deployment.memberName(isNew ? "new" : "engine", index),
+                            deployment.domain(index),
+                            basePort + ENGINE_PORT_OFFSET + i,
                             true,
                             deployment.model(),
                             isNew ? NEW_VERSION : OLD_VERSION,
-                            deployment.costless() ? Generation.COSTLESS : Generation.of(number)));
+                            deployment.costless() ? Generation.COSTLESS : Generation.of(index)));
         }
         return servers;
     }
@@ -96,9 +96,9 @@
         for (int i = 0; i < deployment.services(); i++) {
             servers.add(
                     new Server(
-                            deployment.member("service", i),
+                            deployment.memberName("service", i),
                             deployment.domain(i),
-                            basePort + SERVICE_PORTS + i,
+                            basePort + SERVICE_PORT_OFFSET + i,
                             false,
                             deployment.serviceRoute(),
                             OLD_VERSION,
@@ -113,11 +113,11 @@
         return servers;
     }
 
-    FleetSpec standins() {
+    FleetSpec standinSpec() {
         List<EngineSpec> engines = engines().stream().map(FleetLayout::engineSpec).toList();
         List<ServiceSpec> services =
                 services().stream()
-                        .map(s -> new ServiceSpec(s.id(), s.port(), CALL_MILLIS))
+                        .map(service -> new ServiceSpec(service.id(), service.port(), CALL_MILLIS))
                         .toList();
         StoreSpec store = new StoreSpec(basePort, WRITES_PER_SECOND, READS_PER_SECOND);
         return new FleetSpec(engines, services, store);
@@ -138,7 +138,7 @@
                 true);
     }
 
-    private static String local(int port) {
+    private static String loopbackAddress(int port) {
         return "127.0.0.1:" + port;
     }
 }
--- a/src/main/java/org/orioleshed/load/Generation.java
+++ b/src/main/java/org/orioleshed/load/Generation.java
@@ -5,16 +5,16 @@
     G1(24, 2.5, 6_000),
     G2(16, 1.8, 9_000),
     G3(12, 1.2, 14_000),
-    /** Takes no time at all. */
+    /** Computes in zero time. */
     COSTLESS(0, 0, 0);
 
-    /** The time of a decoding step with one run, in milliseconds. */
+    /** The time of a decode step with one run, in milliseconds. */
     final double stepMillis;
 
-    /** The time that each further run adds to a step, in milliseconds. */
+    /** The time that each additional run adds to a decode step, in milliseconds. */
     final double stepMillisPerRun;
 
-    /** The prefill speed, in tokens a second. */
+    /** The prefill rate, in tokens per second. */
     final double prefillTokensPerSecond;
 
     Generation(double stepMillis, double stepMillisPerRun, double prefillTokensPerSecond) {
@@ -27,9 +27,9 @@
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** Returns the generation of the server with this number: mostly old ones, a few new. */
-    static Generation of(int server) {
-        return switch (server % 6) {
+    /** Returns the generation of the engine with this index: half G1, a third G2, a sixth G3. */
+    static Generation of(int index) {
+        return switch (index % 6) {
             case 1, 4 -> G2;
             case 5 -> G3;
             default -> G1;
--- a/src/main/java/org/orioleshed/load/Http.java
+++ b/src/main/java/org/orioleshed/load/Http.java
@@ -10,7 +10,7 @@
 import java.time.Duration;
 import java.util.concurrent.Executors;
 
-/** The HTTP client of an experiment, for control calls and for callers. */
+/** The HTTP client shared by control calls and callers. */
 final class Http {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(5);
@@ -23,7 +23,11 @@
                     .executor(Executors.newVirtualThreadPerTaskExecutor())
                     .build();
 
-    /** Posts JSON and returns the JSON of a 200 answer; throws for any other. */
+    /**
+     * Posts JSON and returns the JSON of the response.
+     *
+     * @throws IOException if the request fails or the status is not 200
+     */
     JsonNode post(String url, Object body) throws IOException, InterruptedException {
         HttpRequest request =
                 HttpRequest.newBuilder(URI.create(url))
@@ -32,19 +36,24 @@
                                 HttpRequest.BodyPublishers.ofString(
                                         Json.MAPPER.writeValueAsString(body)))
                         .build();
-        return json(request);
+        return send(request);
     }
 
-    /** Reads the JSON of a 200 answer; throws for any other. */
+    /**
+     * Returns the JSON of the response to a GET request.
+     *
+     * @throws IOException if the request fails or the status is not 200
+     */
     JsonNode get(String url) throws IOException, InterruptedException {
-        return json(HttpRequest.newBuilder(URI.create(url)).timeout(CONTROL_TIMEOUT).build());
+        return send(HttpRequest.newBuilder(URI.create(url)).timeout(CONTROL_TIMEOUT).build());
     }
 
-    private JsonNode json(HttpRequest request) throws IOException, InterruptedException {
+    private JsonNode send(HttpRequest request) throws IOException, InterruptedException {
         HttpResponse<byte[]> response = client.send(request, BodyHandlers.ofByteArray());
         if (response.statusCode() != 200) {
             String text = new String(response.body(), java.nio.charset.StandardCharsets.UTF_8);
-            throw new IOException(request.uri() + " " + response.statusCode() + " " + text);
+            throw new IOException(
+                    request.uri() + " returned status " + response.statusCode() + ": " + text);
         }
         return Json.MAPPER.readTree(response.body());
     }
--- a/src/main/java/org/orioleshed/load/PathMeter.java
+++ b/src/main/java/org/orioleshed/load/LatencyBenchmark.java
@@ -22,24 +22,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the time from a caller's send to the first byte of the answer, through an entry host and
- * straight to the engine, in turn and in one run, and the processor time that the entry host takes.
+ * Measures the time from sending a request to the first byte of the response, first directly at the
+ * engine and then through an entry host, and the processor time used by the entry host.
  */
-final class PathMeter {
+final class LatencyBenchmark {
     private static final long MAX_MICROS = TimeUnit.SECONDS.toMicros(60);
     private static final double CLOCK_TICKS_PER_SECOND = 100;
     private static final int STAT_USER_TICKS = 11;
     private static final int STAT_SYSTEM_TICKS = 12;
-    private static final int WARM_UP_SHARE = 2;
+    private static final int WARM_UP_DIVISOR = 2;
 
     private final Http http = new Http();
-    private final AtomicInteger sent = new AtomicInteger();
+    private final AtomicInteger sentCount = new AtomicInteger();
     private final String hostUrl;
     private final String engineUrl;
     private final String bearerKey;
     private final String route;
 
-    PathMeter(String hostUrl, String engineUrl, String bearerKey, String route) {
+    LatencyBenchmark(String hostUrl, String engineUrl, String bearerKey, String route) {
         this.hostUrl = hostUrl;
         this.engineUrl = engineUrl;
         this.bearerKey = bearerKey;
@@ -47,27 +47,29 @@
     }
 
     /**
-     * Measures with {@code callers} callers that each send one request after another.
+     * Runs the benchmark.
      *
-     * @param hostPid the entry host's process id, for its processor time; zero for none
+     * @param callers the number of concurrent callers, each with one request at a time
+     * @param requests the number of measured requests for each path
+     * @param hostPid the process id of the entry host, to read its processor time; zero to skip
      */
     ObjectNode measure(int callers, int requests, long hostPid)
             throws IOException, InterruptedException {
-        phase(hostUrl, callers, requests / WARM_UP_SHARE);
-        phase(engineUrl, callers, requests / WARM_UP_SHARE);
-        Histogram direct = phase(engineUrl, callers, requests);
+        sendAll(hostUrl, callers, requests / WARM_UP_DIVISOR);
+        sendAll(engineUrl, callers, requests / WARM_UP_DIVISOR);
+        Histogram direct = sendAll(engineUrl, callers, requests);
         double secondsBefore = processorSeconds(hostPid);
-        Histogram through = phase(hostUrl, callers, requests);
-        double hostSeconds = processorSeconds(hostPid) - secondsBefore;
+        Histogram throughHost = sendAll(hostUrl, callers, requests);
+        double hostProcessorSeconds = processorSeconds(hostPid) - secondsBefore;
         ObjectNode json = Json.MAPPER.createObjectNode();
         json.put("callers", callers).put("requests", requests);
         put(json, "direct", direct);
-        put(json, "throughHost", through);
-        json.put("addedMicrosP50", percentile(through, 50) - percentile(direct, 50));
-        json.put("addedMicrosP99", percentile(through, 99) - percentile(direct, 99));
+        put(json, "throughHost", throughHost);
+        json.put("addedMicrosP50", percentile(throughHost, 50) - percentile(direct, 50));
+        json.put("addedMicrosP99", percentile(throughHost, 99) - percentile(direct, 99));
         if (hostPid > 0) {
-            json.put("hostProcessorMicrosPerRequest", hostSeconds * 1e6 / requests);
-            json.put("requestsPerSecondPerCore", requests / hostSeconds);
+            json.put("hostProcessorMicrosPerRequest", hostProcessorSeconds * 1e6 / requests);
+            json.put("requestsPerSecondPerCore", requests / hostProcessorSeconds);
         }
         var system =
                 (OperatingSystemMXBean)
@@ -84,18 +86,18 @@
         return histogram.getValueAtPercentile(percentile);
     }
 
-    private Histogram phase(String url, int callers, int requests)
+    private Histogram sendAll(String url, int callers, int requests)
             throws IOException, InterruptedException {
         Histogram histogram = new ConcurrentHistogram(MAX_MICROS, 3);
-        AtomicInteger left = new AtomicInteger(requests);
+        AtomicInteger remaining = new AtomicInteger(requests);
         List<Future<?>> running = new ArrayList<>();
         try (ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor()) {
             for (int i = 0; i < callers; i++) {
                 running.add(
                         threads.submit(
                                 () -> {
-                                    while (left.getAndDecrement() > 0) {
-                                        histogram.recordValue(one(url));
+                                    while (remaining.getAndDecrement() > 0) {
+                                        histogram.recordValue(firstByteMicros(url));
                                     }
                                     return null;
                                 }));
@@ -109,9 +111,9 @@
         return histogram;
     }
 
-    /** Sends one request and returns the time to the first byte of its body, in microseconds. */
-    private long one(String url) throws IOException, InterruptedException {
-        String id = "path" + ProcessHandle.current().pid() + "n" + sent.incrementAndGet();
+    /** Sends one request and returns the time to the first byte of the response body. */
+    private long firstByteMicros(String url) throws IOException, InterruptedException {
+        String id = "path" + ProcessHandle.current().pid() + "n" + sentCount.incrementAndGet();
         String body =
                 String.format(
                         "{\"model\":\"%s\",\"messages\":[{\"role\":\"user\",\"content\":"
@@ -130,13 +132,13 @@
                 http.client.send(request, BodyHandlers.ofInputStream());
         try (InputStream in = response.body()) {
             if (response.statusCode() != 200) {
-                throw new IOException(url + " answered " + response.statusCode());
+                throw new IOException(url + " returned status " + response.statusCode());
             }
             int first = in.read();
             long micros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
             in.readAllBytes();
             if (first < 0) {
-                throw new IOException(url + " sent an empty answer");
+                throw new IOException(url + " returned an empty body");
             }
             return micros;
         }
--- a/src/main/java/org/orioleshed/load/Timings.java
+++ b/src/main/java/org/orioleshed/load/LatencyHistograms.java
@@ -6,8 +6,8 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Histograms by tier, in microseconds. */
-final class Timings {
+/** Latency histograms by tier, with microsecond resolution. */
+final class LatencyHistograms {
     private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(10);
     private static final double MICROS_PER_MILLI = 1_000;
 
@@ -24,7 +24,7 @@
         byTier.clear();
     }
 
-    /** Returns a percentile in milliseconds, zero when nothing was recorded. */
+    /** Returns a percentile in milliseconds; zero if nothing was recorded. */
     double millis(String tier, double percentile) {
         Histogram histogram = byTier.get(tier);
         return histogram == null
--- a/src/main/java/org/orioleshed/load/LoadMain.java
+++ b/src/main/java/org/orioleshed/load/LoadMain.java
@@ -16,7 +16,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.orioleshed.trial.PolicyTrials;
 
-/** The program {@code orioleshed-load}. */
+/** Entry point of {@code orioleshed-load}. */
 @Cli(
         name = "orioleshed-load",
         description = "Load, experiments and their reports",
@@ -35,7 +35,7 @@
 public final class LoadMain {
     private LoadMain() {}
 
-    /** Runs the program; ends with code 1 when it fails. */
+    /** Runs a command; exits with status 1 if it fails. */
     public static void main(String[] args) {
         System.setProperty("jdk.httpclient.keepalive.timeout", "5");
         try {
@@ -47,7 +47,7 @@
         System.exit(0);
     }
 
-    /** Options that name an experiment. */
+    /** Options that select an experiment. */
     public abstract static class ExperimentOptions implements Runnable {
         @Option(name = "--scenario", description = "The scenario's name")
         String scenario = "steady";
@@ -55,33 +55,33 @@
         @Option(name = "--deployment", description = "association or office")
         String deployment = "association";
 
-        @Option(name = "--base-port", description = "The first of the loopback ports")
+        @Option(name = "--base-port", description = "The first loopback port of the fleet")
         int basePort = 21_000;
 
-        @Option(name = "--seconds", description = "How long requests arrive")
+        @Option(name = "--seconds", description = "How long requests are sent, in seconds")
         double seconds = 30;
 
         @Option(name = "--policy", description = "orioleshed or naive")
         String policy = "orioleshed";
 
-        @Option(name = "--fault", description = "What is wrong with a bad version")
+        @Option(name = "--fault", description = "The fault of the new version in bad-version")
         String fault = "at-once";
 
-        Scenario chosen() {
-            Scenario named = Scenario.named(scenario);
-            return named.bad()
-                    ? named.withFault(VersionFault.named(fault), Deployment.named(deployment))
-                    : named;
+        Scenario selectedScenario() {
+            Scenario selected = Scenario.byName(scenario);
+            return selected.hasBadVersion()
+                    ? selected.withFault(VersionFault.byId(fault), Deployment.byId(deployment))
+                    : selected;
         }
 
         FleetLayout layout() {
-            Deployment whose = Deployment.named(deployment);
-            return new FleetLayout(whose, basePort, Scenario.named(scenario).newVersion());
+            Deployment selected = Deployment.byId(deployment);
+            return new FleetLayout(selected, basePort, Scenario.byName(scenario).newVersion());
         }
     }
 
-    /** Writes the files of an experiment's processes. */
-    @Command(name = "fleet", description = "Writes the files that an experiment's processes read")
+    /** Writes the configuration files of an experiment. */
+    @Command(name = "fleet", description = "Writes the configuration files of an experiment")
     public static final class FleetCommand extends ExperimentOptions {
         @Option(name = "--out", description = "The directory to write to")
         @Required
@@ -108,13 +108,15 @@
         }
     }
 
-    /** Lists what the script has to do to processes. */
-    @Command(name = "steps", description = "Prints: second, action and host id, one step a line")
+    /** Lists the process steps that the script executes. */
+    @Command(
+            name = "steps",
+            description = "Prints one process step per line: seconds, action, host id")
     public static final class StepsCommand extends ExperimentOptions {
         @Override
         public void run() {
             List<FleetLayout.Host> hosts = layout().hosts();
-            for (Step step : Scenario.named(scenario).steps()) {
+            for (Step step : Scenario.byName(scenario).steps()) {
                 if (step instanceof Step.Processes processes) {
                     String host = processes.host() < 0 ? "all" : hosts.get(processes.host()).id();
                     System.out.printf(
@@ -124,25 +126,26 @@
         }
     }
 
-    /** Runs an experiment against a fleet that is already started. */
+    /** Runs an experiment on a started fleet. */
     @Command(name = "run", description = "Sends a scenario's load to a started fleet and reports")
     public static final class RunCommand extends ExperimentOptions {
-        @Option(name = "--seed", description = "The seed of all that is drawn")
+        @Option(name = "--seed", description = "The seed of the random numbers")
         long seed = 1;
 
-        @Option(name = "--report", description = "The file for the report's JSON")
+        @Option(name = "--report", description = "The JSON file to write the report to")
         String report;
 
-        @Option(name = "--results", description = "A file for every request's outcome, JSON lines")
+        @Option(name = "--results", description = "The JSON Lines file to write results to")
         String resultsFile;
 
         @Override
         public void run() {
-            Experiment experiment = new Experiment(layout(), chosen(), seconds, seed, System.out);
+            Experiment experiment =
+                    new Experiment(layout(), selectedScenario(), seconds, seed, System.out);
             try {
                 ObjectNode json = experiment.run();
                 json.put("policy", policy);
-                if (chosen().bad()) {
+                if (selectedScenario().hasBadVersion()) {
                     json.put("fault", fault);
                 }
                 ReportTable.print(json, System.out);
@@ -156,7 +159,7 @@
         }
     }
 
-    /** Prints reports side by side. */
+    /** Prints two reports side by side. */
     @Command(name = "compare", description = "Prints two reports side by side")
     public static final class CompareCommand implements Runnable {
         @Arguments(title = "FILE", description = "Two report files")
@@ -166,7 +169,8 @@
         @Override
         public void run() {
             if (files.size() != 2) {
-                throw new IllegalArgumentException("compare takes two files");
+                throw new IllegalArgumentException(
+                        "compare takes exactly two files, found " + files.size());
             }
             try {
                 ReportTable.compare(
@@ -177,10 +181,10 @@
         }
     }
 
-    /** Draws reports. */
-    @Command(name = "plot", description = "Draws a field by tier of several reports as SVG")
+    /** Draws a bar chart of reports. */
+    @Command(name = "plot", description = "Draws a per-tier field of reports as SVG")
     public static final class PlotCommand implements Runnable {
-        @Option(name = "--field", description = "A field that has a value for each tier")
+        @Option(name = "--field", description = "A report field with a value for each tier")
         String field = "goodput";
 
         @Option(name = "--out", description = "The SVG file")
@@ -205,15 +209,13 @@
         }
     }
 
-    /** Compares ways to queue, place and refuse. */
-    @Command(
-            name = "policies",
-            description = "Compares ways to queue, place and refuse on a model of engines")
+    /** Compares scheduling policies in a simulation. */
+    @Command(name = "policies", description = "Compares scheduling policies on simulated engines")
     public static final class PoliciesCommand implements Runnable {
-        @Option(name = "--seeds", description = "How many seeds each is played with")
+        @Option(name = "--seeds", description = "The number of seeds for each trial")
         int seeds = 5;
 
-        @Option(name = "--out", description = "A file for a chart, SVG")
+        @Option(name = "--out", description = "The SVG file to write a chart to")
         String out;
 
         @Override
@@ -229,8 +231,8 @@
         }
     }
 
-    /** Measures the time that an entry host adds. */
-    @Command(name = "path", description = "Measures the time to the first byte that a host adds")
+    /** Measures the latency that an entry host adds. */
+    @Command(name = "path", description = "Measures the first-byte latency added by a host")
     public static final class PathCommand implements Runnable {
         @Option(name = "--host", description = "The entry host's base URL for callers")
         @Required
@@ -243,27 +245,27 @@
         @Option(name = "--host-pid", description = "The entry host's process id")
         long hostPid;
 
-        @Option(name = "--workspace", description = "Whose bearer key to use")
+        @Option(name = "--workspace", description = "The workspace whose bearer key is sent")
         String workspace = "stewards";
 
         @Option(name = "--route", description = "The route")
         String route = "gangway";
 
-        @Option(name = "--callers", description = "How many send at once")
+        @Option(name = "--callers", description = "The number of concurrent callers")
         int callers = 4;
 
-        @Option(name = "--requests", description = "How many requests are measured each way")
+        @Option(name = "--requests", description = "The number of measured requests for each path")
         int requests = 4_000;
 
-        @Option(name = "--report", description = "The file for the JSON")
+        @Option(name = "--report", description = "The JSON file to write the report to")
         String report;
 
         @Override
         public void run() {
             String key = Deployment.bearerKey(workspace);
             try {
-                PathMeter meter = new PathMeter(host, engine, key, route);
-                JsonNode json = meter.measure(callers, requests, hostPid);
+                LatencyBenchmark benchmark = new LatencyBenchmark(host, engine, key, route);
+                JsonNode json = benchmark.measure(callers, requests, hostPid);
                 ReportTable.print(json, System.out);
                 ReportFiles.write(json, report);
             } catch (IOException e) {
--- a/src/main/java/org/orioleshed/load/PlannedRequest.java
+++ b/src/main/java/org/orioleshed/load/PlannedRequest.java
@@ -1,15 +1,15 @@
 package org.orioleshed.load;
 
 /**
- * A request of the plan.
+ * A planned request.
  *
- * @param index its place in the order of arrival
- * @param atMillis when it arrives, in milliseconds after the start
- * @param traffic its kind
- * @param workspace its workspace
- * @param promptTokens the length of its own part of the prompt, in tokens
- * @param answerTokens the length of its answer, in tokens
- * @param tag the word in its content that stand-ins know it by; also its idempotency key
+ * @param index the position in the order of arrival
+ * @param atMillis the arrival time, in milliseconds after the start
+ * @param traffic the kind of request
+ * @param workspace the sending workspace
+ * @param promptTokens the length of the part of the prompt that is not shared, in tokens
+ * @param answerTokens the length of the expected answer, in tokens
+ * @param tag the identifier in the content that stand-ins record; also the idempotency key
  */
 record PlannedRequest(
         int index,
--- a/src/main/java/org/orioleshed/load/Plot.java
+++ b/src/main/java/org/orioleshed/load/Plot.java
@@ -15,13 +15,14 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Draws a field of several reports by tier, one group of bars for each report, as SVG. */
+/** Draws bar charts of reports as SVG. */
 final class Plot {
     private static final int WIDTH = 800;
     private static final int HEIGHT = 450;
 
     private Plot() {}
 
+    /** Draws the values of a per-tier field, with one series for each report. */
     static void write(List<JsonNode> reports, String field, Path file) throws IOException {
         CategoryChart chart =
                 new CategoryChartBuilder()
@@ -47,13 +48,16 @@
         }
     }
 
-    /** Returns the field's values by tier, for each report under its name. */
+    /**
+     * Returns the field's values in the order of {@link Report#TIERS}, by the name of the report.
+     */
     static Map<String, List<Double>> values(List<JsonNode> reports, String field) {
         Map<String, List<Double>> values = new LinkedHashMap<>();
         for (JsonNode report : reports) {
             JsonNode byTier = report.path(field);
             if (!byTier.isObject()) {
-                throw new IllegalArgumentException("no field by tier is named " + field);
+                throw new IllegalArgumentException(
+                        "report field " + field + " has no values by tier");
             }
             List<Double> row =
                     Report.TIERS.stream().map(tier -> byTier.path(tier).asDouble()).toList();
--- a/src/main/java/org/orioleshed/load/Reply.java
+++ b/src/main/java/org/orioleshed/load/Reply.java
@@ -1,31 +1,32 @@
 package org.orioleshed.load;
 
-/** What came back for one send of a request. */
+/** The reply to one send of a request. */
 sealed interface Reply {
-    /** The whole answer came. */
-    record Whole(boolean right) implements Reply {}
+    /** A complete answer; {@code correct} if it has the expected content. */
+    record Complete(boolean correct) implements Reply {}
 
     /**
-     * An error with its code.
+     * An error reply with a code.
      *
-     * @param ran {@code not_run}, {@code in_doubt} or {@code failed}
-     * @param retryAfterMillis when to send again, in milliseconds; negative when that is useless
+     * @param executionStatus {@code not_run}, {@code in_doubt} or {@code failed}
+     * @param retryAfterMillis the delay before a retry, in milliseconds; negative for no retry
      */
-    record Refusal(String code, String ran, long retryAfterMillis) implements Reply {}
+    record ErrorReply(String code, String executionStatus, long retryAfterMillis)
+            implements Reply {}
 
-    /** The connection broke, or what came made no sense. */
+    /** The connection broke, or the response is malformed. */
     record Broken(String detail) implements Reply {}
 
-    /** Nothing more came until long after the deadline. */
-    record Silence() implements Reply {}
+    /** No complete reply until the grace period after the deadline ended. */
+    record TimedOut() implements Reply {}
 
-    /** Returns a short word for logs and the record of sends. */
-    default String word() {
+    /** Returns the label of the reply in the results. */
+    default String label() {
         return switch (this) {
-            case Whole whole -> "answered";
-            case Refusal refusal -> refusal.ran();
+            case Complete complete -> "answered";
+            case ErrorReply error -> error.executionStatus();
             case Broken broken -> "broken";
-            case Silence silence -> "silence";
+            case TimedOut timedOut -> "silence";
         };
     }
 }
--- a/src/main/java/org/orioleshed/load/Report.java
+++ b/src/main/java/org/orioleshed/load/Report.java
@@ -11,28 +11,26 @@
 import org.orioleshed.load.Result.End;
 import org.orioleshed.standin.RunRecord;
 
-/**
- * Counts the results of an experiment from outside: what callers saw against what stand-ins ran.
- */
+/** Aggregates the results of an experiment: replies to callers compared with runs on stand-ins. */
 final class Report {
-    /** The tiers, the most urgent first. */
+    /** The tiers, most urgent first. */
     static final List<String> TIERS = List.of("urgent", "standard", "patient");
 
-    /** Refusals that say nothing about the room on engines. */
-    private static final Set<String> NOT_SHED =
+    /** Error codes of refusals that are not caused by a lack of capacity on engines. */
+    private static final Set<String> NOT_SHED_CODES =
             Set.of("workspace_limit", "store_away", "draining", "poison", "host_lost");
 
-    private static final long SHED_LAG_MILLIS = 200;
+    private static final long SHED_OVERLAP_MILLIS = 200;
     private static final double PERCENTILE = 95;
     private static final int MAX_VIOLATIONS = 20;
 
     private final List<Result> results;
-    private final Ledger ledger;
-    private final Timings firstTokens = new Timings();
+    private final RunLog runLog;
+    private final LatencyHistograms firstTokens = new LatencyHistograms();
 
-    Report(List<Result> results, Ledger ledger) {
+    Report(List<Result> results, RunLog runLog) {
         this.results = List.copyOf(results);
-        this.ledger = ledger;
+        this.runLog = runLog;
         for (Result result : results) {
             if (result.firstTokenMillis() >= 0 && isText(result)) {
                 long nanos = result.firstTokenMillis() * 1_000_000;
@@ -41,8 +39,8 @@
         }
     }
 
-    /** Returns the report's JSON, without the fields that only the experiment knows. */
-    ObjectNode json(Timings gaps) {
+    /** Returns the report as JSON, without the fields that {@link Experiment} adds. */
+    ObjectNode json(LatencyHistograms tokenGaps) {
         ObjectNode json = Json.MAPPER.createObjectNode();
         json.put("requests", results.size());
         json.put("answered", count(End.ANSWERED));
@@ -50,43 +48,46 @@
         json.put("notRun", count(End.NOT_RUN));
         json.put("inDoubt", count(End.IN_DOUBT));
         json.put("lost", count(End.LOST));
-        json.put("doubleRuns", results.stream().filter(r -> ledger.ranTwice(r.request())).count());
-        json.put("falseNotRun", results.stream().filter(ledger::falselyNotRun).count());
+        json.put("doubleRuns", results.stream().filter(r -> runLog.ranTwice(r.request())).count());
+        json.put("falseNotRun", results.stream().filter(runLog::isFalseNotRun).count());
         json.put("wrongAnswers", results.stream().filter(r -> !r.right()).count());
         Set<Result> shed = shedWhileLowerRan();
         json.put("shedWhileLowerRan", shed.size());
         json.set("goodput", byTier(this::goodput));
-        json.put("goodputAll", share(results));
-        json.set("goodputModel", byTier(tier -> share(of(tier).filter(Report::isText).toList())));
-        long useful = results.stream().mapToLong(ledger::usefulPrefill).sum();
-        long all = results.stream().mapToLong(r -> ledger.allPrefill(r.request())).sum();
-        json.put("usefulPrefillTokens", useful);
-        json.put("wastedPrefillTokens", all - useful);
+        json.put("goodputAll", inTimeShare(results));
+        json.set(
+                "goodputModel",
+                byTier(tier -> inTimeShare(resultsOf(tier).filter(Report::isText).toList())));
+        long usefulTokens = results.stream().mapToLong(runLog::usefulPrefillTokens).sum();
+        long totalTokens =
+                results.stream().mapToLong(r -> runLog.totalPrefillTokens(r.request())).sum();
+        json.put("usefulPrefillTokens", usefulTokens);
+        json.put("wastedPrefillTokens", totalTokens - usefulTokens);
         json.set("firstTokenMillisP95", byTier(tier -> firstTokens.millis(tier, PERCENTILE)));
-        json.set("tokenGapMillisP95", byTier(tier -> gaps.millis(tier, PERCENTILE)));
+        json.set("tokenGapMillisP95", byTier(tier -> tokenGaps.millis(tier, PERCENTILE)));
         json.set("refusals", refusals());
         json.set("violations", violations(shed));
         return json;
     }
 
     private double goodput(String tier) {
-        return share(of(tier).toList());
+        return inTimeShare(resultsOf(tier).toList());
     }
 
-    private static double share(List<Result> of) {
-        if (of.isEmpty()) {
+    private static double inTimeShare(List<Result> results) {
+        if (results.isEmpty()) {
             return 1;
         }
-        double good = of.stream().filter(Result::inTime).count();
-        return Math.round(good / of.size() * 1e4) / 1e4;
+        double inTime = results.stream().filter(Result::inTime).count();
+        return Math.round(inTime / results.size() * 1e4) / 1e4;
     }
 
-    private java.util.stream.Stream<Result> of(String tier) {
+    private java.util.stream.Stream<Result> resultsOf(String tier) {
         return results.stream().filter(r -> r.request().traffic().tier().equals(tier));
     }
 
     private static boolean isText(Result result) {
-        return result.request().traffic().ask() instanceof Traffic.Ask.Text;
+        return result.request().traffic().payload() instanceof Traffic.Payload.Text;
     }
 
     private long count(End end) {
@@ -111,32 +112,32 @@
         return Json.MAPPER.valueToTree(new java.util.TreeMap<>(counts));
     }
 
-    /** Names the requests that broke a promise, with the runs that show it. */
+    /** Lists the requests that violate a guarantee, with their runs and sends. */
     private ArrayNode violations(Set<Result> shed) {
         ArrayNode list = Json.MAPPER.createArrayNode();
         for (Result result : results) {
-            String broken = broken(result, shed);
-            if (list.size() < MAX_VIOLATIONS && !broken.isEmpty()) {
+            String violation = violation(result, shed);
+            if (list.size() < MAX_VIOLATIONS && !violation.isEmpty()) {
                 list.add(
                         String.format(
                                 "%s %s: %s, runs %s, sends %s",
                                 result.request().traffic().tier(),
                                 result.request().tag(),
-                                broken,
-                                ledger.runs(result.request()),
+                                violation,
+                                runLog.runs(result.request()),
                                 result.sends()));
             }
         }
         return list;
     }
 
-    /** Returns which promise a result broke; empty when none. */
-    private String broken(Result result, Set<Result> shed) {
-        if (ledger.ranTwice(result.request())) {
+    /** Returns the guarantee that a result violates; empty for none. */
+    private String violation(Result result, Set<Result> shed) {
+        if (runLog.ranTwice(result.request())) {
             return "ran twice";
         }
-        if (ledger.falselyNotRun(result)) {
-            return "not run was untrue";
+        if (runLog.isFalseNotRun(result)) {
+            return "reported not run although it ran";
         }
         if (!result.right()) {
             return "wrong answer";
@@ -144,33 +145,36 @@
         return shed.contains(result) ? "shed while a lower tier ran" : "";
     }
 
-    /** Returns the requests that were refused while work of a lower tier ran. */
+    /** Returns the requests that were refused while a request of a lower tier ran. */
     private Set<Result> shedWhileLowerRan() {
         Set<Result> shed = new HashSet<>();
         for (int rank = 0; rank < TIERS.size() - 1; rank++) {
             List<String> lower = TIERS.subList(rank + 1, TIERS.size());
             List<RunRecord> lowerRuns =
                     lower.stream()
-                            .flatMap(this::of)
+                            .flatMap(this::resultsOf)
                             .filter(Report::isText)
-                            .flatMap(result -> ledger.runs(result.request()).stream())
+                            .flatMap(result -> runLog.runs(result.request()).stream())
                             .toList();
-            of(TIERS.get(rank))
+            resultsOf(TIERS.get(rank))
                     .filter(Report::isText)
-                    .filter(result -> shedWhile(lowerRuns, result))
+                    .filter(result -> isShedWhile(lowerRuns, result))
                     .forEach(shed::add);
         }
         return shed;
     }
 
-    private static boolean shedWhile(List<RunRecord> lowerRuns, Result result) {
+    private static boolean isShedWhile(List<RunRecord> lowerRuns, Result result) {
         return result.sends().stream()
-                .filter(send -> send.word().equals("not_run") && !NOT_SHED.contains(send.code()))
+                .filter(
+                        send ->
+                                send.word().equals("not_run")
+                                        && !NOT_SHED_CODES.contains(send.code()))
                 .anyMatch(
                         send ->
-                                Ledger.ranThrough(
+                                RunLog.ranThroughout(
                                         lowerRuns,
-                                        send.endMillis() - SHED_LAG_MILLIS,
+                                        send.endMillis() - SHED_OVERLAP_MILLIS,
                                         send.endMillis()));
     }
 }
--- a/src/main/java/org/orioleshed/load/ReportFiles.java
+++ b/src/main/java/org/orioleshed/load/ReportFiles.java
@@ -11,14 +11,14 @@
 final class ReportFiles {
     private ReportFiles() {}
 
-    /** Writes a report; does nothing when {@code file} is null. */
+    /** Writes a report as JSON; does nothing if {@code file} is null. */
     static void write(JsonNode report, String file) throws IOException {
         if (file != null) {
             Json.MAPPER.writerWithDefaultPrettyPrinter().writeValue(Path.of(file).toFile(), report);
         }
     }
 
-    /** Writes a line of JSON for each request; does nothing when {@code file} is null. */
+    /** Writes the results as JSON Lines; does nothing if {@code file} is null. */
     static void writeLines(List<Result> results, String file) throws IOException {
         if (file == null) {
             return;
--- a/src/main/java/org/orioleshed/load/ReportTable.java
+++ b/src/main/java/org/orioleshed/load/ReportTable.java
@@ -12,13 +12,13 @@
 
     /** Prints one report. */
     static void print(JsonNode report, PrintStream out) {
-        rows("", report).forEach((name, value) -> out.printf("%-44s %s%n", name, value));
+        flatten("", report).forEach((name, value) -> out.printf("%-44s %s%n", name, value));
     }
 
     /** Prints two reports side by side. */
     static void compare(JsonNode left, JsonNode right, PrintStream out) {
-        Map<String, String> leftRows = rows("", left);
-        Map<String, String> rightRows = rows("", right);
+        Map<String, String> leftRows = flatten("", left);
+        Map<String, String> rightRows = flatten("", right);
         List<String> names = new ArrayList<>(leftRows.keySet());
         rightRows.keySet().stream().filter(n -> !leftRows.containsKey(n)).forEach(names::add);
         for (String name : names) {
@@ -28,12 +28,12 @@
         }
     }
 
-    private static Map<String, String> rows(String prefix, JsonNode node) {
+    private static Map<String, String> flatten(String prefix, JsonNode node) {
         Map<String, String> rows = new java.util.LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> field : node.properties()) {
             String name = prefix + field.getKey();
             if (field.getValue().isObject()) {
-                rows.putAll(rows(name + ".", field.getValue()));
+                rows.putAll(flatten(name + ".", field.getValue()));
             } else if (field.getValue().isArray()) {
                 rows.put(name, String.valueOf(field.getValue().size()));
             } else {
--- a/src/main/java/org/orioleshed/load/SendOnce.java
+++ b/src/main/java/org/orioleshed/load/RequestSender.java
@@ -13,56 +13,57 @@
 import java.nio.charset.StandardCharsets;
 import org.orioleshed.load.FleetLayout.Host;
 
-/** One send of a request to an entry host, read to its end on the calling thread. */
-final class SendOnce {
-    private static final String DATA = "data: ";
+/** Sends a request to an entry host and reads the response on the calling thread. */
+final class RequestSender {
+    private static final String DATA_PREFIX = "data: ";
     private static final String DONE = "[DONE]";
 
     private final Http http;
     private final PlannedRequest request;
-    private final Timings gaps;
+    private final LatencyHistograms tokenGaps;
     private long firstByteNanos;
     private long lastTokenNanos;
 
-    SendOnce(Http http, PlannedRequest request, Timings gaps) {
+    RequestSender(Http http, PlannedRequest request, LatencyHistograms tokenGaps) {
         this.http = http;
         this.request = request;
-        this.gaps = gaps;
+        this.tokenGaps = tokenGaps;
     }
 
     /**
-     * Returns when the first byte of an answer came, in {@link System#nanoTime}; zero for never.
+     * Returns the time of the first byte of an answer, as {@link System#nanoTime}; zero if there
+     * was none.
      */
     long firstByteNanos() {
         return firstByteNanos;
     }
 
     /**
-     * Sends the request.
+     * Sends the request and reads the reply.
      *
-     * @throws java.net.ConnectException if the host cannot be reached: nothing was sent
-     * @throws InterruptedException if the thread was interrupted; the connection is then closed
+     * @throws java.net.ConnectException if the connection failed, so that nothing was sent
+     * @throws InterruptedException if the thread was interrupted; the connection is closed
      */
     Reply send(Host host, long remainingMillis) throws IOException, InterruptedException {
         HttpResponse<InputStream> response =
-                http.client.send(message(host, remainingMillis), BodyHandlers.ofInputStream());
+                http.client.send(httpRequest(host, remainingMillis), BodyHandlers.ofInputStream());
         try (InputStream body = response.body()) {
             if (response.statusCode() != 200) {
-                return refusal(Json.MAPPER.readTree(body).path("error"));
+                return errorReply(Json.MAPPER.readTree(body).path("error"));
             }
-            return request.traffic().ask() instanceof Traffic.Ask.Text
+            return request.traffic().payload() instanceof Traffic.Payload.Text
                     ? readStream(body)
                     : readCall(body);
         } catch (JsonProcessingException e) {
-            return new Reply.Broken("not JSON: " + e.getOriginalMessage());
+            return new Reply.Broken("malformed JSON: " + e.getOriginalMessage());
         }
     }
 
-    private HttpRequest message(Host host, long remainingMillis) {
+    private HttpRequest httpRequest(Host host, long remainingMillis) {
         String path =
-                switch (request.traffic().ask()) {
-                    case Traffic.Ask.Text text -> "/v1/chat/completions";
-                    case Traffic.Ask.Call call ->
+                switch (request.traffic().payload()) {
+                    case Traffic.Payload.Text text -> "/v1/chat/completions";
+                    case Traffic.Payload.Call call ->
                             "/v1/services/" + request.traffic().route() + "/" + call.call();
                 };
         return HttpRequest.newBuilder(URI.create(host.callerUrl() + path))
@@ -75,57 +76,59 @@
                 .build();
     }
 
-    private static Reply refusal(JsonNode error) {
+    private static Reply errorReply(JsonNode error) {
         if (!error.path("ran").isTextual()) {
-            return new Reply.Broken("an error without the word whether it ran");
+            return new Reply.Broken("error reply has no field ran");
         }
-        return new Reply.Refusal(
+        return new Reply.ErrorReply(
                 error.path("code").asText(),
                 error.path("ran").asText(),
                 error.path("retryAfterMillis").asLong(-1));
     }
 
     private Reply readCall(InputStream body) throws IOException {
-        JsonNode answer = Json.MAPPER.readTree(body);
+        JsonNode response = Json.MAPPER.readTree(body);
         firstByteNanos = System.nanoTime();
-        return new Reply.Whole(answer.path("tag").asText().equals(request.tag()));
+        return new Reply.Complete(response.path("tag").asText().equals(request.tag()));
     }
 
     private Reply readStream(InputStream body) throws IOException {
         StringBuilder text = new StringBuilder();
-        boolean error = false;
+        boolean errorEvent = false;
         var reader = new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8));
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
             if (line.startsWith("event: error")) {
-                error = true;
+                errorEvent = true;
             }
-            if (!line.startsWith(DATA)) {
+            if (!line.startsWith(DATA_PREFIX)) {
                 continue;
             }
-            String data = line.substring(DATA.length());
+            String data = line.substring(DATA_PREFIX.length());
             if (data.equals(DONE)) {
-                return new Reply.Whole(text.toString().equals(RequestBody.answer(request)));
+                return new Reply.Complete(
+                        text.toString().equals(RequestBody.expectedAnswer(request)));
             }
             JsonNode chunk = Json.MAPPER.readTree(data);
-            if (error || chunk.has("error")) {
-                return refusal(chunk.path("error"));
+            if (errorEvent || chunk.has("error")) {
+                return errorReply(chunk.path("error"));
             }
-            take(chunk.path("choices").path(0).path("delta").path("content").asText(""), text);
+            appendToken(
+                    chunk.path("choices").path(0).path("delta").path("content").asText(""), text);
         }
-        return new Reply.Broken("the stream ended early");
+        return new Reply.Broken("stream ended without [DONE]");
     }
 
-    private void take(String content, StringBuilder text) {
+    private void appendToken(String content, StringBuilder text) {
         if (content.isEmpty()) {
             return;
         }
         text.append(content);
-        long now = System.nanoTime();
+        long nowNanos = System.nanoTime();
         if (firstByteNanos == 0) {
-            firstByteNanos = now;
+            firstByteNanos = nowNanos;
         } else {
-            gaps.record(request.traffic().tier(), now - lastTokenNanos);
+            tokenGaps.record(request.traffic().tier(), nowNanos - lastTokenNanos);
         }
-        lastTokenNanos = now;
+        lastTokenNanos = nowNanos;
     }
 }
--- a/src/main/java/org/orioleshed/load/Result.java
+++ b/src/main/java/org/orioleshed/load/Result.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What became of a request.
+ * The result of a planned request.
  *
  * @param request the request
  * @param end the final outcome
- * @param inTime whether the whole answer came before the deadline
- * @param right whether no wrong answer came; true when none came
+ * @param inTime whether a complete, correct answer was received before the deadline
+ * @param right whether no incorrect answer was received
  * @param firstTokenMillis the time from arrival to the first byte of the answer, in milliseconds;
- *     negative when none came
- * @param sends each time that the request was sent, in order
+ *     negative if there was none
+ * @param sends all sends of the request, in order
  */
 record Result(
         PlannedRequest request,
@@ -30,13 +30,13 @@
     }
 
     /**
-     * One send.
+     * One send of a request.
      *
-     * @param host the entry host
-     * @param startMillis when it was sent, in milliseconds since the epoch
-     * @param endMillis when its reply was known
-     * @param word the reply, as {@link Reply#word}
-     * @param code the error code; empty when there is none
+     * @param host the id of the entry host
+     * @param startMillis the time of the send, in milliseconds since the epoch
+     * @param endMillis the time of the reply, in milliseconds since the epoch
+     * @param word the label of the reply, as {@link Reply#label}
+     * @param code the error code, or the detail of a broken reply; empty otherwise
      */
     record Send(String host, long startMillis, long endMillis, String word, String code) {}
 
--- a/src/main/java/org/orioleshed/load/Scenario.java
+++ b/src/main/java/org/orioleshed/load/Scenario.java
@@ -6,13 +6,13 @@
 import java.util.stream.IntStream;
 
 /**
- * An experiment: how much load, and what goes wrong when.
+ * A scenario of an experiment: the load and the steps that inject faults or make changes.
  *
- * @param name its name on the command line
- * @param summary one line for the list
- * @param load for each tier, the rate as a share of the deployment's full load
- * @param newVersion whether engines of a new version stand beside the old ones
- * @param steps what happens
+ * @param name the name on the command line
+ * @param summary a one-line description
+ * @param load the rate of each tier as a factor of the deployment's full load
+ * @param newVersion whether engines of a new version are added
+ * @param steps the steps of the scenario
  */
 record Scenario(
         String name,
@@ -22,9 +22,9 @@
         List<Step> steps) {
     private static final Map<String, Double> STEADY = load(0.6, 0.6, 0.6);
     private static final Map<String, Double> BUSY = load(0.8, 0.8, 0.8);
-    private static final int SUVA_B_HOST = 1;
-    private static final double COMPLETE_BY = 0.9;
-    private static final double LATER = 0.4;
+    private static final int KILLED_HOST = 1;
+    private static final double COMPLETE_BY_SHARE = 0.9;
+    private static final double LATER_SHARE = 0.4;
 
     private static final List<Scenario> ALL =
             List.of(
@@ -37,7 +37,7 @@
                             List.of()),
                     new Scenario(
                             "slow-engine",
-                            "two engines fall to a fifth of their speed, reports come late",
+                            "two engines slow down to a fifth of their speed and report late",
                             load(0.8, 0.8, 0.8),
                             false,
                             List.of(
@@ -51,8 +51,8 @@
                             STEADY,
                             false,
                             List.of(
-                                    new Step.Processes(0.4, "kill", SUVA_B_HOST),
-                                    new Step.Processes(0.7, "start", SUVA_B_HOST))),
+                                    new Step.Processes(0.4, "kill", KILLED_HOST),
+                                    new Step.Processes(0.7, "start", KILLED_HOST))),
                     new Scenario(
                             "rolling-restart",
                             "every entry host is asked to stop and started again in turn",
@@ -75,49 +75,54 @@
                             List.of(new Step.Operators(0.1, 0.9, 4))),
                     new Scenario(
                             "good-version",
-                            "a move to a good new version",
+                            "a rollout of a good new version",
                             BUSY,
                             true,
-                            List.of(new Step.Rollout(0, COMPLETE_BY))),
+                            List.of(new Step.Rollout(0, COMPLETE_BY_SHARE))),
                     new Scenario(
                             "bad-version",
-                            "a move to a bad new version, with --fault KIND",
+                            "a rollout of a bad new version, with --fault KIND",
                             BUSY,
                             true,
-                            List.of(new Step.Rollout(0, COMPLETE_BY))));
+                            List.of(new Step.Rollout(0, COMPLETE_BY_SHARE))));
 
     static List<Scenario> all() {
         return ALL;
     }
 
-    static Scenario named(String name) {
+    static Scenario byName(String name) {
         return ALL.stream()
                 .filter(scenario -> scenario.name().equals(name))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no scenario is named " + name));
+                .orElseThrow(
+                        () ->
+                                new IllegalArgumentException(
+                                        "unknown scenario "
+                                                + name
+                                                + "; the command scenarios lists them"));
     }
 
-    /** Returns the mix of a deployment at this scenario's load. */
+    /** Returns the mix of a deployment with the rates of this scenario. */
     List<Traffic> mix(Deployment deployment) {
         return deployment.mix().stream()
                 .map(traffic -> traffic.withRate(load.get(traffic.tier())))
                 .toList();
     }
 
-    /** Returns this scenario with the faults of the new version added. */
+    /** Returns a copy of this scenario that starts with a fault of the new version's engines. */
     Scenario withFault(VersionFault fault, Deployment deployment) {
-        double at = fault == VersionFault.LATER ? LATER : 0;
+        double at = fault == VersionFault.LATER ? LATER_SHARE : 0;
         List<Step> all = new ArrayList<>(steps);
         all.addFirst(new Step.EngineFaults(at, newEngines(deployment), fault.faults));
         return new Scenario(name, summary + ": " + fault.id(), load, newVersion, all);
     }
 
-    /** Returns whether a move to a bad version is part of it. */
-    boolean bad() {
+    /** Returns whether the scenario rolls out a bad version. */
+    boolean hasBadVersion() {
         return name.equals("bad-version");
     }
 
-    /** Returns the numbers of a deployment's engines of the new version. */
+    /** Returns the indexes of the engines of the new version. */
     private static List<Integer> newEngines(Deployment deployment) {
         return IntStream.range(deployment.engines(), 2 * deployment.engines()).boxed().toList();
     }
--- a/src/main/java/org/orioleshed/load/SettingsTrial.java
+++ b/src/main/java/org/orioleshed/load/SettingsTrial.java
@@ -11,22 +11,22 @@
 import org.orioleshed.load.FleetLayout.Host;
 
 /**
- * Racing operators who change settings at several hosts, and an observer who asks every host which
- * revision it has in force.
+ * Changes settings concurrently through several hosts and polls the revision in force on each host,
+ * to measure conflicts, reverted revisions and the propagation delay.
  */
 final class SettingsTrial {
-    private static final long POLL_MILLIS = 50;
-    private static final long PAUSE_MILLIS = 400;
-    private static final long LAST_CHANGE_MILLIS = 5_000;
+    private static final long POLL_INTERVAL_MILLIS = 50;
+    private static final long CHANGE_INTERVAL_MILLIS = 400;
+    private static final long OBSERVE_AFTER_END_MILLIS = 5_000;
     private static final int MAX_WAITING = 400;
-    private static final int ACCEPTED = 200;
-    private static final int CONFLICT = 409;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_CONFLICT = 409;
 
     private final AdminClient admin;
     private final FleetLayout layout;
-    private final Map<Long, Long> acceptedMillis = new ConcurrentHashMap<>();
-    private final Map<String, Long> revisions = new ConcurrentHashMap<>();
-    private final AtomicLong slowestMillis = new AtomicLong();
+    private final Map<Long, Long> acceptedMillisByRevision = new ConcurrentHashMap<>();
+    private final Map<String, Long> revisionByHost = new ConcurrentHashMap<>();
+    private final AtomicLong maxPropagationMillis = new AtomicLong();
     private final AtomicInteger reverted = new AtomicInteger();
     private final AtomicInteger conflicts = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
@@ -37,41 +37,52 @@
         this.layout = layout;
     }
 
-    /** Lets operators change settings until {@code endMillis} (epoch) and observes a while more. */
+    /**
+     * Runs concurrent operators, and polls the hosts for a further {@link
+     * #OBSERVE_AFTER_END_MILLIS}.
+     *
+     * @param operators the number of operators
+     * @param endMillis the time until which settings are changed, in milliseconds since the epoch
+     */
     void run(int operators, long endMillis) throws InterruptedException {
         for (int i = 0; i < operators; i++) {
-            int number = i;
-            Thread.ofVirtual().start(() -> operate(number, endMillis));
+            int operator = i;
+            Thread.ofVirtual().start(() -> runOperator(operator, endMillis));
         }
-        while (System.currentTimeMillis() < endMillis + LAST_CHANGE_MILLIS) {
+        while (System.currentTimeMillis() < endMillis + OBSERVE_AFTER_END_MILLIS) {
             layout.hosts().parallelStream().forEach(this::observe);
-            settle();
-            Thread.sleep(POLL_MILLIS);
+            recordPropagated();
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        long now = System.currentTimeMillis();
-        acceptedMillis.values().forEach(at -> slowestMillis.accumulateAndGet(now - at, Math::max));
+        long nowMillis = System.currentTimeMillis();
+        acceptedMillisByRevision
+                .values()
+                .forEach(
+                        acceptedAtMillis ->
+                                maxPropagationMillis.accumulateAndGet(
+                                        nowMillis - acceptedAtMillis, Math::max));
     }
 
-    /** Adds what was seen to a report. */
+    /** Adds the observations to a report. */
     void report(ObjectNode json) {
-        json.put("settingsMillisP100", slowestMillis.get());
+        json.put("settingsMillisP100", maxPropagationMillis.get());
         json.put("settingsReverted", reverted.get());
         json.put("settingsAccepted", accepted.get());
         json.put("settingsConflicts", conflicts.get());
         json.put("settingsRefused", refused.get());
     }
 
-    private void operate(int number, long endMillis) {
+    private void runOperator(int operator, long endMillis) {
         List<Host> hosts = layout.hosts();
         String branch = layout.deployment().id();
         List<String> workspaces = layout.deployment().workspaces();
-        for (int turn = 0; System.currentTimeMillis() < endMillis; turn++) {
-            String workspace = workspaces.get((number + turn) % workspaces.size());
+        for (int round = 0; System.currentTimeMillis() < endMillis; round++) {
+            String workspace = workspaces.get((operator + round) % workspaces.size());
             String path = "workspaces.branches." + branch + ".items." + workspace + ".maxWaiting";
-            Host host = hosts.get((number * 3 + turn) % hosts.size());
+            Host host = hosts.get((operator * 3 + round) % hosts.size());
             try {
-                change(host, path, MAX_WAITING + turn);
-                Thread.sleep(PAUSE_MILLIS);
+                change(host, path, MAX_WAITING + round);
+                Thread.sleep(CHANGE_INTERVAL_MILLIS);
             } catch (IOException e) {
                 refused.incrementAndGet();
             } catch (InterruptedException e) {
@@ -83,14 +94,15 @@
 
     private void change(Host host, String path, int value)
             throws IOException, InterruptedException {
-        AdminClient.Answer answer = admin.set(host, path, IntNode.valueOf(value), "an experiment");
-        switch (answer.status()) {
-            case ACCEPTED -> {
+        AdminClient.Response response =
+                admin.set(host, path, IntNode.valueOf(value), "an experiment");
+        switch (response.status()) {
+            case HTTP_OK -> {
                 accepted.incrementAndGet();
-                long revision = answer.body().path("revision").asLong();
-                acceptedMillis.put(revision, System.currentTimeMillis());
+                long revision = response.body().path("revision").asLong();
+                acceptedMillisByRevision.put(revision, System.currentTimeMillis());
             }
-            case CONFLICT -> conflicts.incrementAndGet();
+            case HTTP_CONFLICT -> conflicts.incrementAndGet();
             default -> refused.incrementAndGet();
         }
     }
@@ -98,29 +110,31 @@
     private void observe(Host host) {
         try {
             long revision = admin.revision(host);
-            Long before = revisions.put(host.id(), revision);
-            if (before != null && revision < before) {
+            Long previous = revisionByHost.put(host.id(), revision);
+            if (previous != null && revision < previous) {
                 reverted.incrementAndGet();
             }
         } catch (IOException e) {
-            revisions.putIfAbsent(host.id(), 0L);
+            revisionByHost.putIfAbsent(host.id(), 0L);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Notes the changes that are in force on every host by now. */
-    private void settle() {
-        if (revisions.size() < layout.hosts().size()) {
+    /** Records the delay of the changes that are in force on every host. */
+    private void recordPropagated() {
+        if (revisionByHost.size() < layout.hosts().size()) {
             return;
         }
-        long everywhere = revisions.values().stream().mapToLong(Long::longValue).min().orElse(0);
-        long now = System.currentTimeMillis();
-        acceptedMillis.forEach(
-                (revision, at) -> {
-                    if (revision <= everywhere) {
-                        slowestMillis.accumulateAndGet(now - at, Math::max);
-                        acceptedMillis.remove(revision);
+        long commonRevision =
+                revisionByHost.values().stream().mapToLong(Long::longValue).min().orElse(0);
+        long nowMillis = System.currentTimeMillis();
+        acceptedMillisByRevision.forEach(
+                (revision, acceptedAtMillis) -> {
+                    if (revision <= commonRevision) {
+                        maxPropagationMillis.accumulateAndGet(
+                                nowMillis - acceptedAtMillis, Math::max);
+                        acceptedMillisByRevision.remove(revision);
                     }
                 });
     }
--- a/src/main/java/org/orioleshed/load/Sizes.java
+++ b/src/main/java/org/orioleshed/load/Sizes.java
@@ -3,12 +3,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A heavy-tailed distribution of lengths: log-normal, cut off at both ends.
+ * A log-normal distribution of lengths, clamped to a range.
  *
  * @param median the median, in tokens
  * @param sigma the standard deviation of the logarithm
- * @param min the least length, in tokens
- * @param max the greatest length, in tokens
+ * @param min the minimum length, in tokens
+ * @param max the maximum length, in tokens
  */
 record Sizes(int median, double sigma, int min, int max) {
     int draw(RandomGenerator random) {
--- a/src/main/java/org/orioleshed/load/Step.java
+++ b/src/main/java/org/orioleshed/load/Step.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** What an experiment does at a moment, given as a share of its length, from 0 to 1. */
+/** A step of a scenario, with its start as a share of the experiment's duration from 0 to 1. */
 sealed interface Step {
-    /** Returns the moment. */
+    /** Returns the start as a share of the duration. */
     double at();
 
     /**
      * Sets the faults of engines.
      *
-     * @param engines the engines' places in the layout
-     * @param faults the JSON for the stand-ins; {@code {}} for none
+     * @param engines the indexes of the engines in the layout
+     * @param faults the faults as JSON of the stand-ins; {@code {}} for none
      */
     record EngineFaults(double at, List<Integer> engines, String faults) implements Step {
         /** Copies the list. */
@@ -24,25 +24,25 @@
     record StoreFaults(double at, String faults) implements Step {}
 
     /**
-     * Something that the script does to processes of entry hosts.
+     * An action on the processes of entry hosts, executed by the script.
      *
-     * @param action {@code kill}, {@code start} or {@code restart}: ask to stop, wait, start again
-     * @param host the host's place in the layout; negative for all, one after another
+     * @param action {@code kill}, {@code start} or {@code restart} (stop gracefully, wait, start)
+     * @param host the index of the host in the layout; negative for all hosts in turn
      */
     record Processes(double at, String action, int host) implements Step {}
 
     /**
-     * Operators change settings.
+     * Concurrent changes of settings by operators.
      *
-     * @param until when they stop, as a share of the length
-     * @param operators how many there are
+     * @param until the end as a share of the duration
+     * @param operators the number of operators
      */
     record Operators(double at, double until, int operators) implements Step {}
 
     /**
-     * A move to the new version is planned.
+     * A rollout of the new version.
      *
-     * @param completeBy when it must be completed, as a share of the length
+     * @param completeBy the time by which it must be completed, as a share of the duration
      */
     record Rollout(double at, double completeBy) implements Step {}
 }
--- a/src/main/java/org/orioleshed/load/Steps.java
+++ b/src/main/java/org/orioleshed/load/StepRunner.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import org.orioleshed.load.FleetLayout.Server;
 
-/** Takes the steps of a scenario, each at its time. */
-final class Steps {
+/** Executes the steps of a scenario at their times. */
+final class StepRunner {
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final long LOOK_AFTER_END_MILLIS = 5_000;
+    private static final long OBSERVE_AFTER_END_MILLIS = 5_000;
 
     private final Http http;
     private final FleetLayout layout;
@@ -20,12 +20,12 @@
     private final double seconds;
     private final PrintStream out;
     private final AdminClient admin;
-    private final List<Thread> running = new CopyOnWriteArrayList<>();
-    private final List<SettingsTrial> settings = new CopyOnWriteArrayList<>();
-    private final List<RolloutTrial> rollouts = new CopyOnWriteArrayList<>();
+    private final List<Thread> stepThreads = new CopyOnWriteArrayList<>();
+    private final List<SettingsTrial> settingsTrials = new CopyOnWriteArrayList<>();
+    private final List<RolloutTrial> rolloutTrials = new CopyOnWriteArrayList<>();
     private long startMillis;
 
-    Steps(Http http, FleetLayout layout, Scenario scenario, double seconds, PrintStream out) {
+    StepRunner(Http http, FleetLayout layout, Scenario scenario, double seconds, PrintStream out) {
         this.http = http;
         this.layout = layout;
         this.scenario = scenario;
@@ -34,24 +34,25 @@
         this.admin = new AdminClient(http);
     }
 
-    /** Schedules all steps; the experiment starts now. */
-    void schedule(ScheduledExecutorService timer) {
+    /** Schedules all steps relative to the current time. */
+    void schedule(ScheduledExecutorService scheduler) {
         startMillis = System.currentTimeMillis();
         for (Step step : scenario.steps()) {
-            Runnable start = () -> running.add(Thread.ofVirtual().start(() -> take(step)));
-            var unused = timer.schedule(start, millis(step.at()), TimeUnit.MILLISECONDS);
+            Runnable execution =
+                    () -> stepThreads.add(Thread.ofVirtual().start(() -> execute(step)));
+            var unused = scheduler.schedule(execution, millis(step.at()), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Adds what the steps saw to a report. */
-    void report(ObjectNode json, Ledger ledger) {
-        settings.forEach(trial -> trial.report(json));
-        rollouts.forEach(trial -> trial.report(json, ledger));
+    /** Adds the observations of the steps to a report. */
+    void report(ObjectNode json, RunLog runLog) {
+        settingsTrials.forEach(trial -> trial.report(json));
+        rolloutTrials.forEach(trial -> trial.report(json, runLog));
     }
 
-    /** Waits for the steps that still watch something. */
+    /** Waits for all started steps to end. */
     void await() throws InterruptedException {
-        for (Thread thread : running) {
+        for (Thread thread : stepThreads) {
             thread.join();
         }
     }
@@ -60,34 +61,35 @@
         return Math.round(share * seconds * MILLIS_PER_SECOND);
     }
 
-    private void take(Step step) {
+    private void execute(Step step) {
         out.println("step " + step);
         try {
             switch (step) {
                 case Step.EngineFaults faults -> setEngineFaults(faults);
                 case Step.StoreFaults faults -> setFaults(layout.storeUrl(), faults.faults());
                 case Step.Processes processes -> {}
-                case Step.Operators operators -> operate(operators);
-                case Step.Rollout rollout -> rollout(rollout);
+                case Step.Operators operators -> changeSettings(operators);
+                case Step.Rollout rollout -> rollOut(rollout);
             }
         } catch (IOException e) {
-            out.println("step failed " + step + " " + e);
+            out.println("step failed: " + step + ": " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void operate(Step.Operators step) throws InterruptedException {
+    private void changeSettings(Step.Operators step) throws InterruptedException {
         SettingsTrial trial = new SettingsTrial(admin, layout);
-        settings.add(trial);
+        settingsTrials.add(trial);
         trial.run(step.operators(), startMillis + millis(step.until()));
     }
 
-    private void rollout(Step.Rollout step) throws IOException, InterruptedException {
+    private void rollOut(Step.Rollout step) throws IOException, InterruptedException {
         StoreClient store = new StoreClient(http, layout.storeUrl());
-        RolloutTrial trial = new RolloutTrial(admin, store, layout, "move-1", scenario.bad());
-        rollouts.add(trial);
-        long endMillis = startMillis + millis(1) + LOOK_AFTER_END_MILLIS;
+        RolloutTrial trial =
+                new RolloutTrial(admin, store, layout, "move-1", scenario.hasBadVersion());
+        rolloutTrials.add(trial);
+        long endMillis = startMillis + millis(1) + OBSERVE_AFTER_END_MILLIS;
         trial.run(startMillis + millis(step.completeBy()), endMillis);
     }
 
--- a/src/main/java/org/orioleshed/load/StoreClient.java
+++ b/src/main/java/org/orioleshed/load/StoreClient.java
@@ -8,7 +8,7 @@
 import org.orioleshed.load.FleetLayout.Host;
 import org.orioleshed.load.FleetLayout.Server;
 
-/** Puts an experiment's settings and the platform's lists into the store. */
+/** Writes an experiment's settings and the platform's host and server lists to the store. */
 final class StoreClient {
     private final Http http;
     private final String url;
@@ -18,7 +18,7 @@
         this.url = url;
     }
 
-    /** Writes the settings, if there are none, and the lists of live hosts and servers. */
+    /** Writes the settings and the lists of live hosts and servers, each key only if absent. */
     void prepare(FleetLayout layout) throws IOException, InterruptedException {
         for (Host host : layout.hosts()) {
             ObjectNode entry = Json.MAPPER.createObjectNode();
@@ -29,10 +29,10 @@
             ObjectNode entry = Json.MAPPER.createObjectNode().put("state", "live");
             putIfAbsent("platform/servers/" + server.id(), entry);
         }
-        putIfAbsent("orioleshed/settings/tree", new FleetFiles(layout).tree());
+        putIfAbsent("orioleshed/settings/tree", new FleetFiles(layout).settingsTree());
     }
 
-    /** Returns a key's JSON value; a missing node when there is no such key. */
+    /** Returns the JSON value of a key, or a missing node if the key does not exist. */
     JsonNode value(String key) throws IOException, InterruptedException {
         ObjectNode range = Json.MAPPER.createObjectNode().put("key", encode(key));
         JsonNode value = http.post(url + "/v3/kv/range", range).at("/kvs/0/value");
--- a/src/main/java/org/orioleshed/load/Traffic.java
+++ b/src/main/java/org/orioleshed/load/Traffic.java
@@ -1,16 +1,17 @@
 package org.orioleshed.load;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
- * One kind of request in the mix.
+ * One kind of request in a mix.
  *
  * @param route the route
- * @param tier the tier's name
- * @param perSecond the rate at the full load of the deployment
- * @param workspaces the workspaces that send it; one that is named twice sends twice as much
- * @param deadlineMillis how long the caller waits, in milliseconds
- * @param ask what is asked for
+ * @param tier the name of the tier
+ * @param perSecond the rate in requests per second
+ * @param workspaces the sending workspaces; a repeated entry multiplies the share of a workspace
+ * @param deadlineMillis the time after which the caller gives up, in milliseconds
+ * @param payload the content of the request
  */
 record Traffic(
         String route,
@@ -18,28 +19,29 @@
         double perSecond,
         List<String> workspaces,
         long deadlineMillis,
-        Ask ask) {
-    /** What a kind of request asks for. */
-    sealed interface Ask {
+        @JsonProperty("ask") Payload payload) {
+    /** The content of a kind of request. */
+    sealed interface Payload {
         /**
-         * Text from a model.
+         * A request for text from a model.
          *
-         * @param prefixTokens the part of the prompt that a workspace's requests share
-         * @param prompt the part that is each request's own
-         * @param answer the answer
+         * @param prefixTokens the length of the prompt prefix shared by a workspace and route, in
+         *     tokens
+         * @param prompt the length of the rest of the prompt
+         * @param answer the length of the answer
          */
-        record Text(int prefixTokens, Sizes prompt, Sizes answer) implements Ask {}
+        record Text(int prefixTokens, Sizes prompt, Sizes answer) implements Payload {}
 
         /**
          * A call to a plain service.
          *
-         * @param call the call's name
-         * @param repeatable whether it may run twice
+         * @param call the name of the call
+         * @param repeatable whether the call may run more than once
          */
-        record Call(String call, boolean repeatable) implements Ask {}
+        record Call(String call, boolean repeatable) implements Payload {}
     }
 
     Traffic withRate(double factor) {
-        return new Traffic(route, tier, perSecond * factor, workspaces, deadlineMillis, ask);
+        return new Traffic(route, tier, perSecond * factor, workspaces, deadlineMillis, payload);
     }
 }
--- a/src/main/java/org/orioleshed/load/VersionFault.java
+++ b/src/main/java/org/orioleshed/load/VersionFault.java
@@ -3,20 +3,20 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** What is wrong with a bad new version. */
+/** The fault of a bad new version. */
 enum VersionFault {
-    /** Half of its runs fail from the start. */
+    /** Half of the runs fail from the start. */
     AT_ONCE("{\"failProbability\":0.5}"),
-    /** Half of its runs fail from a later time on. */
+    /** Half of the runs fail from a later time on. */
     LATER("{\"failProbability\":0.5}"),
-    /** All runs fail that an engine takes while more than four others are on it. */
+    /** All runs fail that an engine admits while more than four other runs are on it. */
     UNDER_LOAD("{\"failProbability\":1,\"aboveRunning\":4}"),
     /** Half of the runs of one route fail. */
     ONE_ROUTE("{\"failProbability\":0.5,\"onlyContent\":\"route=letters\"}"),
-    /** It runs at a quarter of the speed. */
+    /** Engines run at a quarter of their speed. */
     SLOW("{\"speedFactor\":0.25}");
 
-    /** The JSON for the stand-ins. */
+    /** The faults as JSON of the stand-ins. */
     final String faults;
 
     VersionFault(String faults) {
@@ -27,10 +27,15 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    static VersionFault named(String id) {
+    static VersionFault byId(String id) {
         return Arrays.stream(values())
                 .filter(fault -> fault.id().equals(id))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no fault is named " + id));
+                .orElseThrow(
+                        () ->
+                                new IllegalArgumentException(
+                                        "unknown fault "
+                                                + id
+                                                + "; allowed: at-once, later, under-load, one-route, slow"));
     }
 }
--- a/src/main/java/org/orioleshed/load/package-info.java
+++ b/src/main/java/org/orioleshed/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load after the users' workloads, experiments on a running fleet, and their reports. */
+/** Load generator: workloads, experiments on a running fleet, and their reports. */
 package org.orioleshed.load;
--- a/src/test/java/org/orioleshed/load/ArrivalsTest.java
+++ b/src/test/java/org/orioleshed/load/ArrivalsTest.java
@@ -10,6 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Guards the reproducibility and the shape of generated load. */
 public class ArrivalsTest {
     @DataProvider
     public Object[][] deployments() {
@@ -17,36 +18,35 @@
     }
 
     @Test(dataProvider = "deployments")
-    public void theSameSeedGivesTheSamePlan(Deployment deployment) {
+    public void sameSeedGivesSamePlan(Deployment deployment) {
         List<PlannedRequest> plan = Arrivals.plan(deployment.mix(), 20, 7);
         assertEquals(Arrivals.plan(deployment.mix(), 20, 7), plan);
         assertNotEquals(Arrivals.plan(deployment.mix(), 20, 8), plan);
     }
 
     @Test(dataProvider = "deployments")
-    public void rateIsNearThatOfTheMix(Deployment deployment) {
+    public void arrivalRateMatchesMix(Deployment deployment) {
         double perSecond = deployment.mix().stream().mapToDouble(Traffic::perSecond).sum();
-        double burstShare = 1.1;
-        double expected = perSecond * 200 * burstShare;
+        double burstFactor = 1.1;
+        double expected = perSecond * 200 * burstFactor;
         int planned = Arrivals.plan(deployment.mix(), 200, 1).size();
         assertEquals(planned, expected, expected * 0.05);
     }
 
     @Test(dataProvider = "deployments")
-    public void lengthsDifferByAHundredTimes(Deployment deployment) {
+    public void answerLengthsSpanTwoOrdersOfMagnitude(Deployment deployment) {
         IntSummaryStatistics answers =
                 Arrivals.plan(deployment.mix(), 200, 1).stream()
-                        .filter(r -> r.traffic().ask() instanceof Traffic.Ask.Text)
+                        .filter(r -> r.traffic().payload() instanceof Traffic.Payload.Text)
                         .mapToInt(PlannedRequest::answerTokens)
                         .summaryStatistics();
         assertTrue(answers.getMax() >= 100 * answers.getMin(), answers.toString());
     }
 
     @Test(dataProvider = "deployments")
-    public void bodiesSayTheLengthAndTheTagThatTheStandInsUse(Deployment deployment)
-            throws Exception {
+    public void bodiesCarryTagAndLengthForStandins(Deployment deployment) throws Exception {
         for (PlannedRequest request : Arrivals.plan(deployment.mix(), 2, 1)) {
-            if (!(request.traffic().ask() instanceof Traffic.Ask.Text text)) {
+            if (!(request.traffic().payload() instanceof Traffic.Payload.Text text)) {
                 continue;
             }
             var messages = Json.MAPPER.readTree(RequestBody.json(request)).path("messages");
@@ -57,7 +57,7 @@
             int length = StandinText.length(prompt, text.answer().max());
             assertEquals(length, request.answerTokens());
             assertEquals(StandinText.tag(prompt, ""), request.tag());
-            assertEquals(RequestBody.answer(request), StandinText.answer(prompt, length));
+            assertEquals(RequestBody.expectedAnswer(request), StandinText.answer(prompt, length));
         }
     }
 }
--- a/src/test/java/org/orioleshed/load/ReportTest.java
+++ b/src/test/java/org/orioleshed/load/ReportTest.java
@@ -11,6 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Guards the counts that compare replies to callers with runs on stand-ins. */
 public class ReportTest {
     private static final Sizes SIZES = new Sizes(10, 0, 1, 100);
     private static final Traffic URGENT = text("gangway", "urgent");
@@ -22,11 +23,11 @@
                     1,
                     List.of("w"),
                     5_000,
-                    new Traffic.Ask.Call("hold", false));
+                    new Traffic.Payload.Call("hold", false));
 
     private static Traffic text(String route, String tier) {
-        Traffic.Ask ask = new Traffic.Ask.Text(64, SIZES, SIZES);
-        return new Traffic(route, tier, 1, List.of("w"), 5_000, ask);
+        Traffic.Payload payload = new Traffic.Payload.Text(64, SIZES, SIZES);
+        return new Traffic(route, tier, 1, List.of("w"), 5_000, payload);
     }
 
     private static PlannedRequest request(int index, Traffic traffic) {
@@ -48,11 +49,11 @@
     }
 
     private static JsonNode report(List<Result> results, RunRecord... runs) {
-        return new Report(results, new Ledger(List.of(runs))).json(new Timings());
+        return new Report(results, new RunLog(List.of(runs))).json(new LatencyHistograms());
     }
 
     @Test
-    public void hasTheFieldsThatWereAgreed() {
+    public void hasRequiredFields() {
         JsonNode report = report(List.of(answered(request(0, URGENT))));
         for (String field :
                 List.of(
@@ -89,14 +90,14 @@
     }
 
     @Test(dataProvider = "doubleRuns")
-    public void countsCallsThatRanTwiceAndRunsAtOnce(
+    public void countsRepeatedCallsAndOverlappingRuns(
             Traffic traffic, RunRecord first, RunRecord second, int expected) {
         JsonNode report = report(List.of(answered(request(0, traffic))), first, second);
         assertEquals(report.path("doubleRuns").asInt(), expected);
     }
 
     @Test
-    public void countsAnAnswerNotRunThatWasUntrue() {
+    public void countsFalseNotRunReplies() {
         List<Result> results = List.of(refused(request(0, HOLD), "overload"));
         assertEquals(report(results, run("t0", 1, 1, true)).path("falseNotRun").asInt(), 1);
         assertEquals(report(results).path("falseNotRun").asInt(), 0);
@@ -114,7 +115,7 @@
     }
 
     @Test(dataProvider = "sheds")
-    public void countsUrgentWorkThatWasShedWhileALowerTierRan(
+    public void countsRequestsShedWhileLowerTierRan(
             String code, long start, long end, int expected) {
         List<Result> results =
                 List.of(refused(request(0, URGENT), code), answered(request(1, PATIENT)));
@@ -123,7 +124,7 @@
     }
 
     @Test
-    public void prefillIsUsefulOnlyWhereTheAnswerCameWholeInTime() {
+    public void prefillIsUsefulOnlyForAnswersInTime() {
         List<Result> results =
                 List.of(answered(request(0, URGENT)), refused(request(1, URGENT), "deadline"));
         JsonNode report =
