--- a/src/main/java/org/orioleshed/standin/CacheEvents.java
+++ b/src/main/java/org/orioleshed/standin/CacheEvents.java
@@ -3,41 +3,42 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cache events that an engine publishes: late, of bounded number, and with gaps. */
+/** The cache events that an engine publishes: delayed, bounded in number, and with gaps. */
 final class CacheEvents {
-    /** How many of the newest events are held back. */
-    private static final int HELD_BACK = 3;
+    /** The number of newest events that are not yet published. */
+    private static final int DELAYED_EVENTS = 3;
 
     private static final int MAX_EVENTS = 200;
-    private static final int LOST_EVERY = 17;
+    private static final int LOST_EVENT_INTERVAL = 17;
 
-    /** One event; lost ones stay as a gap. */
-    record Event(long number, List<Long> stored, List<Long> evicted, boolean lost) {}
+    /** A cache event; a lost event is published as a gap. */
+    record Event(long sequence, List<Long> stored, List<Long> evicted, boolean lost) {}
 
-    /** What a reader gets. */
+    /** A response to a reader. */
     record Page(long next, boolean gap, List<Long> stored, List<Long> evicted) {}
 
     private final List<Event> events = new ArrayList<>();
-    private long lastNumber;
+    private long lastSequence;
 
     void add(List<Long> stored, List<Long> evicted) {
-        lastNumber++;
-        events.add(new Event(lastNumber, stored, evicted, lastNumber % LOST_EVERY == 0));
+        lastSequence++;
+        events.add(
+                new Event(lastSequence, stored, evicted, lastSequence % LOST_EVENT_INTERVAL == 0));
         if (events.size() > MAX_EVENTS) {
             events.removeFirst();
         }
     }
 
-    Page after(long number) {
+    Page after(long sequence) {
         List<Long> stored = new ArrayList<>();
         List<Long> evicted = new ArrayList<>();
-        long next = number;
-        boolean gap = !events.isEmpty() && events.getFirst().number() > number + 1;
+        long next = sequence;
+        boolean gap = !events.isEmpty() && events.getFirst().sequence() > sequence + 1;
         for (Event event : events) {
-            if (event.number() <= number || event.number() > lastNumber - HELD_BACK) {
+            if (event.sequence() <= sequence || event.sequence() > lastSequence - DELAYED_EVENTS) {
                 continue;
             }
-            next = event.number();
+            next = event.sequence();
             gap |= event.lost();
             if (!event.lost()) {
                 stored.addAll(event.stored());
--- a/src/main/java/org/orioleshed/standin/EngineModel.java
+++ b/src/main/java/org/orioleshed/standin/EngineModel.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import org.orioleshed.standin.EngineRun.Piece;
 import org.orioleshed.standin.EngineRun.State;
+import org.orioleshed.standin.EngineRun.StreamEvent;
 
 /**
- * A model engine without clock or sockets: continuous batching with prefill in chunks, admission in
- * order of arrival, a prefix cache. Not safe for use by several threads at once.
+ * A simulated model engine without clock or sockets: continuous batching with chunked prefill,
+ * first-come, first-served admission, and a prefix cache. Not thread-safe.
  */
 final class EngineModel {
-    /** The most prefill tokens in one step. */
+    /** The maximum number of prefill tokens in one step. */
     static final int PREFILL_CHUNK_TOKENS = 128;
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What became of a run that was handed in. */
+    /** The result of submitting a run. */
     enum Admission {
         TAKEN,
         DUPLICATE,
@@ -40,7 +40,7 @@
     private final CacheEvents cacheEvents = new CacheEvents();
     private EngineFaults faults = EngineFaults.NONE;
     private String version;
-    private long handedIn;
+    private long submittedRuns;
 
     EngineModel(EngineSpec spec, RandomGenerator random) {
         this.spec = spec;
@@ -77,31 +77,31 @@
         return cacheEvents;
     }
 
-    /** Returns all runs that were ever taken. */
+    /** Returns all runs that were accepted, ended ones included. */
     List<EngineRun> runs() {
         return List.copyOf(runs.values());
     }
 
-    /** Hands in a run; it waits for its place in the batch. */
+    /** Submits a run, which is queued until the batch has a free slot. */
     Admission submit(EngineRun run) {
         if (runs.containsKey(run.id)) {
             return Admission.DUPLICATE;
         }
-        handedIn++;
+        submittedRuns++;
         if (faults.crashes(run.prompt)) {
             return Admission.CRASHED;
         }
-        int present = running.size() + waiting.size();
-        if (faults.fails(version, run.prompt, handedIn, present, random.nextDouble())) {
+        int runsOnEngine = running.size() + waiting.size();
+        if (faults.fails(version, run.prompt, submittedRuns, runsOnEngine, random.nextDouble())) {
             return Admission.FAILED;
         }
-        run.silent = random.nextDouble() < faults.silentProbability();
+        run.stalled = random.nextDouble() < faults.silentProbability();
         runs.put(run.id, run);
         waiting.add(run);
         return Admission.TAKEN;
     }
 
-    /** Ends the step that was planned before and plans the next, which may take in waiting runs. */
+    /** Completes the planned step, admits waiting runs and plans the next step. */
     void step(long nowMillis) {
         plannedPrefill.forEach(this::prefill);
         plannedDecode.forEach(run -> decode(run, nowMillis));
@@ -114,7 +114,7 @@
         plan();
     }
 
-    /** Returns the length of the planned step in nanoseconds, or -1 when there is no work. */
+    /** Returns the duration of the planned step in nanoseconds, or -1 if no run is in the batch. */
     long stepNanos() {
         if (running.isEmpty()) {
             return -1;
@@ -128,11 +128,11 @@
             int tokens = plannedPrefill.values().stream().mapToInt(Integer::intValue).sum();
             prefillNanos = tokens * NANOS_PER_SECOND / spec.prefillTokensPerSecond();
         }
-        double speed = faults.speed(version, handedIn, running.size());
+        double speed = faults.speed(version, submittedRuns, running.size());
         return (long) ((decodeMillis * NANOS_PER_MILLI + prefillNanos) / speed);
     }
 
-    /** Cancels a run and returns it, or null when it was never here. */
+    /** Cancels a run and returns it, or null if it is unknown. */
     EngineRun cancel(String runId, long nowMillis) {
         EngineRun run = runs.get(runId);
         if (run == null || run.ended()) {
@@ -143,11 +143,11 @@
         running.remove(run);
         plannedDecode.remove(run);
         plannedPrefill.remove(run);
-        run.pieces.add(new Piece.Broken());
+        run.streamEvents.add(new StreamEvent.Aborted());
         return run;
     }
 
-    /** Breaks all runs and forgets the cache, as a process that dies. */
+    /** Aborts all runs and clears the cache, like a process that crashes. */
     void crash(long nowMillis) {
         for (EngineRun run : runs()) {
             cancel(run.id, nowMillis);
@@ -156,32 +156,32 @@
     }
 
     private void admit(EngineRun run, long nowMillis) {
-        int wanted = run.promptTokens + run.resumeFrom;
-        run.prefillLeft = Math.max(1, wanted - cache.cachedTokens(run.blocks));
+        int neededTokens = run.promptTokens + run.resumeFrom;
+        run.remainingPrefillTokens = Math.max(1, neededTokens - cache.cachedTokens(run.blocks));
         run.state = State.PREFILL;
         run.startedMillis = nowMillis;
         running.add(run);
     }
 
     private void plan() {
-        int room = PREFILL_CHUNK_TOKENS;
+        int remainingTokens = PREFILL_CHUNK_TOKENS;
         for (EngineRun run : running) {
             if (run.state == State.DECODE) {
                 plannedDecode.add(run);
                 continue;
             }
-            int chunk = Math.min(room, run.prefillLeft);
+            int chunk = Math.min(remainingTokens, run.remainingPrefillTokens);
             if (chunk > 0) {
                 plannedPrefill.put(run, chunk);
-                room -= chunk;
+                remainingTokens -= chunk;
             }
         }
     }
 
     private void prefill(EngineRun run, int tokens) {
-        run.prefillLeft -= tokens;
-        run.prefillDone += tokens;
-        if (run.prefillLeft > 0) {
+        run.remainingPrefillTokens -= tokens;
+        run.prefilledTokens += tokens;
+        if (run.remainingPrefillTokens > 0) {
             return;
         }
         run.state = State.DECODE;
@@ -190,12 +190,12 @@
 
     private void decode(EngineRun run, long nowMillis) {
         if (run.nextOffset < run.answerTokens) {
-            run.pieces.add(new Piece.Token(run.nextOffset));
+            run.streamEvents.add(new StreamEvent.Token(run.nextOffset));
             run.nextOffset++;
         }
         if (run.nextOffset >= run.answerTokens) {
             end(run, State.FINISHED, nowMillis);
-            run.pieces.add(new Piece.Done());
+            run.streamEvents.add(new StreamEvent.Done());
         }
     }
 
--- a/src/main/java/org/orioleshed/standin/EngineRun.java
+++ b/src/main/java/org/orioleshed/standin/EngineRun.java
@@ -4,15 +4,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import org.orioleshed.model.PromptBlocks;
 
-/** A run on a stand-in engine. Guarded by the engine's lock, but for the queue of pieces. */
+/** A run on a stand-in engine. Guarded by the engine's lock, except the queue of stream events. */
 final class EngineRun {
-    /** What a run's stream carries. */
-    sealed interface Piece {
-        record Token(int offset) implements Piece {}
+    /** An event of the output stream of a run. */
+    sealed interface StreamEvent {
+        record Token(int offset) implements StreamEvent {}
 
-        record Done() implements Piece {}
+        record Done() implements StreamEvent {}
 
-        record Broken() implements Piece {}
+        record Aborted() implements StreamEvent {}
     }
 
     enum State {
@@ -31,14 +31,14 @@
     final List<Long> blocks;
     final int answerTokens;
     final int resumeFrom;
-    final LinkedBlockingQueue<Piece> pieces = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<StreamEvent> streamEvents = new LinkedBlockingQueue<>();
     State state = State.WAITING;
-    int prefillLeft;
-    int prefillDone;
+    int remainingPrefillTokens;
+    int prefilledTokens;
     int nextOffset;
     long startedMillis;
     long endedMillis;
-    volatile boolean silent;
+    volatile boolean stalled;
 
     EngineRun(String id, String prompt, int maxTokens, int resumeFrom) {
         this.id = id;
--- a/src/main/java/org/orioleshed/standin/EngineServer.java
+++ b/src/main/java/org/orioleshed/standin/EngineServer.java
@@ -13,22 +13,22 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.orioleshed.standin.EngineRun.Piece;
+import org.orioleshed.standin.EngineRun.StreamEvent;
 
 /** A stand-in model engine on a loopback port. */
 final class EngineServer extends StandinServer {
-    private static final long ALIVE_MILLIS = 800;
-    private static final long LOAD_SAMPLE_MILLIS = 100;
-    private static final long LOAD_LAG_MILLIS = 500;
+    private static final long KEEP_ALIVE_MILLIS = 800;
+    private static final long LOAD_SAMPLE_INTERVAL_MILLIS = 100;
+    private static final long DEFAULT_LOAD_LAG_MILLIS = 500;
     private static final int MAX_LOAD_SAMPLES = 300;
     private static final long CRASH_DOWN_MILLIS = 2_000;
     private static final long MAX_CATCH_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    /** The load at one moment. */
+    /** A sample of the load. */
     private record Load(long atMillis, int running, int waiting) {}
 
     private final EngineSpec spec;
-    private final ScheduledExecutorService clock;
+    private final ScheduledExecutorService scheduler;
     private final EngineModel model;
     private final Deque<Load> loads = new ArrayDeque<>();
     private final List<String> crashTags = new ArrayList<>();
@@ -38,10 +38,10 @@
     private boolean stepping;
     private long stepDueNanos;
 
-    EngineServer(EngineSpec spec, ScheduledExecutorService clock) {
+    EngineServer(EngineSpec spec, ScheduledExecutorService scheduler) {
         super(spec.port());
         this.spec = spec;
-        this.clock = clock;
+        this.scheduler = scheduler;
         this.model = new EngineModel(spec, new SplittableRandom(spec.id().hashCode()));
         this.modelName = spec.model();
     }
@@ -50,8 +50,8 @@
     void open() {
         super.open();
         var unused =
-                clock.scheduleAtFixedRate(
-                        this::sampleLoad, 0, LOAD_SAMPLE_MILLIS, TimeUnit.MILLISECONDS);
+                scheduler.scheduleAtFixedRate(
+                        this::sampleLoad, 0, LOAD_SAMPLE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -59,13 +59,13 @@
         String path = exchange.getRequestURI().getPath();
         switch (path) {
             case "/v1/chat/completions" -> generate(exchange);
-            case "/v1/load" -> JsonHandler.reply(exchange, 200, load());
+            case "/v1/load" -> JsonHttpServer.reply(exchange, 200, load());
             case "/v1/cache/events" -> cacheEvents(exchange);
             case "/v1/orders" -> order(exchange);
-            case "/v1/state" -> JsonHandler.reply(exchange, 200, state());
+            case "/v1/state" -> JsonHttpServer.reply(exchange, 200, state());
             case "/standin/faults" -> setFaults(exchange);
-            case "/standin/counts" -> JsonHandler.reply(exchange, 200, counts());
-            case "/standin/runs" -> JsonHandler.reply(exchange, 200, runs());
+            case "/standin/counts" -> JsonHttpServer.reply(exchange, 200, counts());
+            case "/standin/runs" -> JsonHttpServer.reply(exchange, 200, runs());
             default -> handleRun(exchange, path);
         }
     }
@@ -76,14 +76,18 @@
             cancel(exchange, parts[3]);
             return;
         }
-        JsonHandler.error(exchange, 404, "not_found", path);
+        JsonHttpServer.error(exchange, 404, "not_found", path);
     }
 
     private void generate(HttpExchange exchange) throws IOException, InterruptedException {
-        JsonNode body = JsonHandler.read(exchange);
+        JsonNode body = JsonHttpServer.read(exchange);
         String runId = exchange.getRequestHeaders().getFirst("X-Run-Id");
         if (runId == null || !body.path("messages").isArray()) {
-            JsonHandler.error(exchange, 400, "bad_request", "X-Run-Id and messages are needed");
+            JsonHttpServer.error(
+                    exchange,
+                    400,
+                    "bad_request",
+                    "header X-Run-Id and array messages are required");
             return;
         }
         String resume = exchange.getRequestHeaders().getFirst("X-Resume-From");
@@ -96,12 +100,13 @@
         }
         switch (admission) {
             case TAKEN -> {
-                wake();
+                startStepping();
                 stream(exchange, run);
             }
-            case DUPLICATE -> JsonHandler.error(exchange, 409, "duplicate_run", runId);
+            case DUPLICATE -> JsonHttpServer.error(exchange, 409, "duplicate_run", runId);
             case FAILED ->
-                    JsonHandler.error(exchange, 500, "engine_failed", "the version is faulty");
+                    JsonHttpServer.error(
+                            exchange, 500, "engine_failed", "injected fault of the version");
             case CRASHED -> crash(run);
         }
     }
@@ -136,22 +141,23 @@
 
     private void write(OutputStream out, EngineRun run) throws IOException, InterruptedException {
         while (true) {
-            Piece piece = run.pieces.poll(ALIVE_MILLIS, TimeUnit.MILLISECONDS);
-            switch (piece) {
+            StreamEvent event = run.streamEvents.poll(KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS);
+            switch (event) {
                 case null -> send(out, run, ": alive\n\n");
-                case Piece.Token token -> send(out, run, chunk(run, token.offset()));
-                case Piece.Done done -> {
+                case StreamEvent.Token token -> send(out, run, chunk(run, token.offset()));
+                case StreamEvent.Done done -> {
                     send(out, run, end(run));
                     out.close();
                     return;
                 }
-                case Piece.Broken broken -> throw new IOException("run " + run.id + " broke");
+                case StreamEvent.Aborted aborted ->
+                        throw new IOException("run " + run.id + " was aborted");
             }
         }
     }
 
     private static void send(OutputStream out, EngineRun run, String text) throws IOException {
-        if (run.silent && run.nextOffset > run.resumeFrom + 1) {
+        if (run.stalled && run.nextOffset > run.resumeFrom + 1) {
             return;
         }
         out.write(text.getBytes(StandardCharsets.UTF_8));
@@ -179,40 +185,42 @@
 
     private void cancel(HttpExchange exchange, String runId) throws IOException {
         String state;
-        int prefilled;
+        int prefilledTokens;
         synchronized (this) {
             EngineRun run = cancelRun(runId);
             boolean finished = run != null && run.state == EngineRun.State.FINISHED;
             state = run == null ? "unknown" : finished ? "finished" : "cancelled";
-            prefilled = run == null ? 0 : run.prefillDone;
+            prefilledTokens = run == null ? 0 : run.prefilledTokens;
         }
-        JsonHandler.reply(exchange, 200, Map.of("state", state, "prefillTokens", prefilled));
+        JsonHttpServer.reply(
+                exchange, 200, Map.of("state", state, "prefillTokens", prefilledTokens));
     }
 
-    private synchronized void wake() {
+    private synchronized void startStepping() {
         if (!stepping) {
             stepping = true;
             stepDueNanos = System.nanoTime();
-            clock.execute(this::step);
+            scheduler.execute(this::step);
         }
     }
 
     private void step() {
-        long nanos;
+        long stepNanos;
         synchronized (this) {
             model.step(System.currentTimeMillis());
-            nanos = model.stepNanos();
-            stepping = nanos >= 0;
+            stepNanos = model.stepNanos();
+            stepping = stepNanos >= 0;
         }
-        if (nanos < 0) {
+        if (stepNanos < 0) {
             return;
         }
-        // A late step must not slow the engine down: the next is due as if this one had been on
-        // time, unless it is far behind.
-        long now = System.nanoTime();
-        stepDueNanos = Math.max(stepDueNanos, now - MAX_CATCH_UP_NANOS) + nanos;
+        // The next step is due relative to the due time of this one, so that a late step does not
+        // slow the engine down. The engine catches up by at most MAX_CATCH_UP_NANOS.
+        long nowNanos = System.nanoTime();
+        stepDueNanos = Math.max(stepDueNanos, nowNanos - MAX_CATCH_UP_NANOS) + stepNanos;
         var unused =
-                clock.schedule(this::step, Math.max(0, stepDueNanos - now), TimeUnit.NANOSECONDS);
+                scheduler.schedule(
+                        this::step, Math.max(0, stepDueNanos - nowNanos), TimeUnit.NANOSECONDS);
     }
 
     private synchronized void sampleLoad() {
@@ -223,50 +231,54 @@
     }
 
     private synchronized Map<String, Object> load() {
-        long now = System.currentTimeMillis();
-        long lagMillis = Math.max(LOAD_LAG_MILLIS, model.faults().loadLagMillis());
-        Load shown = new Load(now, 0, 0);
+        long nowMillis = System.currentTimeMillis();
+        long lagMillis = Math.max(DEFAULT_LOAD_LAG_MILLIS, model.faults().loadLagMillis());
+        Load reported = new Load(nowMillis, 0, 0);
         for (Load load : loads) {
-            if (load.atMillis() <= now - lagMillis) {
-                shown = load;
+            if (load.atMillis() <= nowMillis - lagMillis) {
+                reported = load;
             }
         }
         return Map.of(
-                "running", shown.running(),
-                "waiting", shown.waiting(),
-                "ageMillis", now - shown.atMillis());
+                "running", reported.running(),
+                "waiting", reported.waiting(),
+                "ageMillis", nowMillis - reported.atMillis());
     }
 
     private void cacheEvents(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
-        boolean given = query != null && query.startsWith("after=");
-        long after = given ? Long.parseLong(query.substring("after=".length())) : 0;
+        boolean hasAfter = query != null && query.startsWith("after=");
+        long after = hasAfter ? Long.parseLong(query.substring("after=".length())) : 0;
         CacheEvents.Page page;
         synchronized (this) {
             page = model.cacheEvents().after(after);
         }
-        JsonHandler.reply(exchange, 200, page);
+        JsonHttpServer.reply(exchange, 200, page);
     }
 
     private void order(HttpExchange exchange) throws IOException {
-        JsonNode body = JsonHandler.read(exchange);
-        long number = body.path("fence").asLong();
-        boolean old;
+        JsonNode body = JsonHttpServer.read(exchange);
+        long orderFence = body.path("fence").asLong();
+        boolean stale;
         synchronized (this) {
-            old = spec.checksFencing() && number < fence;
-            if (!old) {
-                fence = Math.max(fence, number);
-                obey(body);
+            stale = spec.checksFencing() && orderFence < fence;
+            if (!stale) {
+                fence = Math.max(fence, orderFence);
+                applyOrder(body);
             }
         }
-        if (old) {
-            JsonHandler.error(exchange, 409, "old_fence", "a newer fencing number is known");
+        if (stale) {
+            JsonHttpServer.error(
+                    exchange,
+                    409,
+                    "old_fence",
+                    "fencing number is lower than one already received");
             return;
         }
-        JsonHandler.reply(exchange, 200, state());
+        JsonHttpServer.reply(exchange, 200, state());
     }
 
-    private void obey(JsonNode body) {
+    private void applyOrder(JsonNode body) {
         switch (body.path("order").asText()) {
             case "load" -> {
                 modelName = body.path("model").asText(modelName);
@@ -283,11 +295,11 @@
     }
 
     private void setFaults(HttpExchange exchange) throws IOException {
-        EngineFaults faults = JsonHandler.read(exchange, EngineFaults.class);
+        EngineFaults faults = JsonHttpServer.read(exchange, EngineFaults.class);
         synchronized (this) {
             model.setFaults(faults);
         }
-        JsonHandler.reply(exchange, 200, faults);
+        JsonHttpServer.reply(exchange, 200, faults);
     }
 
     private synchronized Map<String, Object> counts() {
@@ -310,7 +322,7 @@
                 run.tag,
                 run.startedMillis,
                 run.endedMillis,
-                run.prefillDone,
+                run.prefilledTokens,
                 run.state == EngineRun.State.FINISHED);
     }
 }
--- a/src/main/java/org/orioleshed/standin/JsonHandler.java
+++ b/src/main/java/org/orioleshed/standin/JsonHttpServer.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** A loopback HTTP server that speaks JSON, each exchange on a virtual thread of its own. */
-final class JsonHandler implements AutoCloseable {
+/** A loopback HTTP server for JSON that handles each exchange on its own virtual thread. */
+final class JsonHttpServer implements AutoCloseable {
     static final ObjectMapper JSON =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
     private static final FluentLogger log = FluentLogger.forEnclosingClass();
     private static final int BACKLOG = 1024;
 
-    /** Answers one exchange. */
+    /** Handles one exchange. */
     interface Handler {
         void handle(HttpExchange exchange) throws IOException, InterruptedException;
     }
@@ -32,7 +32,7 @@
     private final Handler handler;
     private HttpServer server;
 
-    JsonHandler(int port, Handler handler) {
+    JsonHttpServer(int port, Handler handler) {
         this.port = port;
         this.handler = handler;
     }
@@ -50,7 +50,11 @@
         server.start();
     }
 
-    /** Closes the port and all connections, and opens the port again after a while. */
+    /**
+     * Closes the port and all connections, and reopens the port later.
+     *
+     * @param downMillis the time until the port is reopened, in milliseconds
+     */
     void crash(long downMillis) {
         close();
         Executors.newVirtualThreadPerTaskExecutor()
@@ -76,7 +80,7 @@
 
     private void handleSafely(HttpExchange exchange) {
         try (exchange) {
-            handleOrRefuse(exchange);
+            handleOrReject(exchange);
         } catch (IOException e) {
             log.atFine().log("event=exchange_broken port=%d detail=%s", port, e.getMessage());
         } catch (InterruptedException e) {
@@ -86,7 +90,7 @@
         }
     }
 
-    private void handleOrRefuse(HttpExchange exchange) throws IOException, InterruptedException {
+    private void handleOrReject(HttpExchange exchange) throws IOException, InterruptedException {
         try {
             handler.handle(exchange);
         } catch (JsonProcessingException | IllegalArgumentException e) {
--- a/src/main/java/org/orioleshed/standin/PrefixCache.java
+++ b/src/main/java/org/orioleshed/standin/PrefixCache.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.orioleshed.model.Work;
 
-/** A prefix cache of limited size that drops the blocks least recently used. */
+/** A prefix cache of limited size that evicts the least recently used blocks. */
 final class PrefixCache {
     private final int maxBlocks;
     private final Map<Long, Boolean> blocks = new LinkedHashMap<>(64, 0.75f, true);
@@ -16,28 +16,28 @@
         this.maxBlocks = cacheTokens / Work.PREFIX_BLOCK_TOKENS;
     }
 
-    /** Returns how many leading tokens of a prompt with these blocks are cached. */
+    /** Returns the number of leading tokens of a prompt with these blocks that are cached. */
     int cachedTokens(List<Long> hashes) {
-        int cached = 0;
+        int tokens = 0;
         for (Long hash : hashes) {
             if (blocks.get(hash) == null) {
                 break;
             }
-            cached += Work.PREFIX_BLOCK_TOKENS;
+            tokens += Work.PREFIX_BLOCK_TOKENS;
         }
-        return cached;
+        return tokens;
     }
 
-    /** Keeps the blocks, and returns those that were dropped for them. */
+    /** Stores the blocks and returns the evicted blocks. */
     List<Long> store(List<Long> hashes) {
         hashes.forEach(hash -> blocks.put(hash, true));
-        List<Long> dropped = new ArrayList<>();
-        Iterator<Long> oldest = blocks.keySet().iterator();
-        while (blocks.size() - dropped.size() > maxBlocks) {
-            dropped.add(oldest.next());
+        List<Long> evicted = new ArrayList<>();
+        Iterator<Long> leastRecentlyUsed = blocks.keySet().iterator();
+        while (blocks.size() - evicted.size() > maxBlocks) {
+            evicted.add(leastRecentlyUsed.next());
         }
-        dropped.forEach(blocks::remove);
-        return dropped;
+        evicted.forEach(blocks::remove);
+        return evicted;
     }
 
     void clear() {
--- a/src/main/java/org/orioleshed/standin/RunRecord.java
+++ b/src/main/java/org/orioleshed/standin/RunRecord.java
@@ -1,17 +1,17 @@
 package org.orioleshed.standin;
 
 /**
- * A run as a stand-in saw it.
+ * A run recorded by a stand-in.
  *
- * @param server the stand-in's id
+ * @param server the id of the stand-in
  * @param version the version that ran it
- * @param run the run's id
- * @param tag the tag in the request's content, the same for each run of one request
- * @param startedMillis when it was taken into the batch, in milliseconds since the epoch; zero when
- *     it never was
- * @param endedMillis when it ended, in milliseconds since the epoch; zero while it runs
- * @param prefillTokens the tokens that were prefilled for it
- * @param finished whether it came to its end
+ * @param run the id of the run
+ * @param tag the tag in the content, the same for all runs of a request
+ * @param startedMillis the time of admission to the batch, in milliseconds since the epoch; zero if
+ *     it was not admitted
+ * @param endedMillis the end, in milliseconds since the epoch; zero while it runs
+ * @param prefillTokens the number of prefilled tokens
+ * @param finished whether it ran to completion
  */
 public record RunRecord(
         String server,
--- a/src/main/java/org/orioleshed/standin/ServiceServer.java
+++ b/src/main/java/org/orioleshed/standin/ServiceServer.java
@@ -11,24 +11,25 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in plain service on a loopback port, which counts its runs for each request. */
+/** A stand-in plain service on a loopback port that counts the runs of each request. */
 final class ServiceServer extends StandinServer {
     /**
-     * What is wrong with the service.
+     * The faults of the service.
      *
-     * @param slowMillis the time added to each call, in milliseconds
-     * @param silentProbability the probability that a call runs and is never answered
-     * @param failProbability the probability that a call is answered with an error
+     * @param slowMillis the delay added to each call, in milliseconds
+     * @param silentProbability the probability that a call runs and its response is delayed by
+     *     {@link #SILENCE_SECONDS}
+     * @param failProbability the probability that a call runs and returns an error
      */
     record Faults(int slowMillis, double silentProbability, double failProbability) {
         static final Faults NONE = new Faults(0, 0, 0);
     }
 
-    private static final long SILENT_SECONDS = 600;
+    private static final long SILENCE_SECONDS = 600;
 
     private final ServiceSpec spec;
     private final SplittableRandom random;
-    private final Map<String, Integer> runsByKey = new HashMap<>();
+    private final Map<String, Integer> runCountByTag = new HashMap<>();
     private final List<RunRecord> runs = new ArrayList<>();
     private volatile Faults faults = Faults.NONE;
 
@@ -43,12 +44,12 @@
         String path = exchange.getRequestURI().getPath();
         switch (path) {
             case "/standin/faults" -> {
-                faults = JsonHandler.read(exchange, Faults.class);
-                JsonHandler.reply(exchange, 200, faults);
+                faults = JsonHttpServer.read(exchange, Faults.class);
+                JsonHttpServer.reply(exchange, 200, faults);
             }
-            case "/standin/runs" -> JsonHandler.reply(exchange, 200, runs());
+            case "/standin/runs" -> JsonHttpServer.reply(exchange, 200, runs());
             case "/standin/counts" ->
-                    JsonHandler.reply(exchange, 200, Map.of("runs", runs().size()));
+                    JsonHttpServer.reply(exchange, 200, Map.of("runs", runs().size()));
             default -> call(exchange, path);
         }
     }
@@ -58,37 +59,41 @@
     }
 
     private void call(HttpExchange exchange, String path) throws IOException, InterruptedException {
-        JsonNode body = JsonHandler.read(exchange);
+        JsonNode body = JsonHttpServer.read(exchange);
         String key = exchange.getRequestHeaders().getFirst("X-Request-Key");
         String run = exchange.getRequestHeaders().getFirst("X-Run-Id");
         if (!path.startsWith("/v1/calls/") || key == null || run == null) {
-            JsonHandler.error(exchange, 400, "bad_request", "path, X-Request-Key or X-Run-Id");
+            JsonHttpServer.error(
+                    exchange,
+                    400,
+                    "bad_request",
+                    "required: a path under /v1/calls/, headers X-Request-Key and X-Run-Id");
             return;
         }
-        int count = count(body.path("tag").asText(key), run);
-        Faults now = faults;
-        TimeUnit.MILLISECONDS.sleep(spec.callMillis() + now.slowMillis());
-        if (draw() < now.silentProbability()) {
-            TimeUnit.SECONDS.sleep(SILENT_SECONDS);
+        int runCount = recordRun(body.path("tag").asText(key), run);
+        Faults current = faults;
+        TimeUnit.MILLISECONDS.sleep(spec.callMillis() + current.slowMillis());
+        if (nextRandom() < current.silentProbability()) {
+            TimeUnit.SECONDS.sleep(SILENCE_SECONDS);
         }
-        if (draw() < now.failProbability()) {
-            JsonHandler.error(exchange, 500, "service_failed", "the service is faulty");
+        if (nextRandom() < current.failProbability()) {
+            JsonHttpServer.error(exchange, 500, "service_failed", "injected fault of the service");
             return;
         }
-        Map<String, Object> answer = new LinkedHashMap<>();
-        answer.put("key", key);
-        answer.put("tag", body.path("tag").asText(""));
-        answer.put("runs", count);
-        JsonHandler.reply(exchange, 200, answer);
+        Map<String, Object> response = new LinkedHashMap<>();
+        response.put("key", key);
+        response.put("tag", body.path("tag").asText(""));
+        response.put("runs", runCount);
+        JsonHttpServer.reply(exchange, 200, response);
     }
 
-    private synchronized double draw() {
+    private synchronized double nextRandom() {
         return random.nextDouble();
     }
 
-    private synchronized int count(String tag, String run) {
-        long now = System.currentTimeMillis();
-        runs.add(new RunRecord(spec.id(), "", run, tag, now, now, 0, true));
-        return runsByKey.merge(tag, 1, Integer::sum);
+    private synchronized int recordRun(String tag, String run) {
+        long nowMillis = System.currentTimeMillis();
+        runs.add(new RunRecord(spec.id(), "", run, tag, nowMillis, nowMillis, 0, true));
+        return runCountByTag.merge(tag, 1, Integer::sum);
     }
 }
--- a/src/main/java/org/orioleshed/standin/ServiceSpec.java
+++ b/src/main/java/org/orioleshed/standin/ServiceSpec.java
@@ -1,10 +1,10 @@
 package org.orioleshed.standin;
 
 /**
- * A stand-in plain service.
+ * The configuration of a stand-in plain service.
  *
  * @param id the backend server's id
  * @param port the loopback port
- * @param callMillis the time of a call, in milliseconds
+ * @param callMillis the duration of a call, in milliseconds
  */
 public record ServiceSpec(String id, int port, int callMillis) {}
--- a/src/main/java/org/orioleshed/standin/StandinMain.java
+++ b/src/main/java/org/orioleshed/standin/StandinMain.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** The program {@code orioleshed-standin}. */
+/** Entry point of {@code orioleshed-standin}. */
 @Cli(
         name = "orioleshed-standin",
         description = "Stand-ins for the platform's store, model engines and plain services",
@@ -25,29 +25,29 @@
             Help.class
         })
 public final class StandinMain {
-    private static final int CLOCK_THREADS = 2;
+    private static final int SCHEDULER_THREADS = 2;
 
     private StandinMain() {}
 
-    /** Runs the program until the process is ended. */
+    /** Runs the stand-ins until the process is terminated. */
     public static void main(String[] args) {
         System.setProperty("sun.net.httpserver.nodelay", "true");
         System.setProperty("sun.net.httpserver.maxIdleConnections", "2000");
         new com.github.rvesse.airline.Cli<Runnable>(StandinMain.class).parse(args).run();
     }
 
-    /** Starts all stand-ins of {@code spec}; they run on threads of their own. */
+    /** Starts all stand-ins of {@code spec} and returns. */
     static void start(FleetSpec spec) {
-        ScheduledExecutorService clock = Executors.newScheduledThreadPool(CLOCK_THREADS);
+        ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(SCHEDULER_THREADS);
         if (spec.store() != null) {
             new StoreServer(spec.store()).open();
         }
-        spec.engines().forEach(engine -> new EngineServer(engine, clock).open());
+        spec.engines().forEach(engine -> new EngineServer(engine, scheduler).open());
         spec.services().forEach(service -> new ServiceServer(service).open());
         System.out.println("ready");
     }
 
-    private static void runForever(FleetSpec spec) {
+    private static void runUntilInterrupted(FleetSpec spec) {
         start(spec);
         try {
             new CountDownLatch(1).await();
@@ -57,31 +57,32 @@
     }
 
     /** Runs one stand-in. */
-    public abstract static class OneCommand implements Runnable {
-        private static final String LOOPBACK = "127.0.0.1:";
+    public abstract static class StandinCommand implements Runnable {
+        private static final String LOOPBACK_PREFIX = "127.0.0.1:";
 
         @Option(name = "--listen", description = "127.0.0.1:PORT")
         @Required
         String listen;
 
-        /** Returns what the options say of the stand-in. */
+        /** Returns the configuration set by the options. */
         abstract FleetSpec spec(int port);
 
         @Override
         public final void run() {
-            runForever(spec(port()));
+            runUntilInterrupted(spec(port()));
         }
 
         private int port() {
-            if (!listen.startsWith(LOOPBACK)) {
-                throw new IllegalArgumentException("--listen must be 127.0.0.1:PORT: " + listen);
+            if (!listen.startsWith(LOOPBACK_PREFIX)) {
+                throw new IllegalArgumentException(
+                        "--listen must be 127.0.0.1:PORT, found " + listen);
             }
-            return Integer.parseInt(listen.substring(LOOPBACK.length()));
+            return Integer.parseInt(listen.substring(LOOPBACK_PREFIX.length()));
         }
     }
 
     /** Runs one backend server. */
-    public abstract static class BackendCommand extends OneCommand {
+    public abstract static class BackendCommand extends StandinCommand {
         @Option(name = "--id", description = "The backend server's id")
         String id;
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Runs one engine. */
+    /** Runs one model engine. */
     @Command(name = "engine", description = "Runs a model engine")
     public static final class EngineCommand extends BackendCommand {
         @Option(name = "--model", description = "The model")
@@ -99,22 +100,26 @@
         @Option(name = "--model-version", description = "The version")
         String version = "v1";
 
-        @Option(name = "--step-millis", description = "A decoding step with one run; 0 for none")
+        @Option(name = "--step-millis", description = "Milliseconds per decode step; 0 for none")
         double stepMillis = 20;
 
-        @Option(name = "--step-millis-per-run", description = "Added by each further run")
+        @Option(
+                name = "--step-millis-per-run",
+                description = "Milliseconds added per additional run")
         double stepMillisPerRun = 2;
 
-        @Option(name = "--prefill", description = "Prefill tokens a second; 0 for no cost")
+        @Option(
+                name = "--prefill",
+                description = "Prefill tokens per second; 0 for no prefill time")
         double prefillTokensPerSecond = 6_000;
 
-        @Option(name = "--batch", description = "The most runs in a batch")
+        @Option(name = "--batch", description = "The maximum number of runs in a batch")
         int maxBatch = 16;
 
-        @Option(name = "--cache-tokens", description = "The size of the prefix cache")
+        @Option(name = "--cache-tokens", description = "The size of the prefix cache, in tokens")
         int cacheTokens = 60_000;
 
-        @Option(name = "--ignore-fencing", description = "Take orders with old fencing numbers")
+        @Option(name = "--ignore-fencing", description = "Accept orders with stale fencing numbers")
         boolean ignoreFencing;
 
         /** Makes a command with the options' defaults. */
@@ -143,7 +148,7 @@
     /** Runs one plain service. */
     @Command(name = "service", description = "Runs a plain service")
     public static final class ServiceCommand extends BackendCommand {
-        @Option(name = "--call-millis", description = "The time of a call")
+        @Option(name = "--call-millis", description = "The duration of a call, in milliseconds")
         int callMillis = 20;
 
         /** Makes a command with the options' defaults. */
@@ -158,13 +163,13 @@
         }
     }
 
-    /** Runs the store. */
-    @Command(name = "store", description = "Runs the platform's key-value service")
-    public static final class StoreCommand extends OneCommand {
-        @Option(name = "--writes", description = "Writes a second")
+    /** Runs the key-value store. */
+    @Command(name = "store", description = "Runs the platform's key-value store")
+    public static final class StoreCommand extends StandinCommand {
+        @Option(name = "--writes", description = "The maximum writes per second")
         int writesPerSecond = 500;
 
-        @Option(name = "--reads", description = "Reads a second")
+        @Option(name = "--reads", description = "The maximum reads per second")
         int readsPerSecond = 2_000;
 
         @Override
@@ -175,18 +180,19 @@
     }
 
     /** Runs many stand-ins in one process. */
-    @Command(name = "fleet", description = "Runs all stand-ins of a file")
+    @Command(name = "fleet", description = "Runs all stand-ins of a JSON file")
     public static final class FleetCommand implements Runnable {
-        @Option(name = "--spec", description = "A JSON file of engines, services and a store")
+        @Option(name = "--spec", description = "A JSON file with engines, services and a store")
         @Required
         String spec;
 
         @Override
         public void run() {
             try {
-                runForever(JsonHandler.JSON.readValue(new File(spec), FleetSpec.class));
+                runUntilInterrupted(JsonHttpServer.JSON.readValue(new File(spec), FleetSpec.class));
             } catch (IOException e) {
-                throw new IllegalArgumentException(spec + " cannot be read: " + e.getMessage(), e);
+                throw new IllegalArgumentException(
+                        "cannot read " + spec + ": " + e.getMessage(), e);
             }
         }
     }
--- a/src/main/java/org/orioleshed/standin/StandinServer.java
+++ b/src/main/java/org/orioleshed/standin/StandinServer.java
@@ -3,37 +3,37 @@
 import com.sun.net.httpserver.HttpExchange;
 import java.io.IOException;
 
-/** A stand-in that answers JSON over HTTP on a loopback port, from {@link #open} on. */
+/** A stand-in that serves JSON over HTTP on a loopback port once {@link #open} is called. */
 abstract class StandinServer implements AutoCloseable {
-    private final JsonHandler handler;
+    private final JsonHttpServer server;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that is not listening yet.
      *
-     * @param port the loopback port; zero for any that is free
+     * @param port the loopback port; zero for any free port
      */
     StandinServer(int port) {
-        this.handler = new JsonHandler(port, this::handle);
+        this.server = new JsonHttpServer(port, this::handle);
     }
 
-    /** Answers one exchange; called on a thread of its own. */
+    /** Handles one exchange, on its own thread. */
     abstract void handle(HttpExchange exchange) throws IOException, InterruptedException;
 
     void open() {
-        handler.open();
+        server.open();
     }
 
-    /** Closes the port and all connections, and opens the port again after a while. */
+    /** Closes the port and all connections, and reopens the port after {@code downMillis}. */
     final void crash(long downMillis) {
-        handler.crash(downMillis);
+        server.crash(downMillis);
     }
 
     @Override
     public final void close() {
-        handler.close();
+        server.close();
     }
 
     final int port() {
-        return handler.port();
+        return server.port();
     }
 }
--- a/src/main/java/org/orioleshed/standin/StoreModel.java
+++ b/src/main/java/org/orioleshed/standin/StoreModel.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * The state of the stand-in store: keys with modification revisions, leases that expire, and the
- * history that watches read. Without clock or sockets; not safe for use by several threads at once.
+ * The state of the stand-in store without clock or sockets: keys with modification revisions,
+ * leases that expire, and the history that watches read. Not thread-safe.
  */
 final class StoreModel {
     private static final int MAX_HISTORY = 20_000;
 
-    /** A key's present value, the value in base64 as on the wire. */
+    /** The current value of a key, in base64 as on the wire. */
     record Item(
             String key,
             String value,
@@ -25,7 +25,7 @@
             long version,
             long lease) {}
 
-    /** A change of a key: its new item, or empty when it was deleted. */
+    /** A change of a key, with its new item, or empty if it was deleted. */
     record Change(long revision, String key, Optional<Item> item) {}
 
     private record Lease(long id, long ttlMillis, long expiresMillis) {}
@@ -44,43 +44,45 @@
         return Optional.ofNullable(items.get(key));
     }
 
-    /** Returns the items from {@code key} on, up to {@code end} (exclusive). */
+    /** Returns the items from {@code key} (inclusive) to {@code end} (exclusive). */
     List<Item> range(String key, String end) {
         return List.copyOf(items.subMap(key, end).values());
     }
 
-    /** Begins a write: all puts and deletions until the next one share a revision. */
+    /** Starts a write: all puts and deletions until the next write share its revision. */
     void beginWrite() {
         revision++;
     }
 
     void put(String key, String value, long lease) {
-        Item old = items.get(key);
-        long created = old == null ? revision : old.createRevision();
-        long version = old == null ? 1 : old.version() + 1;
-        Item item = new Item(key, value, created, revision, version, lease);
+        Item previous = items.get(key);
+        long createRevision = previous == null ? revision : previous.createRevision();
+        long version = previous == null ? 1 : previous.version() + 1;
+        Item item = new Item(key, value, createRevision, revision, version, lease);
         items.put(key, item);
-        remember(new Change(revision, key, Optional.of(item)));
+        appendHistory(new Change(revision, key, Optional.of(item)));
     }
 
     int delete(String key, String end) {
-        List<Item> gone = end.isEmpty() ? get(key).stream().toList() : range(key, end);
-        for (Item item : gone) {
+        List<Item> deleted = end.isEmpty() ? get(key).stream().toList() : range(key, end);
+        for (Item item : deleted) {
             items.remove(item.key());
-            remember(new Change(revision, item.key(), Optional.empty()));
+            appendHistory(new Change(revision, item.key(), Optional.empty()));
         }
-        return gone.size();
+        return deleted.size();
     }
 
-    long grant(long ttlMillis, long nowMillis) {
+    long grantLease(long ttlMillis, long nowMillis) {
         lastLease++;
         leases.put(lastLease, new Lease(lastLease, ttlMillis, nowMillis + ttlMillis));
         return lastLease;
     }
 
-    /** Returns the lease's full time in milliseconds, or zero when it is no more. */
+    /**
+     * Renews a lease and returns its time to live in milliseconds, or zero if it does not exist.
+     */
     long keepAlive(long id, long nowMillis) {
-        expire(nowMillis);
+        expireLeases(nowMillis);
         Lease lease = leases.get(id);
         if (lease == null) {
             return 0;
@@ -93,30 +95,33 @@
         return leases.containsKey(id);
     }
 
-    void revoke(long id) {
+    void revokeLease(long id) {
         if (leases.remove(id) == null) {
             return;
         }
-        List<Item> held = items.values().stream().filter(item -> item.lease() == id).toList();
-        if (!held.isEmpty()) {
+        List<Item> attached = items.values().stream().filter(item -> item.lease() == id).toList();
+        if (!attached.isEmpty()) {
             beginWrite();
-            held.forEach(item -> delete(item.key(), ""));
+            attached.forEach(item -> delete(item.key(), ""));
         }
     }
 
-    /** Revokes the leases whose time is over. */
-    void expire(long nowMillis) {
-        List<Lease> over =
+    /** Revokes the expired leases. */
+    void expireLeases(long nowMillis) {
+        List<Lease> expired =
                 leases.values().stream().filter(l -> l.expiresMillis() <= nowMillis).toList();
-        over.forEach(lease -> revoke(lease.id()));
+        expired.forEach(lease -> revokeLease(lease.id()));
     }
 
-    /** Returns the oldest revision that a watch may start from. */
+    /** Returns the oldest revision from which a watch can start. */
     long oldestWatchable() {
         return history.size() < MAX_HISTORY ? 1 : history.getFirst().revision() + 1;
     }
 
-    /** Returns the changes from {@code fromRevision} on of keys from {@code key} to {@code end}. */
+    /**
+     * Returns the changes since {@code fromRevision} (inclusive) of keys from {@code key}
+     * (inclusive) to {@code end} (exclusive).
+     */
     List<Change> changes(String key, String end, long fromRevision) {
         Deque<Change> found = new ArrayDeque<>();
         Iterator<Change> newestFirst = history.descendingIterator();
@@ -132,7 +137,7 @@
         return List.copyOf(found);
     }
 
-    private void remember(Change change) {
+    private void appendHistory(Change change) {
         history.addLast(change);
         if (history.size() > MAX_HISTORY) {
             history.removeFirst();
--- a/src/main/java/org/orioleshed/standin/StoreServer.java
+++ b/src/main/java/org/orioleshed/standin/StoreServer.java
@@ -16,17 +16,17 @@
 import org.orioleshed.standin.StoreModel.Item;
 
 /**
- * The stand-in for the platform's key-value service: a part of etcd's v3 JSON gateway on a loopback
- * port. Counts its calls, a waiting watch as one, and refuses calls above its rates.
+ * The stand-in for the platform's key-value store: a subset of etcd's v3 JSON gateway on a loopback
+ * port. Counts calls, an open watch as one call, and refuses calls above its rate limits.
  */
 final class StoreServer extends StandinServer {
     /**
-     * What is wrong with the store.
+     * The faults of the store.
      *
-     * @param down whether connections are closed without an answer and without effect
-     * @param slowMillis the time added to each call, in milliseconds
-     * @param loseAnswers the probability that a write takes effect and its answer is lost
-     * @param silentWatches whether watches stay open and say nothing
+     * @param down whether calls have no effect and connections are closed without a response
+     * @param slowMillis the delay added to each call, in milliseconds
+     * @param loseAnswers the probability that a write takes effect and its response is lost
+     * @param silentWatches whether watches stay open and send no events
      */
     record Faults(boolean down, int slowMillis, double loseAnswers, boolean silentWatches) {
         static final Faults NONE = new Faults(false, 0, 0, false);
@@ -34,10 +34,10 @@
 
     private static final long WATCH_POLL_MILLIS = 5;
     private static final int MAX_VALUE_BASE64 = 1_400_000;
-    private static final String NO_END = "\uffff";
+    private static final String END_OF_KEYSPACE = "\uffff";
 
-    private final CallRate writes;
-    private final CallRate reads;
+    private final TokenBucket writeLimit;
+    private final TokenBucket readLimit;
     private final StoreModel model = new StoreModel();
     private final SplittableRandom random = new SplittableRandom(1);
     private volatile Faults faults = Faults.NONE;
@@ -48,48 +48,48 @@
 
     StoreServer(StoreSpec spec) {
         super(spec.port());
-        long now = System.currentTimeMillis();
-        this.writes = new CallRate(spec.writesPerSecond(), now);
-        this.reads = new CallRate(spec.readsPerSecond(), now);
+        long nowMillis = System.currentTimeMillis();
+        this.writeLimit = new TokenBucket(spec.writesPerSecond(), nowMillis);
+        this.readLimit = new TokenBucket(spec.readsPerSecond(), nowMillis);
     }
 
     @Override
     void handle(HttpExchange exchange) throws IOException, InterruptedException {
         String path = exchange.getRequestURI().getPath();
         if (path.startsWith("/standin/")) {
-            control(exchange, path);
+            handleControl(exchange, path);
             return;
         }
-        Faults now = faults;
-        TimeUnit.MILLISECONDS.sleep(now.slowMillis());
-        if (now.down()) {
+        Faults current = faults;
+        TimeUnit.MILLISECONDS.sleep(current.slowMillis());
+        if (current.down()) {
             return;
         }
-        JsonNode body = JsonHandler.read(exchange);
+        JsonNode body = JsonHttpServer.read(exchange);
         if (path.equals("/v3/watch")) {
             watch(exchange, body.path("create_request"));
             return;
         }
         boolean write = !path.equals("/v3/kv/range");
-        if (!take(write)) {
-            ObjectNode refusal = JsonHandler.JSON.createObjectNode();
+        if (!tryAcquire(write)) {
+            ObjectNode refusal = JsonHttpServer.JSON.createObjectNode();
             refusal.put("code", 8).put("message", "etcdserver: too many requests");
-            JsonHandler.reply(exchange, 429, refusal);
+            JsonHttpServer.reply(exchange, 429, refusal);
             return;
         }
-        ObjectNode answer = answer(path, body);
-        if (answer == null) {
-            JsonHandler.error(exchange, 404, "not_found", path);
-        } else if (!write || !lost(now)) {
-            JsonHandler.reply(exchange, 200, answer);
+        ObjectNode response = response(path, body);
+        if (response == null) {
+            JsonHttpServer.error(exchange, 404, "not_found", path);
+        } else if (!write || !isResponseLost(current)) {
+            JsonHttpServer.reply(exchange, 200, response);
         }
     }
 
-    private void control(HttpExchange exchange, String path) throws IOException {
+    private void handleControl(HttpExchange exchange, String path) throws IOException {
         if (path.equals("/standin/faults")) {
-            faults = JsonHandler.read(exchange, Faults.class);
+            faults = JsonHttpServer.read(exchange, Faults.class);
         }
-        JsonHandler.reply(exchange, 200, counts());
+        JsonHttpServer.reply(exchange, 200, counts());
     }
 
     private synchronized Map<String, Object> counts() {
@@ -102,36 +102,37 @@
                 "faults", faults);
     }
 
-    private synchronized boolean take(boolean write) {
-        long now = System.currentTimeMillis();
-        model.expire(now);
+    private synchronized boolean tryAcquire(boolean write) {
+        long nowMillis = System.currentTimeMillis();
+        model.expireLeases(nowMillis);
         if (write) {
             writeCalls++;
         } else {
             readCalls++;
         }
-        boolean taken = write ? writes.take(now) : reads.take(now);
-        refusedCalls += taken ? 0 : 1;
-        return taken;
+        boolean acquired =
+                write ? writeLimit.tryAcquire(nowMillis) : readLimit.tryAcquire(nowMillis);
+        refusedCalls += acquired ? 0 : 1;
+        return acquired;
     }
 
-    private synchronized boolean lost(Faults now) {
-        return random.nextDouble() < now.loseAnswers();
+    private synchronized boolean isResponseLost(Faults current) {
+        return random.nextDouble() < current.loseAnswers();
     }
 
-    private synchronized ObjectNode answer(String path, JsonNode body) {
-        ObjectNode answer =
+    private synchronized ObjectNode response(String path, JsonNode body) {
+        ObjectNode response =
                 switch (path) {
                     case "/v3/kv/range" -> range(body);
                     case "/v3/kv/put" -> write(() -> put(body));
                     case "/v3/kv/deleterange" -> write(() -> delete(body));
-                    case "/v3/kv/txn" -> transact(body);
+                    case "/v3/kv/txn" -> executeTransaction(body);
                     case "/v3/lease/grant" -> grant(body);
                     case "/v3/lease/keepalive" -> keepAlive(body);
                     case "/v3/lease/revoke", "/v3/kv/lease/revoke" -> revoke(body);
                     default -> null;
                 };
-        return answer;
+        return response;
     }
 
     private ObjectNode write(java.util.function.Supplier<ObjectNode> change) {
@@ -143,10 +144,10 @@
         String key = key(body);
         String end = end(body);
         List<Item> items = end.isEmpty() ? model.get(key).stream().toList() : model.range(key, end);
-        ObjectNode answer = withHeader();
-        ArrayNode kvs = answer.putArray("kvs");
+        ObjectNode response = responseWithHeader();
+        ArrayNode kvs = response.putArray("kvs");
         items.forEach(item -> kvs.add(json(item)));
-        return answer.put("count", String.valueOf(items.size()));
+        return response.put("count", String.valueOf(items.size()));
     }
 
     private ObjectNode put(JsonNode body) {
@@ -159,20 +160,20 @@
             throw new IllegalArgumentException("etcdserver: requested lease not found");
         }
         model.put(key(body), value, lease);
-        return withHeader();
+        return responseWithHeader();
     }
 
     private ObjectNode delete(JsonNode body) {
         int deleted = model.delete(key(body), end(body));
-        return withHeader().put("deleted", String.valueOf(deleted));
+        return responseWithHeader().put("deleted", String.valueOf(deleted));
     }
 
-    private ObjectNode transact(JsonNode body) {
-        boolean holds = true;
+    private ObjectNode executeTransaction(JsonNode body) {
+        boolean succeeded = true;
         for (JsonNode compare : body.path("compare")) {
-            holds &= holds(compare);
+            succeeded &= compareHolds(compare);
         }
-        JsonNode operations = body.path(holds ? "success" : "failure");
+        JsonNode operations = body.path(succeeded ? "success" : "failure");
         boolean writing = false;
         for (JsonNode operation : operations) {
             writing |= !operation.has("requestRange") && !operation.has("request_range");
@@ -180,39 +181,43 @@
         if (writing) {
             model.beginWrite();
         }
-        ArrayNode responses = JsonHandler.JSON.createArrayNode();
-        operations.forEach(operation -> responses.add(operate(operation)));
-        ObjectNode answer = withHeader().put("succeeded", holds);
-        answer.set("responses", responses);
-        return answer;
+        ArrayNode responses = JsonHttpServer.JSON.createArrayNode();
+        operations.forEach(operation -> responses.add(executeOperation(operation)));
+        ObjectNode response = responseWithHeader().put("succeeded", succeeded);
+        response.set("responses", responses);
+        return response;
     }
 
-    private boolean holds(JsonNode compare) {
+    private boolean compareHolds(JsonNode compare) {
         Item item = model.get(key(compare)).orElse(null);
         long actual =
                 switch (compare.path("target").asText("VERSION")) {
                     case "MOD" -> item == null ? 0 : item.modRevision();
                     case "CREATE" -> item == null ? 0 : item.createRevision();
                     case "VERSION" -> item == null ? 0 : item.version();
-                    default -> throw new IllegalArgumentException("target is not supported");
+                    default ->
+                            throw new IllegalArgumentException(
+                                    "compare target must be MOD, CREATE or VERSION");
                 };
         String name = compare.path("target").asText("VERSION").toLowerCase(java.util.Locale.ROOT);
         String snake = name.equals("version") ? name : name + "_revision";
         String camel = name.equals("version") ? name : name + "Revision";
-        long wanted = field(compare, snake, camel).asLong();
+        long expected = field(compare, snake, camel).asLong();
         return switch (compare.path("result").asText("EQUAL")) {
-            case "EQUAL" -> actual == wanted;
-            case "GREATER" -> actual > wanted;
-            case "LESS" -> actual < wanted;
-            case "NOT_EQUAL" -> actual != wanted;
-            default -> throw new IllegalArgumentException("result is not supported");
+            case "EQUAL" -> actual == expected;
+            case "GREATER" -> actual > expected;
+            case "LESS" -> actual < expected;
+            case "NOT_EQUAL" -> actual != expected;
+            default ->
+                    throw new IllegalArgumentException(
+                            "compare result must be EQUAL, GREATER, LESS or NOT_EQUAL");
         };
     }
 
-    private ObjectNode operate(JsonNode operation) {
+    private ObjectNode executeOperation(JsonNode operation) {
         JsonNode put = field(operation, "request_put", "requestPut");
         JsonNode delete = field(operation, "request_delete_range", "requestDeleteRange");
-        ObjectNode response = JsonHandler.JSON.createObjectNode();
+        ObjectNode response = JsonHttpServer.JSON.createObjectNode();
         if (put.isObject()) {
             response.set("response_put", put(put));
         } else if (delete.isObject()) {
@@ -226,25 +231,28 @@
 
     private ObjectNode grant(JsonNode body) {
         long ttlSeconds = Math.max(1, body.path("TTL").asLong());
-        long id = model.grant(TimeUnit.SECONDS.toMillis(ttlSeconds), System.currentTimeMillis());
-        return withHeader().put("ID", String.valueOf(id)).put("TTL", String.valueOf(ttlSeconds));
+        long id =
+                model.grantLease(TimeUnit.SECONDS.toMillis(ttlSeconds), System.currentTimeMillis());
+        return responseWithHeader()
+                .put("ID", String.valueOf(id))
+                .put("TTL", String.valueOf(ttlSeconds));
     }
 
     private ObjectNode keepAlive(JsonNode body) {
         long id = body.path("ID").asLong();
         long ttlMillis = model.keepAlive(id, System.currentTimeMillis());
-        ObjectNode result = withHeader().put("ID", String.valueOf(id));
+        ObjectNode result = responseWithHeader().put("ID", String.valueOf(id));
         if (ttlMillis > 0) {
             result.put("TTL", String.valueOf(TimeUnit.MILLISECONDS.toSeconds(ttlMillis)));
         }
-        ObjectNode answer = JsonHandler.JSON.createObjectNode();
-        answer.set("result", result);
-        return answer;
+        ObjectNode response = JsonHttpServer.JSON.createObjectNode();
+        response.set("result", result);
+        return response;
     }
 
     private ObjectNode revoke(JsonNode body) {
-        model.revoke(body.path("ID").asLong());
-        return withHeader();
+        model.revokeLease(body.path("ID").asLong());
+        return responseWithHeader();
     }
 
     private void watch(HttpExchange exchange, JsonNode request)
@@ -252,31 +260,31 @@
         String key = key(request);
         String end = end(request).isEmpty() ? key + '\0' : end(request);
         long next = field(request, "start_revision", "startRevision").asLong();
-        ObjectNode first = JsonHandler.JSON.createObjectNode();
+        ObjectNode firstLine = JsonHttpServer.JSON.createObjectNode();
         synchronized (this) {
             watchCalls++;
             next = next > 0 ? next : model.revision() + 1;
-            first.set("result", withHeader().put("watch_id", "0").put("created", true));
+            firstLine.set("result", responseWithHeader().put("watch_id", "0").put("created", true));
             if (next < model.oldestWatchable()) {
-                ((ObjectNode) first.get("result"))
+                ((ObjectNode) firstLine.get("result"))
                         .put("canceled", true)
                         .put("compact_revision", String.valueOf(model.oldestWatchable()));
             }
         }
         exchange.sendResponseHeaders(200, 0);
         OutputStream out = exchange.getResponseBody();
-        writeLine(out, first);
+        writeLine(out, firstLine);
         while (!faults.down()) {
             ObjectNode line = null;
             synchronized (this) {
                 List<Change> changes = model.changes(key, end, next);
                 if (!changes.isEmpty() && !faults.silentWatches()) {
                     next = changes.getLast().revision() + 1;
-                    line = line(changes);
+                    line = watchLine(changes);
                 }
             }
             if (line == null) {
-                // Waiting on the monitor would hold a carrier thread for each watch.
+                // Polls, because waiting on the monitor would pin a carrier thread for each watch.
                 Thread.sleep(WATCH_POLL_MILLIS);
             } else {
                 writeLine(out, line);
@@ -284,20 +292,20 @@
         }
     }
 
-    private ObjectNode line(List<Change> changes) {
-        ObjectNode result = withHeader().put("watch_id", "0");
+    private ObjectNode watchLine(List<Change> changes) {
+        ObjectNode result = responseWithHeader().put("watch_id", "0");
         ArrayNode events = result.putArray("events");
         for (Change change : changes) {
             ObjectNode event = events.addObject();
             if (change.item().isEmpty()) {
                 event.put("type", "DELETE");
             }
-            ObjectNode kv = JsonHandler.JSON.createObjectNode();
+            ObjectNode kv = JsonHttpServer.JSON.createObjectNode();
             kv.put("key", encode(change.key()));
             kv.put("mod_revision", String.valueOf(change.revision()));
             event.set("kv", change.item().map(StoreServer::json).orElse(kv));
         }
-        ObjectNode line = JsonHandler.JSON.createObjectNode();
+        ObjectNode line = JsonHttpServer.JSON.createObjectNode();
         line.set("result", result);
         return line;
     }
@@ -307,14 +315,14 @@
         out.flush();
     }
 
-    private ObjectNode withHeader() {
-        ObjectNode answer = JsonHandler.JSON.createObjectNode();
-        answer.putObject("header").put("revision", String.valueOf(model.revision()));
-        return answer;
+    private ObjectNode responseWithHeader() {
+        ObjectNode response = JsonHttpServer.JSON.createObjectNode();
+        response.putObject("header").put("revision", String.valueOf(model.revision()));
+        return response;
     }
 
     private static ObjectNode json(Item item) {
-        return JsonHandler.JSON
+        return JsonHttpServer.JSON
                 .createObjectNode()
                 .put("key", encode(item.key()))
                 .put("create_revision", String.valueOf(item.createRevision()))
@@ -338,7 +346,7 @@
 
     private static String end(JsonNode body) {
         String end = decode(field(body, "range_end", "rangeEnd").asText());
-        return end.equals("\0") ? NO_END : end;
+        return end.equals("\0") ? END_OF_KEYSPACE : end;
     }
 
     private static String decode(String base64) {
--- a/src/main/java/org/orioleshed/standin/StoreSpec.java
+++ b/src/main/java/org/orioleshed/standin/StoreSpec.java
@@ -1,10 +1,10 @@
 package org.orioleshed.standin;
 
 /**
- * The stand-in store.
+ * The configuration of the stand-in store.
  *
  * @param port the loopback port
- * @param writesPerSecond the rate of writes above which calls are refused
- * @param readsPerSecond the rate of reads above which calls are refused
+ * @param writesPerSecond the maximum rate of writes; further writes are refused
+ * @param readsPerSecond the maximum rate of reads; further reads are refused
  */
 public record StoreSpec(int port, int writesPerSecond, int readsPerSecond) {}
--- a/src/main/java/org/orioleshed/standin/CallRate.java
+++ b/src/main/java/org/orioleshed/standin/TokenBucket.java
@@ -1,27 +1,27 @@
 package org.orioleshed.standin;
 
-/** Lets calls through up to a rate, with bursts of at most a second's worth. */
-final class CallRate {
+/** A token bucket that limits calls to a rate, with a capacity of one second of calls. */
+final class TokenBucket {
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final int perSecond;
-    private double left;
+    private double available;
     private long lastMillis;
 
-    CallRate(int perSecond, long nowMillis) {
+    TokenBucket(int perSecond, long nowMillis) {
         this.perSecond = perSecond;
-        this.left = perSecond;
+        this.available = perSecond;
         this.lastMillis = nowMillis;
     }
 
-    boolean take(long nowMillis) {
+    boolean tryAcquire(long nowMillis) {
         double refill = (nowMillis - lastMillis) * perSecond / MILLIS_PER_SECOND;
-        left = Math.min(perSecond, left + Math.max(0, refill));
+        available = Math.min(perSecond, available + Math.max(0, refill));
         lastMillis = nowMillis;
-        if (left < 1) {
+        if (available < 1) {
             return false;
         }
-        left--;
+        available--;
         return true;
     }
 }
--- a/src/main/java/org/orioleshed/standin/package-info.java
+++ b/src/main/java/org/orioleshed/standin/package-info.java
@@ -1,2 +1,4 @@
-/** Stand-ins for the platform's store, the model engine and the plain service. */
+/**
+ * Stand-ins for the platform's store, model engines and plain services, for tests and load runs.
+ */
 package org.orioleshed.standin;
--- a/src/test/java/org/orioleshed/standin/EngineModelTest.java
+++ b/src/test/java/org/orioleshed/standin/EngineModelTest.java
@@ -9,6 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Guards the timing, admission, cache and fault injection of simulated engines. */
 public class EngineModelTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final EngineSpec SPEC =
@@ -22,7 +23,7 @@
         return new EngineRun(id, "w ".repeat(promptTokens), answerTokens, 0);
     }
 
-    /** Steps until {@code run} has ended; returns the time that it took, in milliseconds. */
+    /** Steps the engine until {@code run} has ended; returns the simulated time in milliseconds. */
     private static double finish(EngineModel engine, EngineRun run) {
         long nanos = 0;
         engine.step(0);
@@ -34,17 +35,17 @@
     }
 
     @Test
-    public void oneRunTakesItsPrefillAndItsSteps() {
+    public void singleRunTakesPrefillAndDecodeTime() {
         EngineModel engine = engine();
         EngineRun run = run("r", 100, 5);
         assertEquals(engine.submit(run), Admission.TAKEN);
         assertEquals(finish(engine, run), 100 + 5 * 20.0, 1);
-        assertEquals(run.prefillDone, 100);
-        assertEquals(run.pieces.size(), 6);
+        assertEquals(run.prefilledTokens, 100);
+        assertEquals(run.streamEvents.size(), 6);
     }
 
     @Test
-    public void aFullerBatchSlowsEachRunAndOthersWaitInOrder() {
+    public void fullBatchSlowsRunsAndQueuesOthersInOrder() {
         EngineModel engine = engine();
         EngineRun first = run("1", 1, 50);
         EngineRun second = run("2", 1, 50);
@@ -54,13 +55,13 @@
         engine.submit(third);
         double millis = finish(engine, first);
         assertTrue(millis >= 50 * 23, "took " + millis);
-        assertEquals(third.prefillDone, 0);
+        assertEquals(third.prefilledTokens, 0);
         finish(engine, third);
         assertEquals(third.state, State.FINISHED);
     }
 
     @Test
-    public void aCachedPrefixIsNotPrefilledAgainUntilItIsDropped() {
+    public void cachedPrefixIsNotPrefilledUntilEvicted() {
         EngineModel engine = engine();
         EngineRun first = run("1", 640, 1);
         engine.submit(first);
@@ -68,25 +69,25 @@
         EngineRun again = run("2", 640, 1);
         engine.submit(again);
         finish(engine, again);
-        assertEquals(again.prefillDone, 1);
+        assertEquals(again.prefilledTokens, 1);
         EngineRun other = new EngineRun("3", "x ".repeat(6_400), 1, 0);
         engine.submit(other);
         finish(engine, other);
         EngineRun last = run("4", 640, 1);
         engine.submit(last);
         finish(engine, last);
-        assertEquals(last.prefillDone, 640);
+        assertEquals(last.prefilledTokens, 640);
     }
 
     @Test
-    public void theSameRunIdIsTakenOnce() {
+    public void duplicateRunIdIsRejected() {
         EngineModel engine = engine();
         engine.submit(run("r", 1, 1));
         assertEquals(engine.submit(run("r", 1, 1)), Admission.DUPLICATE);
     }
 
     @Test
-    public void aCancelledRunLeavesTheBatchAndTheCountOfItsPrefillStays() {
+    public void cancelledRunLeavesBatchAndKeepsPrefillCount() {
         EngineModel engine = engine();
         EngineRun run = run("r", 400, 5);
         engine.submit(run);
@@ -95,23 +96,23 @@
         engine.cancel("r", 2);
         engine.step(3);
         assertEquals(run.state, State.CANCELLED);
-        assertEquals(run.prefillDone, EngineModel.PREFILL_CHUNK_TOKENS);
+        assertEquals(run.prefilledTokens, EngineModel.PREFILL_CHUNK_TOKENS);
         assertEquals(engine.running(), 0);
         assertEquals(engine.stepNanos(), -1);
     }
 
     @Test
-    public void aResumedRunSendsOnlyTheRest() {
+    public void resumedRunSendsOnlyRemainingTokens() {
         EngineModel engine = engine();
         EngineRun run = new EngineRun("r", "w w w", 5, 3);
         engine.submit(run);
         finish(engine, run);
-        assertEquals(run.pieces.peek(), new EngineRun.Piece.Token(3));
-        assertEquals(run.pieces.size(), 3);
+        assertEquals(run.streamEvents.peek(), new EngineRun.StreamEvent.Token(3));
+        assertEquals(run.streamEvents.size(), 3);
     }
 
     @Test
-    public void aSlowEngineTakesLongerByItsFactor() {
+    public void slowEngineScalesTimeBySpeedFactor() {
         EngineModel engine = engine();
         engine.setFaults(new EngineFaults(0.2, 0, 0, 0, 0, null, null, null, 0));
         EngineRun run = run("r", 100, 5);
@@ -133,7 +134,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void faultsStrikeOnlyWhatTheyName(EngineFaults faults, Admission expected) {
+    public void faultsApplyOnlyToMatchingRuns(EngineFaults faults, Admission expected) {
         EngineModel engine = engine();
         engine.submit(run("earlier", 1, 1));
         engine.setFaults(faults);
@@ -142,7 +143,7 @@
     }
 
     @Test
-    public void cacheEventsComeLateAndWithGaps() {
+    public void cacheEventsAreDelayedAndHaveGaps() {
         CacheEvents events = new CacheEvents();
         for (long block = 0; block < 40; block++) {
             events.add(java.util.List.of(block), java.util.List.of());
--- a/src/test/java/org/orioleshed/standin/StandinTextTest.java
+++ b/src/test/java/org/orioleshed/standin/StandinTextTest.java
@@ -6,17 +6,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Guards the generated text, by which callers verify complete answers. */
 public class StandinTextTest {
     @Test
-    public void answerIsTheJoinOfItsTokensWhereverTheStreamIsResumed() {
+    public void answerIsConcatenationOfTokensAtAnyResumeOffset() {
         long seed = StandinText.seed("a prompt");
         String resumed = StandinText.token(seed, 2) + StandinText.token(seed, 3);
-        String whole = StandinText.answer("a prompt", 4);
-        assertEquals(whole, StandinText.answer("a prompt", 2) + resumed);
+        String complete = StandinText.answer("a prompt", 4);
+        assertEquals(complete, StandinText.answer("a prompt", 2) + resumed);
     }
 
     @Test
-    public void otherPromptsGetOtherAnswers() {
+    public void differentPromptsGiveDifferentAnswers() {
         assertNotEquals(StandinText.answer("one", 8), StandinText.answer("two", 8));
     }
 
@@ -33,12 +34,12 @@
     }
 
     @Test(dataProvider = "lengths")
-    public void lengthIsWhatThePromptSaysWithinTheLimit(String prompt, int max, int expected) {
+    public void lengthIsReadFromPromptWithinLimits(String prompt, int max, int expected) {
         assertEquals(StandinText.length(prompt, max), expected);
     }
 
     @Test
-    public void tagIsFoundInTheText() {
+    public void tagIsReadFromText() {
         assertEquals(StandinText.tag("x\ntag=s1r2 route=a", "none"), "s1r2");
         assertEquals(StandinText.tag("untagged", "none"), "none");
     }
--- a/src/test/java/org/orioleshed/standin/StoreModelTest.java
+++ b/src/test/java/org/orioleshed/standin/StoreModelTest.java
@@ -8,6 +8,7 @@
 import org.orioleshed.standin.StoreModel.Change;
 import org.testng.annotations.Test;
 
+/** Guards revisions, leases, history and rate limits of the stand-in store. */
 public class StoreModelTest {
     private static void write(StoreModel store, String key, long lease) {
         store.beginWrite();
@@ -15,7 +16,7 @@
     }
 
     @Test
-    public void eachWriteHasARevisionOfItsOwn() {
+    public void eachWriteHasItsOwnRevision() {
         StoreModel store = new StoreModel();
         write(store, "a", 0);
         write(store, "a", 0);
@@ -26,20 +27,20 @@
     }
 
     @Test
-    public void aLeaseThatIsNotKeptTakesItsKeysWithIt() {
+    public void expiredLeaseDeletesItsKeys() {
         StoreModel store = new StoreModel();
-        long lease = store.grant(1_000, 0);
+        long lease = store.grantLease(1_000, 0);
         write(store, "held", lease);
         assertEquals(store.keepAlive(lease, 900), 1_000);
-        store.expire(1_800);
+        store.expireLeases(1_800);
         assertTrue(store.get("held").isPresent());
-        store.expire(1_900);
+        store.expireLeases(1_900);
         assertFalse(store.get("held").isPresent());
         assertEquals(store.keepAlive(lease, 1_901), 0);
     }
 
     @Test
-    public void changesAreReadFromARevisionOnWithinTheRange() {
+    public void changesAreFilteredByRevisionAndRange() {
         StoreModel store = new StoreModel();
         write(store, "a/1", 0);
         long from = store.revision() + 1;
@@ -53,11 +54,11 @@
     }
 
     @Test
-    public void callsAboveTheRateAreRefusedUntilTimePasses() {
-        CallRate rate = new CallRate(2, 0);
-        assertTrue(rate.take(0));
-        assertTrue(rate.take(0));
-        assertFalse(rate.take(0));
-        assertTrue(rate.take(500));
+    public void tokenBucketRefusesCallsAboveRateUntilRefill() {
+        TokenBucket bucket = new TokenBucket(2, 0);
+        assertTrue(bucket.tryAcquire(0));
+        assertTrue(bucket.tryAcquire(0));
+        assertFalse(bucket.tryAcquire(0));
+        assertTrue(bucket.tryAcquire(500));
     }
 }
--- a/src/test/java/org/orioleshed/standin/StoreServerTest.java
+++ b/src/test/java/org/orioleshed/standin/StoreServerTest.java
@@ -21,6 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
+/** Guards the etcd subset served by the stand-in store, and its fault injection. */
 public class StoreServerTest {
     private final HttpClient client = HttpClient.newHttpClient();
     private StoreServer store;
@@ -45,14 +46,15 @@
     }
 
     private JsonNode json(String path, String body) throws IOException, InterruptedException {
-        return JsonHandler.JSON.readTree(post(path, body, BodyHandlers.ofByteArray()).body());
+        return JsonHttpServer.JSON.readTree(post(path, body, BodyHandlers.ofByteArray()).body());
     }
 
     private static String base64(String text) {
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private JsonNode swap(String key, long revision) throws IOException, InterruptedException {
+    private JsonNode compareAndSwap(String key, long revision)
+            throws IOException, InterruptedException {
         String body =
                 String.format(
                         "{'compare':[{'key':'%1$s','target':'MOD','mod_revision':'%2$d'}],"
@@ -63,34 +65,34 @@
     }
 
     @Test
-    public void compareAndSwapTakesEffectOnceAndThenShowsThePresentValue() throws Exception {
-        assertTrue(swap("k", 0).path("succeeded").asBoolean());
-        JsonNode second = swap("k", 0);
+    public void failedCompareAndSwapReturnsCurrentValue() throws Exception {
+        assertTrue(compareAndSwap("k", 0).path("succeeded").asBoolean());
+        JsonNode second = compareAndSwap("k", 0);
         assertFalse(second.path("succeeded").asBoolean());
-        JsonNode present = second.at("/responses/0/response_range/kvs/0");
-        assertEquals(present.path("value").asText(), "dg==");
-        long revision = present.path("mod_revision").asLong();
-        assertTrue(swap("k", revision).path("succeeded").asBoolean());
+        JsonNode current = second.at("/responses/0/response_range/kvs/0");
+        assertEquals(current.path("value").asText(), "dg==");
+        long revision = current.path("mod_revision").asLong();
+        assertTrue(compareAndSwap("k", revision).path("succeeded").asBoolean());
     }
 
     @Test
-    public void aWriteWhoseAnswerIsLostHasTakenEffect() throws Exception {
+    public void writeTakesEffectWhenResponseIsLost() throws Exception {
         json("/standin/faults", "{'loseAnswers':1}");
-        assertThrows(IOException.class, () -> swap("k", 0));
+        assertThrows(IOException.class, () -> compareAndSwap("k", 0));
         JsonNode read = json("/v3/kv/range", "{'key':'" + base64("k") + "'}");
         assertEquals(read.path("count").asText(), "1");
     }
 
     @Test
-    public void aStoreThatIsDownAnswersNothingAndDoesNothing() throws Exception {
+    public void downStoreHasNoEffectAndSendsNoResponse() throws Exception {
         json("/standin/faults", "{'down':true}");
-        assertThrows(IOException.class, () -> swap("k", 0));
+        assertThrows(IOException.class, () -> compareAndSwap("k", 0));
         json("/standin/faults", "{}");
-        assertTrue(swap("k", 0).path("succeeded").asBoolean());
+        assertTrue(compareAndSwap("k", 0).path("succeeded").asBoolean());
     }
 
     @Test
-    public void aWatchHearsOfChangesAndCountsAsOneCall() throws Exception {
+    public void watchReceivesChangesAndCountsAsOneCall() throws Exception {
         String body =
                 String.format(
                         "{'create_request':{'key':'%s','range_end':'%s','start_revision':'1'}}",
@@ -101,27 +103,28 @@
                                 post("/v3/watch", body, BodyHandlers.ofInputStream()).body(),
                                 StandardCharsets.UTF_8))) {
             assertTrue(lines.readLine().contains("\"created\":true"));
-            swap("a/x", 0);
-            JsonNode event = JsonHandler.JSON.readTree(lines.readLine()).at("/result/events/0/kv");
+            compareAndSwap("a/x", 0);
+            JsonNode event =
+                    JsonHttpServer.JSON.readTree(lines.readLine()).at("/result/events/0/kv");
             assertEquals(event.path("key").asText(), base64("a/x"));
         }
         assertEquals(json("/standin/counts", "{}").path("watches").asInt(), 1);
     }
 
     @Test
-    public void writesAboveTheRateAreRefused() throws Exception {
+    public void writesAboveRateAreRefused() throws Exception {
         store.close();
         store = new StoreServer(new StoreSpec(0, 1, 2_000));
         store.open();
-        swap("a", 0);
+        compareAndSwap("a", 0);
         String body = "{'key':'" + base64("k") + "','value':''}";
         assertEquals(post("/v3/kv/put", body, BodyHandlers.discarding()).statusCode(), 429);
     }
 
     @Test
-    public void badInputIsRefusedAndTheStoreServesOn() throws Exception {
+    public void malformedInputIsRejectedAndStoreStaysAvailable() throws Exception {
         int status = post("/v3/kv/range", "{'key':", BodyHandlers.discarding()).statusCode();
         assertEquals(status, 400);
-        assertTrue(swap("k", 0).path("succeeded").asBoolean());
+        assertTrue(compareAndSwap("k", 0).path("succeeded").asBoolean());
     }
 }
