--- a/src/main/java/org/orioleshed/trial/EngineQueues.java
+++ b/src/main/java/org/orioleshed/trial/EngineQueues.java
@@ -3,50 +3,51 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sends each request to an engine at once, where it waits in order of arrival: the better of two
- * random engines by what they reported last.
+ * Sends each request immediately to an engine, where it is queued in order of arrival. The engine
+ * is the one with the lower last reported load of two random choices.
  */
 final class EngineQueues implements Policy {
-    private final Floor floor;
+    private final Context context;
     private final RandomGenerator random;
-    private final long reportNanos;
-    private final int[] reported;
-    private long reportedNanos;
+    private final long reportIntervalNanos;
+    private final int[] reportedLoads;
+    private long lastReportNanos;
 
     /**
-     * Makes one.
+     * Creates a policy.
      *
-     * @param reportMillis the interval of the engines' reports; 0 for what they have now
+     * @param reportIntervalMillis the interval of load reports, in milliseconds; 0 for the current
+     *     load
      */
-    EngineQueues(Floor floor, RandomGenerator random, long reportMillis) {
-        this.floor = floor;
+    EngineQueues(Context context, RandomGenerator random, long reportIntervalMillis) {
+        this.context = context;
         this.random = random;
-        this.reportNanos = reportMillis * ModelEngine.NANOS_PER_MILLI;
-        this.reported = new int[floor.engines()];
+        this.reportIntervalNanos = reportIntervalMillis * SimulatedEngine.NANOS_PER_MILLI;
+        this.reportedLoads = new int[context.engines()];
     }
 
     @Override
-    public void came(TrialRequest request, long nowNanos) {
-        if (nowNanos - reportedNanos >= reportNanos) {
-            reportedNanos = nowNanos;
-            for (int engine = 0; engine < reported.length; engine++) {
-                reported[engine] = floor.load(engine);
+    public void onArrival(TrialRequest request, long nowNanos) {
+        if (nowNanos - lastReportNanos >= reportIntervalNanos) {
+            lastReportNanos = nowNanos;
+            for (int engine = 0; engine < reportedLoads.length; engine++) {
+                reportedLoads[engine] = context.load(engine);
             }
         }
-        int one = random.nextInt(reported.length);
-        int other = random.nextInt(reported.length);
-        floor.send(request, reported[one] <= reported[other] ? one : other);
+        int first = random.nextInt(reportedLoads.length);
+        int second = random.nextInt(reportedLoads.length);
+        context.send(request, reportedLoads[first] <= reportedLoads[second] ? first : second);
     }
 
     @Override
-    public void first(TrialRequest request, long nowNanos) {}
+    public void onFirstEvent(TrialRequest request, long nowNanos) {}
 
     @Override
-    public void ended(TrialRequest request, int events, long nowNanos) {}
+    public void onCompleted(TrialRequest request, int events, long nowNanos) {}
 
     @Override
-    public void left(TrialRequest request, long nowNanos) {}
+    public void onCallerLeft(TrialRequest request, long nowNanos) {}
 
     @Override
-    public void tick(long nowNanos) {}
+    public void onTick(long nowNanos) {}
 }
--- a/src/main/java/org/orioleshed/trial/LoadPattern.java
+++ b/src/main/java/org/orioleshed/trial/LoadPattern.java
@@ -3,23 +3,23 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A load and what strikes it. */
+/** A load over time, with bursts and slowdowns of engines. */
 enum LoadPattern {
-    /** Fewer requests than the engines can serve. */
+    /** A constant load below capacity. */
     STEADY(0.75, 1, 10, 0, 0, 1),
-    /** Twice a burst to half as much again as the engines can serve. */
+    /** Bursts to one and a half times the capacity. */
     BURSTS(0.75, 2, 12, 4, 0, 1),
-    /** More than the engines can serve all the time. */
+    /** A constant load above capacity. */
     OVERLOAD(1.3, 1, 10, 0, 0, 1),
-    /** A quarter of the engines turn four times as slow in each burst. */
+    /** A quarter of the engines are slower by a factor of four during each burst. */
     SLOW_ENGINES(0.75, 1.2, 12, 5, 0.25, 4);
 
-    /** Callers send for so long. */
-    static final double SECONDS = 40;
+    /** The time during which requests arrive. */
+    static final double DURATION_SECONDS = 40;
 
     /**
-     * The kinds, at the rates of a load of 1 on one engine of usual speed: long and short answers
-     * that callers wait for, and many small patient ones.
+     * The kinds of requests, with their rates at a load of 1 on one engine of speed 1: interactive
+     * requests with long and with short outputs, and many small patient requests.
      */
     static final List<RequestKind> KINDS =
             List.of(
@@ -27,50 +27,50 @@
                     new RequestKind("short", 1, 1.56, 690, 290, 610, 10_100, 1.6, 0.48),
                     new RequestKind("patient", 2, 3.84, 1_860, 20, 1_010, 2_520, 0.21, 0.06));
 
-    /** The part of the engines' capacity that is asked for on average. */
+    /** The load outside bursts as a share of the capacity. */
     final double load;
 
-    /** By what the load is multiplied in bursts. */
-    final double burst;
+    /** The factor by which the load rises during bursts. */
+    final double burstFactor;
 
-    /** A burst ends at this interval. */
-    final double burstEverySeconds;
+    /** The period of bursts; a burst is at the end of each period. */
+    final double burstPeriodSeconds;
 
-    /** How long a burst takes. */
+    /** The duration of a burst. */
     final double burstSeconds;
 
-    /** The part of the engines that turn slow in bursts, from 0 to 1. */
-    final double slowPart;
+    /** The share of engines that slow down during bursts, from 0 to 1. */
+    final double slowShare;
 
-    /** By what their steps are longer then. */
-    final double slowness;
+    /** The factor by which the steps of slow engines take longer. */
+    final double slowdown;
 
     LoadPattern(
             double load,
-            double burst,
-            double burstEverySeconds,
+            double burstFactor,
+            double burstPeriodSeconds,
             double burstSeconds,
-            double slowPart,
-            double slowness) {
+            double slowShare,
+            double slowdown) {
         this.load = load;
-        this.burst = burst;
-        this.burstEverySeconds = burstEverySeconds;
+        this.burstFactor = burstFactor;
+        this.burstPeriodSeconds = burstPeriodSeconds;
         this.burstSeconds = burstSeconds;
-        this.slowPart = slowPart;
-        this.slowness = slowness;
+        this.slowShare = slowShare;
+        this.slowdown = slowdown;
     }
 
-    /** Returns its name as users write it. */
+    /** Returns the name in reports. */
     String id() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     boolean isBurst(double seconds) {
-        return seconds % burstEverySeconds >= burstEverySeconds - burstSeconds;
+        return seconds % burstPeriodSeconds >= burstPeriodSeconds - burstSeconds;
     }
 
-    /** Returns the requests of a kind that come a second, by all callers. */
-    double rate(RequestKind kind, double seconds, double engines) {
-        return kind.perSecond() * engines * load * (isBurst(seconds) ? burst : 1);
+    /** Returns the arrival rate of a kind at a time, in requests per second. */
+    double rate(RequestKind kind, double seconds, double totalSpeed) {
+        return kind.perSecond() * totalSpeed * load * (isBurst(seconds) ? burstFactor : 1);
     }
 }
--- a/src/main/java/org/orioleshed/trial/OneQueue.java
+++ b/src/main/java/org/orioleshed/trial/OneQueue.java
@@ -3,61 +3,65 @@
 import java.util.Comparator;
 import java.util.TreeSet;
 
-/** One queue before engines that get no more than they run at once; refuses nobody. */
+/**
+ * A single queue in front of all engines. Each engine gets at most as many runs as it has slots; no
+ * request is refused.
+ */
 final class OneQueue implements Policy {
-    /** Who came first is next. */
-    static final Comparator<TrialRequest> ARRIVAL =
-            Comparator.comparingLong((TrialRequest request) -> request.cameNanos)
-                    .thenComparingLong(request -> request.number);
+    /** Orders requests by arrival. */
+    static final Comparator<TrialRequest> BY_ARRIVAL =
+            Comparator.comparingLong((TrialRequest request) -> request.arrivalNanos)
+                    .thenComparingLong(request -> request.id);
 
-    /** The more urgent rank is next, and of one rank who came first. */
-    static final Comparator<TrialRequest> RANK =
+    /** Orders requests by rank, and within a rank by arrival. */
+    static final Comparator<TrialRequest> BY_RANK =
             Comparator.comparingInt((TrialRequest request) -> request.kind.rank())
-                    .thenComparing(ARRIVAL);
+                    .thenComparing(BY_ARRIVAL);
 
-    private final Floor floor;
+    private final Context context;
     private final TreeSet<TrialRequest> waiting;
 
-    OneQueue(Floor floor, Comparator<TrialRequest> order) {
-        this.floor = floor;
+    OneQueue(Context context, Comparator<TrialRequest> order) {
+        this.context = context;
         this.waiting = new TreeSet<>(order);
     }
 
     @Override
-    public void came(TrialRequest request, long nowNanos) {
+    public void onArrival(TrialRequest request, long nowNanos) {
         waiting.add(request);
-        serve();
+        dispatch();
     }
 
-    private void serve() {
+    private void dispatch() {
         while (!waiting.isEmpty()) {
-            int best = 0;
-            for (int engine = 1; engine < floor.engines(); engine++) {
-                best = floor.load(engine) < floor.load(best) ? engine : best;
+            int leastLoaded = 0;
+            for (int engine = 1; engine < context.engines(); engine++) {
+                leastLoaded =
+                        context.load(engine) < context.load(leastLoaded) ? engine : leastLoaded;
             }
-            if (floor.load(best) >= floor.slots()) {
+            if (context.load(leastLoaded) >= context.slots()) {
                 return;
             }
-            floor.send(waiting.pollFirst(), best);
+            context.send(waiting.pollFirst(), leastLoaded);
         }
     }
 
     @Override
-    public void first(TrialRequest request, long nowNanos) {}
+    public void onFirstEvent(TrialRequest request, long nowNanos) {}
 
     @Override
-    public void ended(TrialRequest request, int events, long nowNanos) {
-        serve();
+    public void onCompleted(TrialRequest request, int events, long nowNanos) {
+        dispatch();
     }
 
     @Override
-    public void left(TrialRequest request, long nowNanos) {
+    public void onCallerLeft(TrialRequest request, long nowNanos) {
         waiting.remove(request);
-        serve();
+        dispatch();
     }
 
     @Override
-    public void tick(long nowNanos) {
-        serve();
+    public void onTick(long nowNanos) {
+        dispatch();
     }
 }
--- a/src/main/java/org/orioleshed/trial/Policy.java
+++ b/src/main/java/org/orioleshed/trial/Policy.java
@@ -1,37 +1,37 @@
 package org.orioleshed.trial;
 
-/** A way to queue, place and refuse requests. */
+/** A policy that queues, places and refuses requests. */
 interface Policy {
-    /** A caller sends a request, for the first time or once more. */
-    void came(TrialRequest request, long nowNanos);
+    /** Called when a caller sends a request, for the first time or as a retry. */
+    void onArrival(TrialRequest request, long nowNanos);
 
-    /** A request's first event came. */
-    void first(TrialRequest request, long nowNanos);
+    /** Called when the first event of a request is received. */
+    void onFirstEvent(TrialRequest request, long nowNanos);
 
-    /** A request was answered whole. */
-    void ended(TrialRequest request, int events, long nowNanos);
+    /** Called when a request is completed. */
+    void onCompleted(TrialRequest request, int events, long nowNanos);
 
-    /** A request's caller has left, wherever the request is. */
-    void left(TrialRequest request, long nowNanos);
+    /** Called when the caller of a queued or running request leaves. */
+    void onCallerLeft(TrialRequest request, long nowNanos);
 
-    /** Time passed. */
-    void tick(long nowNanos);
+    /** Called at a regular interval. */
+    void onTick(long nowNanos);
 
-    /** What a policy may do. */
-    interface Floor {
+    /** The engines and the actions available to a policy. */
+    interface Context {
         /** Sends a request to an engine. */
         void send(TrialRequest request, int engine);
 
-        /** Turns a request away. */
+        /** Refuses a request. */
         void refuse(TrialRequest request, long retryAfterMillis);
 
-        /** Returns how many runs an engine has now. */
+        /** Returns the number of runs on an engine or on the way to it. */
         int load(int engine);
 
-        /** Returns how many engines there are. */
+        /** Returns the number of engines. */
         int engines();
 
-        /** Returns how many runs an engine runs at once. */
+        /** Returns the number of slots of an engine. */
         int slots();
     }
 }
--- a/src/main/java/org/orioleshed/trial/PolicyTrial.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrial.java
@@ -7,104 +7,108 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 
-/** Plays a load pattern against one policy, in simulated time; the same for the same seed. */
-final class PolicyTrial implements Policy.Floor, ModelEngine.Listener {
+/** Simulates one policy under a load pattern. The same seed gives the same result. */
+final class PolicyTrial implements Policy.Context, SimulatedEngine.Listener {
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long TICK_NANOS = 20 * ModelEngine.NANOS_PER_MILLI;
+    private static final long TICK_INTERVAL_NANOS = 20 * SimulatedEngine.NANOS_PER_MILLI;
 
-    /** A caller that is turned away comes back so often. */
-    private static final int RETRIES = 1;
+    /** The number of times that a caller retries a refused request. */
+    private static final int MAX_RETRIES = 1;
 
-    /** What a message between hosts and engines takes, one way. */
-    private static final long WAY_NANOS = ModelEngine.NANOS_PER_MILLI / 2;
+    /** The one-way delay of a message between a host and an engine. */
+    private static final long ONE_WAY_DELAY_NANOS = SimulatedEngine.NANOS_PER_MILLI / 2;
 
     private final LoadPattern pattern;
-    private final List<ModelEngine> engines = new ArrayList<>();
+    private final List<SimulatedEngine> engines = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
+                    Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::sequence));
     private final List<TrialRequest> requests = new ArrayList<>();
-    private final int[] underWay;
+    private final int[] inFlight;
     private final Policy policy;
     private long nowNanos;
-    private long order;
+    private long nextSequence;
 
-    private record Event(long atNanos, long order, Runnable action) {}
+    private record Event(long atNanos, long sequence, Runnable action) {}
 
     /**
-     * Makes one.
+     * Creates a trial.
      *
-     * @param speeds the engines' speeds against the usual one
-     * @param maker makes the policy
+     * @param speeds the speed of each engine, as a factor of the speed in {@code spec}
+     * @param policyFactory creates the policy
      */
     PolicyTrial(
             LoadPattern pattern,
-            ModelEngine.Spec spec,
+            SimulatedEngine.Spec spec,
             double[] speeds,
             long seed,
-            BiFunction<Policy.Floor, SplittableRandom, Policy> maker) {
+            BiFunction<Policy.Context, SplittableRandom, Policy> policyFactory) {
         this.pattern = pattern;
-        this.underWay = new int[speeds.length];
+        this.inFlight = new int[speeds.length];
         SplittableRandom random = new SplittableRandom(seed);
-        double speed = 0;
-        for (double one : speeds) {
-            engines.add(new ModelEngine(spec.withSpeed(one), this));
-            speed += one;
+        double totalSpeed = 0;
+        for (double speed : speeds) {
+            engines.add(new SimulatedEngine(spec.withSpeed(speed), this));
+            totalSpeed += speed;
         }
-        policy = maker.apply(this, random.split());
-        plan(speed, random);
-        planSlowness();
-        long end = (long) ((LoadPattern.SECONDS + 12) * NANOS_PER_SECOND);
-        for (long at = 0; at < end; at += TICK_NANOS) {
-            schedule(at, () -> policy.tick(nowNanos));
+        policy = policyFactory.apply(this, random.split());
+        scheduleArrivals(totalSpeed, random);
+        scheduleSlowdowns();
+        long endNanos = (long) ((LoadPattern.DURATION_SECONDS + 12) * NANOS_PER_SECOND);
+        for (long atNanos = 0; atNanos < endNanos; atNanos += TICK_INTERVAL_NANOS) {
+            schedule(atNanos, () -> policy.onTick(nowNanos));
         }
     }
 
-    private void plan(double speed, SplittableRandom random) {
+    private void scheduleArrivals(double totalSpeed, SplittableRandom random) {
         for (RequestKind kind : LoadPattern.KINDS) {
-            double most = pattern.rate(kind, pattern.burstEverySeconds - 0.001, speed);
-            most = Math.max(most, pattern.rate(kind, 0, speed));
-            double at = 0;
-            while (at < LoadPattern.SECONDS) {
-                at += -Math.log(1 - random.nextDouble()) / most;
-                boolean kept = random.nextDouble() < pattern.rate(kind, at, speed) / most;
-                if (kept && at < LoadPattern.SECONDS) {
-                    arrive(kind, (long) (at * NANOS_PER_SECOND));
+            double peakRate = pattern.rate(kind, pattern.burstPeriodSeconds - 0.001, totalSpeed);
+            peakRate = Math.max(peakRate, pattern.rate(kind, 0, totalSpeed));
+            double atSeconds = 0;
+            while (atSeconds < LoadPattern.DURATION_SECONDS) {
+                atSeconds += -Math.log(1 - random.nextDouble()) / peakRate;
+                boolean accepted =
+                        random.nextDouble() < pattern.rate(kind, atSeconds, totalSpeed) / peakRate;
+                if (accepted && atSeconds < LoadPattern.DURATION_SECONDS) {
+                    scheduleArrival(kind, (long) (atSeconds * NANOS_PER_SECOND));
                 }
             }
         }
     }
 
-    private void arrive(RequestKind kind, long atNanos) {
+    private void scheduleArrival(RequestKind kind, long atNanos) {
         TrialRequest request = new TrialRequest(requests.size(), kind, atNanos);
         requests.add(request);
-        schedule(atNanos, () -> policy.came(request, nowNanos));
-        schedule(request.endNanos(), () -> leave(request));
+        schedule(atNanos, () -> policy.onArrival(request, nowNanos));
+        schedule(request.deadlineNanos(), () -> onDeadline(request));
     }
 
-    private void planSlowness() {
-        int slow = (int) (engines.size() * pattern.slowPart);
-        for (double at = 0; at < LoadPattern.SECONDS; at += pattern.burstEverySeconds) {
-            double begin = at + pattern.burstEverySeconds - pattern.burstSeconds;
-            for (ModelEngine engine : engines.subList(0, slow)) {
+    private void scheduleSlowdowns() {
+        int slowEngines = (int) (engines.size() * pattern.slowShare);
+        for (double atSeconds = 0;
+                atSeconds < LoadPattern.DURATION_SECONDS;
+                atSeconds += pattern.burstPeriodSeconds) {
+            double startSeconds = atSeconds + pattern.burstPeriodSeconds - pattern.burstSeconds;
+            for (SimulatedEngine engine : engines.subList(0, slowEngines)) {
                 schedule(
-                        (long) (begin * NANOS_PER_SECOND), () -> engine.slowness(pattern.slowness));
+                        (long) (startSeconds * NANOS_PER_SECOND),
+                        () -> engine.setSlowdown(pattern.slowdown));
                 schedule(
-                        (long) ((at + pattern.burstEverySeconds) * NANOS_PER_SECOND),
-                        () -> engine.slowness(1));
+                        (long) ((atSeconds + pattern.burstPeriodSeconds) * NANOS_PER_SECOND),
+                        () -> engine.setSlowdown(1));
             }
         }
     }
 
     private void schedule(long atNanos, Runnable action) {
-        events.add(new Event(atNanos, order++, action));
+        events.add(new Event(atNanos, nextSequence++, action));
     }
 
-    /** Plays all of it and returns what callers got. */
-    List<TrialRequest> play() {
-        for (Event next = events.poll(); next != null; next = events.poll()) {
-            nowNanos = next.atNanos();
-            next.action().run();
+    /** Runs the simulation to its end and returns all requests. */
+    List<TrialRequest> run() {
+        for (Event event = events.poll(); event != null; event = events.poll()) {
+            nowNanos = event.atNanos();
+            event.action().run();
         }
         return requests;
     }
@@ -113,74 +117,74 @@
     public void send(TrialRequest request, int number) {
         request.engine = number;
         request.sentNanos = nowNanos;
-        underWay[number]++;
-        schedule(nowNanos + WAY_NANOS, () -> submit(request, number));
+        inFlight[number]++;
+        schedule(nowNanos + ONE_WAY_DELAY_NANOS, () -> submit(request, number));
     }
 
     private void submit(TrialRequest request, int number) {
-        underWay[number]--;
-        ModelEngine engine = engines.get(number);
-        if (!request.isOver() && engine.submit(request)) {
-            begin(engine);
+        inFlight[number]--;
+        SimulatedEngine engine = engines.get(number);
+        if (!request.isEnded() && engine.submit(request)) {
+            beginStep(engine);
         }
     }
 
-    private void begin(ModelEngine engine) {
-        long stepNanos = engine.begin();
+    private void beginStep(SimulatedEngine engine) {
+        long stepNanos = engine.beginStep();
         if (stepNanos > 0) {
             schedule(
                     nowNanos + stepNanos,
                     () -> {
-                        engine.end();
-                        begin(engine);
+                        engine.endStep();
+                        beginStep(engine);
                     });
         }
     }
 
     @Override
-    public void event(TrialRequest request, int count) {
-        if (request.firstNanos == 0) {
-            request.firstNanos = nowNanos + WAY_NANOS;
-            schedule(request.firstNanos, () -> policy.first(request, nowNanos));
+    public void onEvent(TrialRequest request, int count) {
+        if (request.firstEventNanos == 0) {
+            request.firstEventNanos = nowNanos + ONE_WAY_DELAY_NANOS;
+            schedule(request.firstEventNanos, () -> policy.onFirstEvent(request, nowNanos));
         }
     }
 
     @Override
-    public void ended(TrialRequest request, int count) {
-        event(request, count);
+    public void onCompleted(TrialRequest request, int count) {
+        onEvent(request, count);
         schedule(
-                nowNanos + WAY_NANOS,
+                nowNanos + ONE_WAY_DELAY_NANOS,
                 () -> {
-                    request.done = nowNanos <= request.endNanos();
-                    policy.ended(request, count, nowNanos);
+                    request.completed = nowNanos <= request.deadlineNanos();
+                    policy.onCompleted(request, count, nowNanos);
                 });
     }
 
-    private void leave(TrialRequest request) {
-        if (request.isOver()) {
+    private void onDeadline(TrialRequest request) {
+        if (request.isEnded()) {
             return;
         }
-        request.gaveUpNanos = nowNanos;
+        request.abandonedNanos = nowNanos;
         if (request.engine >= 0) {
             engines.get(request.engine).cancel(request);
         }
-        policy.left(request, nowNanos);
+        policy.onCallerLeft(request, nowNanos);
     }
 
     @Override
     public void refuse(TrialRequest request, long retryAfterMillis) {
-        long backNanos = nowNanos + retryAfterMillis * ModelEngine.NANOS_PER_MILLI;
-        if (request.attempts >= RETRIES || backNanos >= request.endNanos()) {
-            request.gaveUpNanos = nowNanos;
+        long retryNanos = nowNanos + retryAfterMillis * SimulatedEngine.NANOS_PER_MILLI;
+        if (request.retries >= MAX_RETRIES || retryNanos >= request.deadlineNanos()) {
+            request.abandonedNanos = nowNanos;
             return;
         }
-        request.attempts++;
-        schedule(backNanos, () -> policy.came(request, nowNanos));
+        request.retries++;
+        schedule(retryNanos, () -> policy.onArrival(request, nowNanos));
     }
 
     @Override
     public int load(int engine) {
-        return engines.get(engine).load() + underWay[engine];
+        return engines.get(engine).load() + inFlight[engine];
     }
 
     @Override
--- a/src/main/java/org/orioleshed/trial/PolicyTrials.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrials.java
@@ -9,62 +9,67 @@
 import java.util.function.BiFunction;
 import org.knowm.xchart.CategoryChart;
 
-/** Compares the product's way to queue, place and refuse with simpler ones, on the same loads. */
+/** Compares the policy of this project with simpler policies under the same load patterns. */
 public final class PolicyTrials {
-    /** Engines differ by a factor of three; half a dozen machines' worth. */
+    /** The speeds of the engines of half a dozen machines, which differ by a factor of three. */
     private static final double[] SPEEDS = {
         0.55, 0.7, 0.8, 0.9, 1, 1, 1.1, 1.2, 1.3, 1.45, 1.6,
     };
 
-    private static final ModelEngine.Spec ENGINE =
-            new ModelEngine.Spec(7, 500_000, 10, 3.3, 0.25, 110, 1);
+    private static final SimulatedEngine.Spec ENGINE =
+            new SimulatedEngine.Spec(7, 500_000, 10, 3.3, 0.25, 110, 1);
 
-    /** Engines report their load at this interval. */
-    private static final long REPORT_MILLIS = 1_500;
+    /** The interval of load reports. */
+    private static final long REPORT_INTERVAL_MILLIS = 1_500;
 
-    private static final Map<String, BiFunction<Policy.Floor, SplittableRandom, Policy>> POLICIES =
-            policies();
+    private static final Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>>
+            POLICIES = policies();
 
     private PolicyTrials() {}
 
-    private static Map<String, BiFunction<Policy.Floor, SplittableRandom, Policy>> policies() {
-        Map<String, BiFunction<Policy.Floor, SplittableRandom, Policy>> all = new LinkedHashMap<>();
-        all.put("engine-queues", (floor, random) -> new EngineQueues(floor, random, 0));
-        all.put("two-choices", (floor, random) -> new EngineQueues(floor, random, REPORT_MILLIS));
-        all.put("one-queue", (floor, random) -> new OneQueue(floor, OneQueue.ARRIVAL));
-        all.put("strict-rank", (floor, random) -> new OneQueue(floor, OneQueue.RANK));
-        all.put("orioleshed", (floor, random) -> new PrimaryPolicy(floor, ENGINE));
-        return all;
+    private static Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>> policies() {
+        Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>> policies =
+                new LinkedHashMap<>();
+        policies.put("engine-queues", (context, random) -> new EngineQueues(context, random, 0));
+        policies.put(
+                "two-choices",
+                (context, random) -> new EngineQueues(context, random, REPORT_INTERVAL_MILLIS));
+        policies.put("one-queue", (context, random) -> new OneQueue(context, OneQueue.BY_ARRIVAL));
+        policies.put("strict-rank", (context, random) -> new OneQueue(context, OneQueue.BY_RANK));
+        policies.put("orioleshed", (context, random) -> new PrimaryPolicy(context, ENGINE));
+        return policies;
     }
 
-    private static List<TrialReport> play(int seeds) {
+    private static List<TrialReport> runTrials(int seeds) {
         List<TrialReport> reports = new ArrayList<>();
         for (LoadPattern pattern : LoadPattern.values()) {
             for (String policy : POLICIES.keySet()) {
-                reports.add(play(pattern, policy, seeds));
+                reports.add(runTrials(pattern, policy, seeds));
             }
         }
         return reports;
     }
 
-    static TrialReport play(LoadPattern pattern, String policy, int seeds) {
-        List<List<TrialRequest>> played = new ArrayList<>();
+    static TrialReport runTrials(LoadPattern pattern, String policy, int seeds) {
+        List<List<TrialRequest>> requestsBySeed = new ArrayList<>();
         for (long seed = 1; seed <= seeds; seed++) {
-            played.add(new PolicyTrial(pattern, ENGINE, SPEEDS, seed, POLICIES.get(policy)).play());
+            requestsBySeed.add(
+                    new PolicyTrial(pattern, ENGINE, SPEEDS, seed, POLICIES.get(policy)).run());
         }
-        return TrialReport.of(pattern, policy, played);
+        return TrialReport.of(pattern, policy, requestsBySeed);
     }
 
     /**
-     * Plays all patterns against all policies, prints what callers got, and returns a chart of it.
+     * Runs all policies under all patterns, prints the results and returns a chart of them.
      *
-     * @param seeds how many seeds each is played with, from 1 on; positive
+     * @param seeds the number of seeds of each trial, counted from 1; positive
+     * @throws IllegalArgumentException if {@code seeds} is not positive
      */
     public static CategoryChart run(int seeds, PrintStream out) {
         if (seeds <= 0) {
-            throw new IllegalArgumentException("--seeds must be positive");
+            throw new IllegalArgumentException("--seeds must be positive, found " + seeds);
         }
-        List<TrialReport> reports = play(seeds);
+        List<TrialReport> reports = runTrials(seeds);
         print(reports, out);
         return TrialChart.of(reports);
     }
@@ -78,21 +83,21 @@
                 "worth by kind",
                 "first p95 ms",
                 "unserved",
-                "kept for ms");
+                "unserved wait ms");
         for (TrialReport report : reports) {
             out.printf(
                     "%-13s%-14s%8.3f  %-20s%-18s%-20s%s%n",
                     report.pattern().id(),
                     report.policy(),
-                    report.worth(),
-                    row(report.byKind(), "%.3f"),
-                    row(report.firstMillis(), "%.0f"),
-                    row(report.unserved(), "%.3f"),
-                    row(report.heldMillis(), "%.0f"));
+                    report.valueShare(),
+                    formatRow(report.valueShareByKind(), "%.3f"),
+                    formatRow(report.firstEventMillis(), "%.0f"),
+                    formatRow(report.unservedShare(), "%.3f"),
+                    formatRow(report.unservedMillis(), "%.0f"));
         }
     }
 
-    private static String row(Map<String, Double> values, String format) {
+    private static String formatRow(Map<String, Double> values, String format) {
         return String.join(
                 " ", values.values().stream().map(value -> String.format(format, value)).toList());
     }
--- a/src/main/java/org/orioleshed/trial/PrimaryPolicy.java
+++ b/src/main/java/org/orioleshed/trial/PrimaryPolicy.java
@@ -24,23 +24,23 @@
 import org.orioleshed.model.ServiceId;
 import org.orioleshed.model.VersionId;
 
-/** The product's own decisions: {@link Scheduler} as the primary of the pool. */
+/** The policy of this project: {@link Scheduler} as the primary of the pool. */
 final class PrimaryPolicy implements Policy {
     private static final ServiceId SERVICE = new ServiceId("engines");
     private static final FailureDomain DOMAIN = new FailureDomain("d");
     private static final HostId HOST = new HostId("h");
 
-    private final Floor floor;
+    private final Context context;
     private final Scheduler scheduler =
             new Scheduler(1, Quotas.Slack.NONE, Quotas.Role.PRIMARY, RolloutPolicy.DEFAULT);
-    private final Map<RunKey, TrialRequest> requested = new HashMap<>();
+    private final Map<RunKey, TrialRequest> requestsByRun = new HashMap<>();
 
-    PrimaryPolicy(Floor floor, ModelEngine.Spec spec) {
-        this.floor = floor;
+    PrimaryPolicy(Context context, SimulatedEngine.Spec spec) {
+        this.context = context;
         Pool pool = new Pool(SERVICE, true, spec.memoryTokens(), spec.eventTokens());
         apply(0, new DispatchEvent.LimitsChanged(Map.of(SERVICE, pool), Map.of()));
         List<PoolServer> servers = new ArrayList<>();
-        for (int engine = 0; engine < floor.engines(); engine++) {
+        for (int engine = 0; engine < context.engines(); engine++) {
             servers.add(server(engine, spec.slots()));
         }
         apply(0, new DispatchEvent.ServersChanged(servers));
@@ -59,16 +59,16 @@
     }
 
     @Override
-    public void came(TrialRequest request, long nowNanos) {
-        RunKey run = key(request);
-        requested.put(run, request);
+    public void onArrival(TrialRequest request, long nowNanos) {
+        RunKey run = runKey(request);
+        requestsByRun.put(run, request);
         apply(
                 nowNanos,
                 new DispatchEvent.PlacementRequested(run, placementRequest(request, nowNanos)));
     }
 
-    private static RunKey key(TrialRequest request) {
-        return new RunKey(HOST, request.number * 8 + request.attempts);
+    private static RunKey runKey(TrialRequest request) {
+        return new RunKey(HOST, request.id * 8 + request.retries);
     }
 
     private static PlacementRequest placementRequest(TrialRequest request, long nowNanos) {
@@ -78,50 +78,51 @@
                 Optional.empty(),
                 DOMAIN,
                 request.kind.rank(),
-                request.aimLeftMillis(nowNanos),
-                request.leftMillis(nowNanos),
+                request.remainingTargetMillis(nowNanos),
+                request.remainingMillis(nowNanos),
                 request.kind.promptTokens(),
                 request.kind.outputTokens(),
                 0,
-                request.number,
+                request.id,
                 Set.of());
     }
 
     private void apply(long nowNanos, DispatchEvent event) {
         for (DispatchAction action : scheduler.on(nowNanos, event)) {
-            TrialRequest request = requested.get(action.run());
+            TrialRequest request = requestsByRun.get(action.run());
             switch (action) {
                 case DispatchAction.Grant grant ->
-                        floor.send(request, Integer.parseInt(grant.server().value()));
+                        context.send(request, Integer.parseInt(grant.server().value()));
                 case DispatchAction.Refuse refuse ->
-                        floor.refuse(request, refuse.retryAfterMillis());
+                        context.refuse(request, refuse.retryAfterMillis());
                 case DispatchAction.Queued queued -> {}
             }
         }
     }
 
     @Override
-    public void first(TrialRequest request, long nowNanos) {
-        long millis = (nowNanos - request.sentNanos) / ModelEngine.NANOS_PER_MILLI;
-        apply(nowNanos, new DispatchEvent.First(key(request), Math.max(1, millis)));
+    public void onFirstEvent(TrialRequest request, long nowNanos) {
+        long firstEventMillis = (nowNanos - request.sentNanos) / SimulatedEngine.NANOS_PER_MILLI;
+        apply(nowNanos, new DispatchEvent.First(runKey(request), Math.max(1, firstEventMillis)));
     }
 
     @Override
-    public void ended(TrialRequest request, int events, long nowNanos) {
-        long firstMillis = (request.firstNanos - request.sentNanos) / ModelEngine.NANOS_PER_MILLI;
-        long totalMillis = (nowNanos - request.sentNanos) / ModelEngine.NANOS_PER_MILLI;
+    public void onCompleted(TrialRequest request, int events, long nowNanos) {
+        long firstEventMillis =
+                (request.firstEventNanos - request.sentNanos) / SimulatedEngine.NANOS_PER_MILLI;
+        long totalMillis = (nowNanos - request.sentNanos) / SimulatedEngine.NANOS_PER_MILLI;
         RunReport report =
-                new RunReport(RunReport.Outcome.ANSWERED, events, firstMillis, totalMillis);
-        apply(nowNanos, new DispatchEvent.Ended(key(request), report));
+                new RunReport(RunReport.Outcome.ANSWERED, events, firstEventMillis, totalMillis);
+        apply(nowNanos, new DispatchEvent.Ended(runKey(request), report));
     }
 
     @Override
-    public void left(TrialRequest request, long nowNanos) {
-        apply(nowNanos, new DispatchEvent.Withdrawn(key(request)));
+    public void onCallerLeft(TrialRequest request, long nowNanos) {
+        apply(nowNanos, new DispatchEvent.Withdrawn(runKey(request)));
     }
 
     @Override
-    public void tick(long nowNanos) {
+    public void onTick(long nowNanos) {
         apply(nowNanos, new DispatchEvent.Tick());
     }
 }
--- a/src/main/java/org/orioleshed/trial/RequestKind.java
+++ b/src/main/java/org/orioleshed/trial/RequestKind.java
@@ -1,17 +1,17 @@
 package org.orioleshed.trial;
 
 /**
- * A kind of request that callers send to engines.
+ * A kind of request.
  *
- * @param name its name in reports
- * @param rank its urgency, 0 first
- * @param perSecond how many come at full load, over all engines
- * @param promptTokens the tokens to read; positive
- * @param outputTokens the tokens to generate; positive
- * @param aimMillis the first event should come in this time
- * @param deadlineMillis the caller leaves after this time
- * @param worth what an answer in time is worth
- * @param lateWorth what a whole answer is worth whose first event was late
+ * @param name the name in reports
+ * @param rank the rank of the tier; 0 is the most urgent
+ * @param perSecond the arrival rate at a load of 1 on one engine of speed 1, in requests per second
+ * @param promptTokens the length of the prompt, in tokens; positive
+ * @param outputTokens the length of the output, in tokens; positive
+ * @param targetMillis the target time to the first event, in milliseconds
+ * @param deadlineMillis the time after which the caller leaves, in milliseconds
+ * @param value the value of a complete answer whose first event met the target
+ * @param lateValue the value of a complete answer whose first event missed the target
  */
 record RequestKind(
         String name,
@@ -19,7 +19,7 @@
         double perSecond,
         int promptTokens,
         int outputTokens,
-        long aimMillis,
+        long targetMillis,
         long deadlineMillis,
-        double worth,
-        double lateWorth) {}
+        double value,
+        double lateValue) {}
--- a/src/main/java/org/orioleshed/trial/TrialChart.java
+++ b/src/main/java/org/orioleshed/trial/TrialChart.java
@@ -7,7 +7,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Charts the worth that callers got from each policy under each pattern. */
+/** Draws a chart of the value share of each policy under each pattern. */
 final class TrialChart {
     private static final int WIDTH = 800;
     private static final int HEIGHT = 450;
@@ -19,7 +19,7 @@
                 new CategoryChartBuilder()
                         .width(WIDTH)
                         .height(HEIGHT)
-                        .title("part of the worth that callers got")
+                        .title("share of the worth of all requests")
                         .xAxisTitle("pattern")
                         .yAxisTitle("worth")
                         .build();
@@ -35,7 +35,7 @@
                         chart.addSeries(
                                 policy,
                                 rows.stream().map(row -> row.pattern().id()).toList(),
-                                rows.stream().map(TrialReport::worth).toList()));
+                                rows.stream().map(TrialReport::valueShare).toList()));
         return chart;
     }
 }
--- a/src/main/java/org/orioleshed/trial/TrialReport.java
+++ b/src/main/java/org/orioleshed/trial/TrialReport.java
@@ -6,46 +6,63 @@
 import java.util.Map;
 
 /**
- * What callers got in trials of one policy under one pattern, over several seeds.
+ * The results of the trials of one policy under one pattern. All values are medians over the seeds.
  *
  * @param pattern the pattern
  * @param policy the policy's name
- * @param worth the part of all worth that was had, the median over the seeds
- * @param byKind the same for each kind
- * @param firstMillis the time to the first event at the 95th percentile for each kind, in
- *     milliseconds, the median over the seeds
- * @param unserved the part of each kind that got no whole answer
- * @param heldMillis how long those were kept, on average, in milliseconds
+ * @param valueShare the achieved share of the value of all requests
+ * @param valueShareByKind the same for each kind
+ * @param firstEventMillis the 95th percentile of the time to the first event of completed requests,
+ *     for each kind, in milliseconds
+ * @param unservedShare the share of each kind that was not completed
+ * @param unservedMillis the mean time until those were refused for good or their callers left, for
+ *     each kind, in milliseconds
  */
 record TrialReport(
         LoadPattern pattern,
         String policy,
-        double worth,
-        Map<String, Double> byKind,
-        Map<String, Double> firstMillis,
-        Map<String, Double> unserved,
-        Map<String, Double> heldMillis) {
-    private static final double PERCENTILE = 0.95;
+        double valueShare,
+        Map<String, Double> valueShareByKind,
+        Map<String, Double> firstEventMillis,
+        Map<String, Double> unservedShare,
+        Map<String, Double> unservedMillis) {
+    private static final double FIRST_EVENT_PERCENTILE = 0.95;
 
-    /** Sums up what was played with several seeds. */
-    static TrialReport of(LoadPattern pattern, String policy, List<List<TrialRequest>> played) {
-        Map<String, Double> byKind = new LinkedHashMap<>();
-        Map<String, Double> first = new LinkedHashMap<>();
-        Map<String, Double> unserved = new LinkedHashMap<>();
-        Map<String, Double> held = new LinkedHashMap<>();
+    /** Aggregates the requests of trials with several seeds. */
+    static TrialReport of(
+            LoadPattern pattern, String policy, List<List<TrialRequest>> requestsBySeed) {
+        Map<String, Double> valueShareByKind = new LinkedHashMap<>();
+        Map<String, Double> firstEventMillis = new LinkedHashMap<>();
+        Map<String, Double> unservedShare = new LinkedHashMap<>();
+        Map<String, Double> unservedMillis = new LinkedHashMap<>();
         for (RequestKind kind : LoadPattern.KINDS) {
-            List<List<TrialRequest>> ofKind =
-                    played.stream().map(requests -> only(requests, kind)).toList();
-            byKind.put(kind.name(), median(ofKind.stream().map(TrialReport::worth).toList()));
-            first.put(kind.name(), median(ofKind.stream().map(TrialReport::first).toList()));
-            unserved.put(kind.name(), median(ofKind.stream().map(TrialReport::unserved).toList()));
-            held.put(kind.name(), median(ofKind.stream().map(TrialReport::held).toList()));
+            List<List<TrialRequest>> kindRequests =
+                    requestsBySeed.stream().map(requests -> ofKind(requests, kind)).toList();
+            valueShareByKind.put(
+                    kind.name(),
+                    median(kindRequests.stream().map(TrialReport::valueShare).toList()));
+            firstEventMillis.put(
+                    kind.name(),
+                    median(kindRequests.stream().map(TrialReport::firstEventMillis).toList()));
+            unservedShare.put(
+                    kind.name(),
+                    median(kindRequests.stream().map(TrialReport::unservedShare).toList()));
+            unservedMillis.put(
+                    kind.name(),
+                    median(kindRequests.stream().map(TrialReport::unservedMillis).toList()));
         }
-        double worth = median(played.stream().map(TrialReport::worth).toList());
-        return new TrialReport(pattern, policy, worth, byKind, first, unserved, held);
+        double valueShare = median(requestsBySeed.stream().map(TrialReport::valueShare).toList());
+        return new TrialReport(
+                pattern,
+                policy,
+                valueShare,
+                valueShareByKind,
+                firstEventMillis,
+                unservedShare,
+                unservedMillis);
     }
 
-    private static List<TrialRequest> only(List<TrialRequest> requests, RequestKind kind) {
+    private static List<TrialRequest> ofKind(List<TrialRequest> requests, RequestKind kind) {
         return requests.stream().filter(request -> request.kind.equals(kind)).toList();
     }
 
@@ -55,39 +72,41 @@
         return sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2);
     }
 
-    private static double worth(List<TrialRequest> requests) {
-        double most = requests.stream().mapToDouble(request -> request.kind.worth()).sum();
-        double had = requests.stream().mapToDouble(TrialReport::had).sum();
-        return most == 0 ? 0 : had / most;
+    private static double valueShare(List<TrialRequest> requests) {
+        double totalValue = requests.stream().mapToDouble(request -> request.kind.value()).sum();
+        double achievedValue = requests.stream().mapToDouble(TrialReport::achievedValue).sum();
+        return totalValue == 0 ? 0 : achievedValue / totalValue;
     }
 
-    private static double had(TrialRequest request) {
-        if (!request.done) {
+    private static double achievedValue(TrialRequest request) {
+        if (!request.completed) {
             return 0;
         }
-        return request.isInTime() ? request.kind.worth() : request.kind.lateWorth();
+        return request.isFirstEventInTime() ? request.kind.value() : request.kind.lateValue();
     }
 
-    private static double first(List<TrialRequest> requests) {
+    private static double firstEventMillis(List<TrialRequest> requests) {
         List<Double> millis =
                 requests.stream()
-                        .filter(request -> request.done)
-                        .map(request -> (request.firstNanos - request.cameNanos) / 1e6)
+                        .filter(request -> request.completed)
+                        .map(request -> (request.firstEventNanos - request.arrivalNanos) / 1e6)
                         .sorted()
                         .toList();
-        return millis.isEmpty() ? 0 : millis.get((int) (PERCENTILE * (millis.size() - 1)));
+        return millis.isEmpty()
+                ? 0
+                : millis.get((int) (FIRST_EVENT_PERCENTILE * (millis.size() - 1)));
     }
 
-    private static double held(List<TrialRequest> requests) {
+    private static double unservedMillis(List<TrialRequest> requests) {
         return requests.stream()
-                .filter(request -> !request.done)
-                .mapToDouble(request -> (request.gaveUpNanos - request.cameNanos) / 1e6)
+                .filter(request -> !request.completed)
+                .mapToDouble(request -> (request.abandonedNanos - request.arrivalNanos) / 1e6)
                 .average()
                 .orElse(0);
     }
 
-    private static double unserved(List<TrialRequest> requests) {
-        long count = requests.stream().filter(request -> !request.done).count();
+    private static double unservedShare(List<TrialRequest> requests) {
+        long count = requests.stream().filter(request -> !request.completed).count();
         return requests.isEmpty() ? 0 : (double) count / requests.size();
     }
 }
--- a/src/main/java/org/orioleshed/trial/TrialRequest.java
+++ b/src/main/java/org/orioleshed/trial/TrialRequest.java
@@ -1,43 +1,44 @@
 package org.orioleshed.trial;
 
-/** One request of a caller, its attempts included. */
+/** A simulated request with its retries. */
 final class TrialRequest {
-    final long number;
+    final long id;
     final RequestKind kind;
-    final long cameNanos;
+    final long arrivalNanos;
     int engine = -1;
-    int attempts;
+    int retries;
     long sentNanos;
-    long firstNanos;
-    boolean done;
+    long firstEventNanos;
+    boolean completed;
 
-    /** When it was refused for good, or its caller left; 0 while neither happened. */
-    long gaveUpNanos;
+    /** The time of the final refusal or of the departure of the caller; 0 if there was neither. */
+    long abandonedNanos;
 
-    TrialRequest(long number, RequestKind kind, long cameNanos) {
-        this.number = number;
+    TrialRequest(long id, RequestKind kind, long arrivalNanos) {
+        this.id = id;
         this.kind = kind;
-        this.cameNanos = cameNanos;
+        this.arrivalNanos = arrivalNanos;
     }
 
-    boolean isOver() {
-        return done || gaveUpNanos > 0;
+    boolean isEnded() {
+        return completed || abandonedNanos > 0;
     }
 
-    long endNanos() {
-        return cameNanos + kind.deadlineMillis() * ModelEngine.NANOS_PER_MILLI;
+    long deadlineNanos() {
+        return arrivalNanos + kind.deadlineMillis() * SimulatedEngine.NANOS_PER_MILLI;
     }
 
-    long leftMillis(long nowNanos) {
-        return (endNanos() - nowNanos) / ModelEngine.NANOS_PER_MILLI;
+    long remainingMillis(long nowNanos) {
+        return (deadlineNanos() - nowNanos) / SimulatedEngine.NANOS_PER_MILLI;
     }
 
-    long aimLeftMillis(long nowNanos) {
-        long sinceMillis = (nowNanos - cameNanos) / ModelEngine.NANOS_PER_MILLI;
-        return kind.aimMillis() - sinceMillis;
+    long remainingTargetMillis(long nowNanos) {
+        long elapsedMillis = (nowNanos - arrivalNanos) / SimulatedEngine.NANOS_PER_MILLI;
+        return kind.targetMillis() - elapsedMillis;
     }
 
-    boolean isInTime() {
-        return firstNanos - cameNanos <= kind.aimMillis() * ModelEngine.NANOS_PER_MILLI;
+    boolean isFirstEventInTime() {
+        return firstEventNanos - arrivalNanos
+                <= kind.targetMillis() * SimulatedEngine.NANOS_PER_MILLI;
     }
 }
--- a/src/main/java/org/orioleshed/trial/package-info.java
+++ b/src/main/java/org/orioleshed/trial/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Ways to queue, place and refuse requests, compared on a model of engines without clock or
- * sockets.
- */
+/** Trials that compare scheduling policies on simulated engines, without clock or sockets. */
 package org.orioleshed.trial;
--- a/src/test/java/org/orioleshed/trial/PolicyTrialsTest.java
+++ b/src/test/java/org/orioleshed/trial/PolicyTrialsTest.java
@@ -9,13 +9,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * Tests of {@link PolicyTrials}: the same loads against the product's decisions and simpler ones.
- */
+/** Guards that the policy of this project serves callers better than simpler policies. */
 public class PolicyTrialsTest {
-    /** Returns each pattern with each simpler policy. */
+    /** Returns the patterns above capacity with each simpler policy. */
     @DataProvider
-    public static Object[][] simpler() {
+    public static Object[][] simplerPolicies() {
         return new Object[][] {
             {LoadPattern.BURSTS, "engine-queues"},
             {LoadPattern.BURSTS, "two-choices"},
@@ -28,40 +26,41 @@
         };
     }
 
-    @Test(dataProvider = "simpler")
-    public void callersGetMoreThanFromASimplerWay(LoadPattern pattern, String policy) {
-        double own = PolicyTrials.play(pattern, "orioleshed", 1).worth();
-        double other = PolicyTrials.play(pattern, policy, 1).worth();
+    @Test(dataProvider = "simplerPolicies")
+    public void valueShareExceedsThatOfSimplerPolicy(LoadPattern pattern, String policy) {
+        double own = PolicyTrials.runTrials(pattern, "orioleshed", 1).valueShare();
+        double other = PolicyTrials.runTrials(pattern, policy, 1).valueShare();
         assertTrue(own > other, own + " against " + other);
     }
 
     @Test
-    public void noMoreUrgentKindIsServedWorse() {
-        TrialReport report = PolicyTrials.play(LoadPattern.OVERLOAD, "orioleshed", 1);
-        assertTrue(report.byKind().get("long") >= report.byKind().get("short"));
-        assertTrue(report.byKind().get("short") >= report.byKind().get("patient"));
+    public void moreUrgentKindsHaveNoLowerValueShare() {
+        TrialReport report = PolicyTrials.runTrials(LoadPattern.OVERLOAD, "orioleshed", 1);
+        assertTrue(report.valueShareByKind().get("long") >= report.valueShareByKind().get("short"));
+        assertTrue(
+                report.valueShareByKind().get("short") >= report.valueShareByKind().get("patient"));
     }
 
     @Test
-    public void nobodyIsTurnedAwayWhileThereIsRoom() {
-        TrialReport report = PolicyTrials.play(LoadPattern.STEADY, "orioleshed", 1);
-        report.unserved().forEach((kind, part) -> assertEquals(part, 0.0, kind));
+    public void allRequestsAreCompletedBelowCapacity() {
+        TrialReport report = PolicyTrials.runTrials(LoadPattern.STEADY, "orioleshed", 1);
+        report.unservedShare().forEach((kind, share) -> assertEquals(share, 0.0, kind));
     }
 
     @Test
-    public void theSameSeedPlaysTheSame() {
+    public void sameSeedGivesSameReport() {
         assertEquals(
-                PolicyTrials.play(LoadPattern.SLOW_ENGINES, "two-choices", 1),
-                PolicyTrials.play(LoadPattern.SLOW_ENGINES, "two-choices", 1));
+                PolicyTrials.runTrials(LoadPattern.SLOW_ENGINES, "two-choices", 1),
+                PolicyTrials.runTrials(LoadPattern.SLOW_ENGINES, "two-choices", 1));
     }
 
     @Test(expectedExceptions = IllegalArgumentException.class)
-    public void noSeedsAreAnError() {
+    public void zeroSeedsAreRejected() {
         PolicyTrials.run(0, System.out);
     }
 
     @Test
-    public void theTableHasARowForEachPatternAndPolicy() {
+    public void tableHasRowForEachPatternAndPolicy() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
         assertEquals(PolicyTrials.run(1, out).getSeriesMap().size(), 5);
