--- a/src/main/java/org/orioleshed/load/Deployment.java
+++ b/src/main/java/org/orioleshed/load/Deployment.java
@@ -5,7 +5,7 @@
 import org.orioleshed.load.Traffic.Payload;
 
 /**
- * A deployment. {@link #ASSOCIATION} and {@link #OFFICE} have the size of the production
+ * A deployment. {@link #ASSOCIATION} and {@link #OFFICE} have the size of the users' current
  * deployments, in the time scale of the stand-ins.
  *
  * @param id the name on the command line
--- a/src/main/java/org/orioleshed/load/LatencyBenchmark.java
+++ b/src/main/java/org/orioleshed/load/LatencyBenchmark.java
@@ -23,7 +23,8 @@
 
 /**
  * Measures the time from sending a request to the first byte of the response, first directly at the
- * engine and then through an entry host, and the processor time used by the entry host.
+ * engine and then, in the same run, through an entry host, and the processor time used by the entry
+ * host.
  */
 final class LatencyBenchmark {
     private static final long MAX_MICROS = TimeUnit.SECONDS.toMicros(60);
--- a/src/main/java/org/orioleshed/load/Scenario.java
+++ b/src/main/java/org/orioleshed/load/Scenario.java
@@ -55,7 +55,7 @@
                                     new Step.Processes(0.7, "start", KILLED_HOST))),
                     new Scenario(
                             "rolling-restart",
-                            "every entry host is asked to stop and started again in turn",
+                            "every entry host is stopped gracefully and started again in turn",
                             STEADY,
                             false,
                             List.of(new Step.Processes(0.1, "restart", -1))),
@@ -109,7 +109,7 @@
                 .toList();
     }
 
-    /** Returns a copy of this scenario that starts with a fault of the new version's engines. */
+    /** Returns a copy of this scenario with a fault added to the new version's engines. */
     Scenario withFault(VersionFault fault, Deployment deployment) {
         double at = fault == VersionFault.LATER ? LATER_SHARE : 0;
         List<Step> all = new ArrayList<>(steps);
