--- a/src/main/java/org/orioleshed/load/Caller.java
+++ b/src/main/java/org/orioleshed/load/Caller.java
@@ -93,7 +93,7 @@
         long startMillis = System.currentTimeMillis();
         RequestSender sender = new RequestSender(http, request, tokenGaps);
         Host host = balancer.next();
-        Reply reply = new Reply.Broken("no host reachable");
+        Reply reply = new Reply.Broken("no host can be reached");
         for (int attempt = 0; attempt < MAX_CONNECT_ATTEMPTS; attempt++) {
             try {
                 reply = sendWithTimeout(sender, host);
--- a/src/main/java/org/orioleshed/load/Report.java
+++ b/src/main/java/org/orioleshed/load/Report.java
@@ -137,7 +137,7 @@
             return "ran twice";
         }
         if (runLog.isFalseNotRun(result)) {
-            return "reported not run although it ran";
+            return "not run was untrue";
         }
         if (!result.right()) {
             return "wrong answer";
--- a/src/main/java/org/orioleshed/load/RequestSender.java
+++ b/src/main/java/org/orioleshed/load/RequestSender.java
@@ -55,7 +55,7 @@
                     ? readStream(body)
                     : readCall(body);
         } catch (JsonProcessingException e) {
-            return new Reply.Broken("malformed JSON: " + e.getOriginalMessage());
+            return new Reply.Broken("not JSON: " + e.getOriginalMessage());
         }
     }
 
@@ -78,7 +78,7 @@
 
     private static Reply errorReply(JsonNode error) {
         if (!error.path("ran").isTextual()) {
-            return new Reply.Broken("error reply has no field ran");
+            return new Reply.Broken("an error without the word whether it ran");
         }
         return new Reply.ErrorReply(
                 error.path("code").asText(),
@@ -115,7 +115,7 @@
             appendToken(
                     chunk.path("choices").path(0).path("delta").path("content").asText(""), text);
         }
-        return new Reply.Broken("stream ended without [DONE]");
+        return new Reply.Broken("the stream ended early");
     }
 
     private void appendToken(String content, StringBuilder text) {
