--- a/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
@@ -21,14 +21,9 @@
         List<PoolServer> servers,
         List<RolloutOrder> orders) {
     /** The snapshot at a host's start. */
-    public static final CatalogSnapshot NOTHING =
+    public static final CatalogSnapshot EMPTY =
             new CatalogSnapshot(
-                    0,
-                    Optional.empty(),
-                    EntryView.NOTHING,
-                    EntryView.NOTHING,
-                    List.of(),
-                    List.of());
+                    0, Optional.empty(), EntryView.EMPTY, EntryView.EMPTY, List.of(), List.of());
 
     /** Copies the lists. */
     public CatalogSnapshot {
--- a/src/main/java/org/orioleshed/catalog/EntryView.java
+++ b/src/main/java/org/orioleshed/catalog/EntryView.java
@@ -22,7 +22,7 @@
         long removedSince,
         List<Removal> removed) {
     /** The view at a host's start. */
-    public static final EntryView NOTHING = new EntryView(0, 0, true, List.of(), 0, List.of());
+    public static final EntryView EMPTY = new EntryView(0, 0, true, List.of(), 0, List.of());
 
     /** Copies the lists. */
     public EntryView {
--- a/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
@@ -58,7 +58,7 @@
                             .setEnd(write(ended.report()))
                             .build()
                             .toByteArray();
-            case DispatchEvent.QuotasHanded handed -> write(handed);
+            case DispatchEvent.QuotasHandedOver handed -> write(handed);
             case DispatchEvent.ServerLeaving leaving ->
                     Dispatch.newBuilder()
                             .setKind(Dispatch.Kind.SERVER_LEAVING)
@@ -93,7 +93,7 @@
         };
     }
 
-    private static byte[] write(DispatchEvent.QuotasHanded handed) {
+    private static byte[] write(DispatchEvent.QuotasHandedOver handed) {
         Dispatch.Builder wire = Dispatch.newBuilder().setKind(Dispatch.Kind.QUOTAS_HANDED);
         handed.parts()
                 .forEach(
@@ -259,12 +259,12 @@
         };
     }
 
-    private static DispatchEvent.QuotasHanded readQuotas(Dispatch wire) {
+    private static DispatchEvent.QuotasHandedOver readQuotas(Dispatch wire) {
         Map<WorkspaceId, Double> parts = new HashMap<>();
         for (Dispatch.QuotaPart quota : wire.getQuotasList()) {
             parts.put(new WorkspaceId(quota.getWorkspace()), quota.getPart());
         }
-        return new DispatchEvent.QuotasHanded(parts);
+        return new DispatchEvent.QuotasHandedOver(parts);
     }
 
     private static DispatchAction.Reason read(Dispatch.Reason reason) throws BadMessageException {
--- a/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
@@ -123,9 +123,9 @@
      * @param parts the fraction of its burst that each workspace has left: at most 1, and negative
      *     for a debt
      */
-    record QuotasHanded(Map<WorkspaceId, Double> parts) implements DispatchEvent {
+    record QuotasHandedOver(Map<WorkspaceId, Double> parts) implements DispatchEvent {
         /** Copies the map and checks the parts. */
-        public QuotasHanded {
+        public QuotasHandedOver {
             parts = Map.copyOf(parts);
             if (parts.values().stream().anyMatch(part -> !Double.isFinite(part) || part > 1)) {
                 throw new IllegalArgumentException(
--- a/src/main/java/org/orioleshed/dispatch/DispatchMessage.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchMessage.java
@@ -8,7 +8,7 @@
      *
      * @param event one of {@link DispatchEvent.PlacementRequested}, {@link
      *     DispatchEvent.Withdrawn}, {@link DispatchEvent.Placed}, {@link DispatchEvent.First},
-     *     {@link DispatchEvent.Ended}, {@link DispatchEvent.QuotasHanded}, {@link
+     *     {@link DispatchEvent.Ended}, {@link DispatchEvent.QuotasHandedOver}, {@link
      *     DispatchEvent.ServerLeaving}, {@link DispatchEvent.ServerLimited}, {@link
      *     DispatchEvent.CrashesReported}, {@link DispatchEvent.RolloutReported}
      */
--- a/src/main/java/org/orioleshed/dispatch/Scheduler.java
+++ b/src/main/java/org/orioleshed/dispatch/Scheduler.java
@@ -101,7 +101,7 @@
                             nowNanos);
             case DispatchEvent.LimitsChanged changed -> updateLimits(changed);
             case DispatchEvent.ShareChanged changed -> updateShare(changed);
-            case DispatchEvent.QuotasHanded handed -> quotas.takeOver(handed.parts());
+            case DispatchEvent.QuotasHandedOver handed -> quotas.takeOver(handed.parts());
             case DispatchEvent.RolloutOrdered ordered -> startRollout(ordered);
             case DispatchEvent.RolloutSettled settled -> settleRollout(settled);
             case DispatchEvent.Tick tick -> tick();
@@ -114,8 +114,8 @@
      *
      * @param now the current time on the monotonic clock, in nanoseconds
      */
-    public DispatchEvent.QuotasHanded handOverQuotas(long now) {
-        return new DispatchEvent.QuotasHanded(quotas.handOver(now));
+    public DispatchEvent.QuotasHandedOver handOverQuotas(long now) {
+        return new DispatchEvent.QuotasHandedOver(quotas.handOver(now));
     }
 
     /** Returns the number of queued requests over all pools. */
--- a/src/main/java/org/orioleshed/entry/HostEventLoop.java
+++ b/src/main/java/org/orioleshed/entry/HostEventLoop.java
@@ -23,7 +23,7 @@
     private static final int MAX_BATCH_EVENTS = 256;
     private static final int MAX_QUERIES = 64;
 
-    private final StateMachine<HostEvent, HostAction> machine;
+    private final StateMachine<HostEvent, HostAction> hostCore;
     private final ActionExecutor actions;
     private final MpscAtomicArrayQueue<HostEvent> ring;
     private final MpscAtomicArrayQueue<Runnable> queries = new MpscAtomicArrayQueue<>(MAX_QUERIES);
@@ -34,10 +34,10 @@
     private volatile boolean closed;
 
     HostEventLoop(
-            StateMachine<HostEvent, HostAction> machine,
+            StateMachine<HostEvent, HostAction> hostCore,
             ActionExecutor actions,
             EntryLimits limits) {
-        this.machine = machine;
+        this.hostCore = hostCore;
         this.actions = actions;
         this.ring = new MpscAtomicArrayQueue<>(limits.eventRingCapacity());
         this.tickNanos = TimeUnit.MILLISECONDS.toNanos(limits.tickMillis());
@@ -143,7 +143,7 @@
 
     private void handle(HostEvent event) {
         try {
-            List<HostAction> hostActions = machine.on(System.nanoTime(), event);
+            List<HostAction> hostActions = hostCore.on(System.nanoTime(), event);
             hostActions.forEach(actions::perform);
         } catch (RuntimeException e) {
             logger.atSevere().withCause(e).log(
--- a/src/main/java/org/orioleshed/gateway/CatalogFeed.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogFeed.java
@@ -22,7 +22,7 @@
     private final Map<RolloutOrder, Long> ordersSeenNanos = new HashMap<>();
     private final Map<RolloutOrder, RolloutOutcome> recorded = new HashMap<>();
     private final Map<ServerId, PoolServer> servers = new HashMap<>();
-    private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
+    private CatalogSnapshot snapshot = CatalogSnapshot.EMPTY;
 
     /** Takes a newer snapshot. */
     void catalogChanged(CatalogSnapshot newer, long nowNanos) {
--- a/src/main/java/org/orioleshed/gateway/CatalogPropagation.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogPropagation.java
@@ -40,7 +40,7 @@
     private final Consumer<String> log;
     private final CatalogUpdateCodec codec = new CatalogUpdateCodec();
     private final Deque<Hint> hints = new ArrayDeque<>();
-    private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
+    private CatalogSnapshot snapshot = CatalogSnapshot.EMPTY;
     private CatalogUpdate.Revisions receivedRevisions = new CatalogUpdate.Revisions(0, 0);
     private CatalogUpdate.Revisions sentRevisions = new CatalogUpdate.Revisions(0, 0);
     private CatalogUpdate.Revisions requested = new CatalogUpdate.Revisions(0, 0);
--- a/src/main/java/org/orioleshed/gateway/Dispatcher.java
+++ b/src/main/java/org/orioleshed/gateway/Dispatcher.java
@@ -254,7 +254,7 @@
     }
 
     private void receivedAsPrimary(HostId from, DispatchEvent event) {
-        if (event instanceof DispatchEvent.QuotasHanded handed) {
+        if (event instanceof DispatchEvent.QuotasHandedOver handed) {
             handOver.received(handed, clock.getAsLong());
             takeOverQuotas();
             return;
@@ -272,14 +272,14 @@
         }
     }
 
-    private void takeOver(DispatchEvent.QuotasHanded handed, long nowNanos) {
+    private void takeOver(DispatchEvent.QuotasHandedOver handed, long nowNanos) {
         log.accept("event=quotas_taken_over workspaces=" + handed.parts().size());
         applyPrimary(primaryScheduler.on(nowNanos, handed));
     }
 
     /** Hands this leaving primary's remaining quota credit to the next primary. */
     private void handOverQuotas() {
-        DispatchEvent.QuotasHanded handed = primaryScheduler.handOverQuotas(clock.getAsLong());
+        DispatchEvent.QuotasHandedOver handed = primaryScheduler.handOverQuotas(clock.getAsLong());
         boolean sent = sendToPrimary(handed);
         log.accept(
                 "event=quotas_handed_over home=%s workspaces=%d sent=%s"
--- a/src/main/java/org/orioleshed/gateway/Gateway.java
+++ b/src/main/java/org/orioleshed/gateway/Gateway.java
@@ -100,7 +100,7 @@
     private final Counter acceptedRequests;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final CatalogWatcher watcher;
-    private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
+    private CatalogSnapshot snapshot = CatalogSnapshot.EMPTY;
     private volatile boolean alone = true;
     private final ShutdownPolicy shutdownPolicy;
     private boolean keptAliveClosed;
--- a/src/main/java/org/orioleshed/gateway/HostRegistry.java
+++ b/src/main/java/org/orioleshed/gateway/HostRegistry.java
@@ -120,7 +120,7 @@
             case Store.Result.Entries entries -> failed("write", result);
             case Store.Result.Lease lease -> failed("write", result);
             case Store.Result.Unknown unknown -> failed("write", result);
-            case Store.Result.Unavailable away -> failed("write", result);
+            case Store.Result.Unavailable unavailable -> failed("write", result);
         }
     }
 
--- a/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
+++ b/src/main/java/org/orioleshed/gateway/QuotaHandOver.java
@@ -12,7 +12,7 @@
     /** All hosts receive the notice of a leaving primary within this time. */
     private static final long VALIDITY_NANOS = 1_000_000_000L;
 
-    private Optional<DispatchEvent.QuotasHanded> received = Optional.empty();
+    private Optional<DispatchEvent.QuotasHandedOver> received = Optional.empty();
     private long receivedNanos;
     private long primarySinceNanos;
     private boolean taken = true;
@@ -24,7 +24,7 @@
     }
 
     /** Takes the quota credit of a previous primary. */
-    void received(DispatchEvent.QuotasHanded handed, long nowNanos) {
+    void received(DispatchEvent.QuotasHandedOver handed, long nowNanos) {
         received = Optional.of(handed);
         receivedNanos = nowNanos;
     }
@@ -32,7 +32,7 @@
     /**
      * Returns the quota credit that this host, as the primary, takes over; empty if none applies.
      */
-    Optional<DispatchEvent.QuotasHanded> take(long nowNanos) {
+    Optional<DispatchEvent.QuotasHandedOver> take(long nowNanos) {
         boolean valid =
                 nowNanos - receivedNanos <= VALIDITY_NANOS
                         && nowNanos - primarySinceNanos <= VALIDITY_NANOS;
@@ -40,7 +40,7 @@
             return Optional.empty();
         }
         taken = true;
-        Optional<DispatchEvent.QuotasHanded> result = received;
+        Optional<DispatchEvent.QuotasHandedOver> result = received;
         received = Optional.empty();
         return result;
     }
--- a/src/main/java/org/orioleshed/host/HostCore.java
+++ b/src/main/java/org/orioleshed/host/HostCore.java
@@ -21,8 +21,8 @@
 import org.orioleshed.model.VersionId;
 import org.orioleshed.model.Work;
 import org.orioleshed.request.AcceptedRequests;
-import org.orioleshed.request.Placement;
 import org.orioleshed.request.QuarantinedContent;
+import org.orioleshed.request.ServerSelector;
 import org.orioleshed.routing.Candidate;
 import org.orioleshed.routing.OwnerCore;
 import org.orioleshed.routing.RoutingMessage;
@@ -79,7 +79,7 @@
                         incarnation,
                         limits.request(),
                         random,
-                        new ChooserPlacement(),
+                        new ChooserSelector(),
                         claims,
                         this::emit);
         claims.listener(acceptedRequests);
@@ -198,7 +198,7 @@
     }
 
     /** Offers requests to servers in the order of the {@link ServerChooser}. */
-    private final class ChooserPlacement implements Placement {
+    private final class ChooserSelector implements ServerSelector {
         @Override
         public List<Choice> choices(
                 long nowNanos,
--- a/src/main/java/org/orioleshed/request/AcceptedRequests.java
+++ b/src/main/java/org/orioleshed/request/AcceptedRequests.java
@@ -68,7 +68,7 @@
      * @param incarnation the host's incarnation, which increases with each start
      * @param limits the limits to enforce
      * @param random the source for version selection and backoff jitter
-     * @param placement selects the servers that a model request is offered to
+     * @param selector selects the servers that a model request is offered to
      * @param claims the claims on the keys of non-repeatable calls
      * @param out receives the actions, in order
      */
@@ -78,7 +78,7 @@
             long incarnation,
             RequestLimits limits,
             RandomGenerator random,
-            Placement placement,
+            ServerSelector selector,
             Claims claims,
             Consumer<HostAction> out) {
         this.self = self;
@@ -90,8 +90,7 @@
                 new PoisonWatch(
                         self, new Poison(limits.poisonMillis(), limits.poisonEntries()), out);
         this.outcomes = new OutcomeCache(limits.resultMillis(), limits.resultBytes());
-        this.models =
-                new ModelRequests(limits, random, placement, poison, out, this::onModelClosed);
+        this.models = new ModelRequests(limits, random, selector, poison, out, this::onModelClosed);
         this.services =
                 new ServiceRequests(
                         self, domain, incarnation, limits, random, claims, out, this::onCallClosed);
--- a/src/main/java/org/orioleshed/request/Execution.java
+++ b/src/main/java/org/orioleshed/request/Execution.java
@@ -94,7 +94,7 @@
         final RunId run;
         final Map<ServerId, Offered> offers = new LinkedHashMap<>();
         final List<Refused> refusals = new ArrayList<>();
-        final List<Placement.Choice> untried;
+        final List<ServerSelector.Choice> untried;
         final Set<ServerId> tried = new HashSet<>();
 
         /** Whether all eligible servers have been added to {@link #untried}. */
@@ -104,7 +104,7 @@
         long repeatDelayNanos;
         long widenNanos;
 
-        Offering(RunId run, List<Placement.Choice> candidates) {
+        Offering(RunId run, List<ServerSelector.Choice> candidates) {
             this.run = run;
             this.untried = new ArrayList<>(candidates);
         }
--- a/src/main/java/org/orioleshed/request/ModelRequests.java
+++ b/src/main/java/org/orioleshed/request/ModelRequests.java
@@ -30,8 +30,8 @@
 import org.orioleshed.request.Execution.Relaying;
 import org.orioleshed.request.Execution.Running;
 import org.orioleshed.request.Execution.Waiting;
-import org.orioleshed.request.Placement.Choice;
 import org.orioleshed.request.RequestMessage.Piece;
+import org.orioleshed.request.ServerSelector.Choice;
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.RoutingMessage.Refused;
 import org.orioleshed.routing.RunEnd;
@@ -64,7 +64,7 @@
     private final RandomGenerator random;
     private final ServerChoices servers;
     private final CallerStreams streams;
-    private final Placement placement;
+    private final ServerSelector selector;
     private final PoisonWatch poison;
     private final RetryBudget retries;
     private final RunCanceller canceller;
@@ -84,21 +84,21 @@
     ModelRequests(
             RequestLimits limits,
             RandomGenerator random,
-            Placement placement,
+            ServerSelector selector,
             PoisonWatch poison,
             Consumer<HostAction> out,
             Closed onClosed) {
         this.limits = limits;
         this.random = random;
-        this.servers = new ServerChoices(random, placement, poison, limits.offersAtOnce());
+        this.servers = new ServerChoices(random, selector, poison, limits.offersAtOnce());
         this.streams = new CallerStreams(limits, out);
-        this.placement = placement;
+        this.selector = selector;
         this.poison = poison;
         this.out = out;
         this.onClosed = onClosed;
         this.retries = new RetryBudget(limits.retryShare(), limits.retryBurst());
         this.canceller = new RunCanceller(limits.cancelRepeatMillis(), out);
-        this.offers = new OfferRounds(limits, placement, out);
+        this.offers = new OfferRounds(limits, selector, out);
     }
 
     /**
@@ -385,7 +385,7 @@
         running.silenceDeadlineNanos = nowNanos + nanos(2 * limits.silenceMillis() + prefillMillis);
         execution.state = running;
         execution.mayHaveRun = true;
-        placement.placed(execution.request, server);
+        selector.placed(execution.request, server);
         log("place", execution, server, "granted");
         running.probeDelayNanos = nanos(limits.offerRepeatMillis());
         running.probeNanos = nowNanos + 2 * running.probeDelayNanos;
@@ -464,7 +464,7 @@
         }
         retries.onSuccess();
         poison.succeeded(nowNanos, execution.request.fingerprint());
-        placement.answered(execution.request, receivedTokens);
+        selector.answered(execution.request, receivedTokens);
         end(nowNanos, execution, new Outcome.Answered(receivedTokens, Payload.EMPTY));
     }
 
--- a/src/main/java/org/orioleshed/request/OfferRounds.java
+++ b/src/main/java/org/orioleshed/request/OfferRounds.java
@@ -18,7 +18,7 @@
 import org.orioleshed.model.Work;
 import org.orioleshed.request.Execution.Offered;
 import org.orioleshed.request.Execution.Offering;
-import org.orioleshed.request.Placement.Choice;
+import org.orioleshed.request.ServerSelector.Choice;
 import org.orioleshed.routing.RoutingMessage;
 import org.orioleshed.routing.RoutingMessage.Refused;
 
@@ -36,12 +36,12 @@
     private static final int WIDEN_DOUBLINGS_PER_RANK = 3;
 
     private final RequestLimits limits;
-    private final Placement placement;
+    private final ServerSelector selector;
     private final Consumer<HostAction> out;
 
-    OfferRounds(RequestLimits limits, Placement placement, Consumer<HostAction> out) {
+    OfferRounds(RequestLimits limits, ServerSelector selector, Consumer<HostAction> out) {
         this.limits = limits;
-        this.placement = placement;
+        this.selector = selector;
         this.out = out;
     }
 
@@ -136,7 +136,7 @@
         if (offering.untried.isEmpty() && !offering.complete) {
             offering.complete = true;
             offering.untried.addAll(
-                    placement.choices(
+                    selector.choices(
                             nowNanos,
                             execution.request,
                             execution.version,
--- a/src/main/java/org/orioleshed/request/ServerChoices.java
+++ b/src/main/java/org/orioleshed/request/ServerChoices.java
@@ -12,12 +12,12 @@
 import org.orioleshed.model.RouteId;
 import org.orioleshed.model.ServerId;
 import org.orioleshed.model.VersionId;
-import org.orioleshed.request.Placement.Choice;
+import org.orioleshed.request.ServerSelector.Choice;
 
 /** Selects the version and its servers for the next offers of a model request. */
 final class ServerChoices {
     private final EvenDraws draws;
-    private final Placement placement;
+    private final ServerSelector selector;
     private final PoisonWatch poison;
     private final int offersAtOnce;
     private FleetSnapshot fleet = FleetSnapshot.EMPTY;
@@ -28,9 +28,9 @@
      * @param offersAtOnce the number of servers to select; positive
      */
     ServerChoices(
-            RandomGenerator random, Placement placement, PoisonWatch poison, int offersAtOnce) {
+            RandomGenerator random, ServerSelector selector, PoisonWatch poison, int offersAtOnce) {
         this.draws = new EvenDraws(random);
-        this.placement = placement;
+        this.selector = selector;
         this.poison = poison;
         this.offersAtOnce = offersAtOnce;
     }
@@ -69,8 +69,7 @@
 
     private List<Choice> choicesOf(
             long nowNanos, Request request, Optional<VersionId> version, int receivedTokens) {
-        return placement.choices(
-                nowNanos, request, version, receivedTokens, Set.of(), offersAtOnce);
+        return selector.choices(nowNanos, request, version, receivedTokens, Set.of(), offersAtOnce);
     }
 
     /**
--- a/src/main/java/org/orioleshed/request/Placement.java
+++ b/src/main/java/org/orioleshed/request/ServerSelector.java
@@ -9,7 +9,7 @@
 import org.orioleshed.model.VersionId;
 
 /** Selects the servers that model requests are offered to. */
-public interface Placement {
+public interface ServerSelector {
     /**
      * Returns servers that can run the request, best first, without those that are leaving or
      * unreachable.
--- a/src/main/java/org/orioleshed/rollout/Placement.java
+++ b/src/main/java/org/orioleshed/rollout/VersionPlacement.java
@@ -12,8 +12,8 @@
  * Chooses backend servers for a new version, within their memory and distributed over failure
  * domains.
  */
-public final class Placement {
-    private Placement() {}
+public final class VersionPlacement {
+    private VersionPlacement() {}
 
     /**
      * A backend server that the version may be placed on.
--- a/src/main/java/org/orioleshed/routing/ActiveRun.java
+++ b/src/main/java/org/orioleshed/routing/EngineRun.java
@@ -4,7 +4,7 @@
 import org.orioleshed.model.RunId;
 
 /** A run that holds a slot on an engine, until the engine is confirmed to have ended it. */
-final class ActiveRun {
+final class EngineRun {
     /** Why a run is being stopped. */
     enum StopReason {
         /** The run is not being stopped. */
@@ -38,7 +38,7 @@
     private long stopNanos;
     private long lastCancelNanos;
 
-    ActiveRun(
+    EngineRun(
             WaitingOffer waiting,
             int resumeFromToken,
             int creditTokens,
--- a/src/main/java/org/orioleshed/routing/OfferAdmission.java
+++ b/src/main/java/org/orioleshed/routing/OfferAdmission.java
@@ -85,7 +85,7 @@
             return true;
         }
         // Each preempted run makes room for one more offer, so the queue stays bounded.
-        List<ActiveRun> below = preemption.allBelow(waiting.rank());
+        List<EngineRun> below = preemption.allBelow(waiting.rank());
         below.forEach(run -> runs.preempt(context.nowNanos(), run, "queue-full"));
         return !below.isEmpty();
     }
--- a/src/main/java/org/orioleshed/routing/OwnedServer.java
+++ b/src/main/java/org/orioleshed/routing/OwnedServer.java
@@ -152,7 +152,7 @@
      */
     boolean cancelled(DecisionContext context, RunId run) {
         if (slots.run(run).isPresent()) {
-            runs.stop(context.nowNanos(), slots.run(run).get(), ActiveRun.StopReason.REQUESTED);
+            runs.stop(context.nowNanos(), slots.run(run).get(), EngineRun.StopReason.REQUESTED);
             return true;
         }
         Optional<WaitingOffer> dropped = queue.remove(run);
@@ -176,13 +176,13 @@
     }
 
     void ended(DecisionContext context, RunId run, RunEnd end) {
-        Optional<ActiveRun> ended = slots.run(run);
+        Optional<EngineRun> ended = slots.run(run);
         if (ended.isEmpty()) {
             return;
         }
         boolean wasActive = backoff.active(context.nowNanos());
         runs.ended(context.nowNanos(), ended.get(), end);
-        if (ended.get().stopReason() == ActiveRun.StopReason.PREEMPTED
+        if (ended.get().stopReason() == EngineRun.StopReason.PREEMPTED
                 && slots.run(run).isEmpty()) {
             scheduler.recordPreempted();
         }
@@ -213,9 +213,9 @@
                 slots.release(reservation.waiting().run());
             }
         }
-        for (ActiveRun run : List.copyOf(slots.running())) {
+        for (EngineRun run : List.copyOf(slots.running())) {
             if (gone.test(run.run())) {
-                runs.stop(context.nowNanos(), run, ActiveRun.StopReason.ORPHANED);
+                runs.stop(context.nowNanos(), run, EngineRun.StopReason.ORPHANED);
             }
         }
         dispatch(context);
@@ -272,7 +272,7 @@
         long now = context.nowNanos();
         int allowed = scheduler.allowance(0, now, limit.current(), limit.slots());
         int free = Math.max(0, allowed - slots.inFlight()) + scheduler.freedForUrgent();
-        for (ActiveRun victim : preemption.victims(context, free)) {
+        for (EngineRun victim : preemption.victims(context, free)) {
             runs.preempt(now, victim, "slot-needed");
         }
     }
--- a/src/main/java/org/orioleshed/routing/Preemption.java
+++ b/src/main/java/org/orioleshed/routing/Preemption.java
@@ -49,7 +49,7 @@
      *
      * @param free slots that urgent requests may take without preemption
      */
-    List<ActiveRun> victims(DecisionContext context, int free) {
+    List<EngineRun> victims(DecisionContext context, int free) {
         if (limits.policy() == Policy.NAIVE || slots.running().isEmpty()) {
             return List.of();
         }
@@ -64,19 +64,19 @@
     }
 
     /** Returns all runs of less urgent tiers than {@code rank}, including protected ones. */
-    List<ActiveRun> allBelow(int rank) {
+    List<EngineRun> allBelow(int rank) {
         if (limits.policy() == Policy.NAIVE) {
             return List.of();
         }
         return slots.running().stream().filter(r -> r.rank() > rank && !r.stopping()).toList();
     }
 
-    private List<ActiveRun> choose(DecisionContext context, int needed, boolean lastResort) {
-        Comparator<ActiveRun> order =
-                Comparator.comparing((ActiveRun r) -> isProtected(r, context))
-                        .thenComparing(ActiveRun::rank, Comparator.reverseOrder())
+    private List<EngineRun> choose(DecisionContext context, int needed, boolean lastResort) {
+        Comparator<EngineRun> order =
+                Comparator.comparing((EngineRun r) -> isProtected(r, context))
+                        .thenComparing(EngineRun::rank, Comparator.reverseOrder())
                         .thenComparingLong(r -> speed.wasteMillis(r, context.nowNanos()))
-                        .thenComparing(ActiveRun::run, WaitingOffer.BY_RUN);
+                        .thenComparing(EngineRun::run, WaitingOffer.BY_RUN);
         return slots.running().stream()
                 .filter(r -> r.rank() > 0 && !r.stopping())
                 .filter(r -> lastResort || !isProtected(r, context))
@@ -105,7 +105,7 @@
      * has reached the maximum number of preemptions, or preemption would make it miss a deadline
      * that it can meet otherwise.
      */
-    boolean isProtected(ActiveRun run, DecisionContext context) {
+    boolean isProtected(EngineRun run, DecisionContext context) {
         if (run.waiting().offer().preemptions() >= limits.maxPreemptions()) {
             return true;
         }
--- a/src/main/java/org/orioleshed/routing/ServerRuns.java
+++ b/src/main/java/org/orioleshed/routing/ServerRuns.java
@@ -51,8 +51,8 @@
         Offer offer = waiting.offer();
         int uncached = prefixes.uncachedTokens(offer);
         prefixes.sent(offer.prefixHashes());
-        ActiveRun run =
-                new ActiveRun(
+        EngineRun run =
+                new EngineRun(
                         waiting,
                         placed.resumeFromToken(),
                         placed.creditTokens(),
@@ -73,18 +73,18 @@
 
     /** Adds credit to a run; returns whether the run is on this server. */
     boolean credit(long nowNanos, RunId id, int tokens) {
-        Optional<ActiveRun> run = slots.run(id);
+        Optional<EngineRun> run = slots.run(id);
         run.ifPresent(r -> r.addCredit(tokens));
         run.ifPresent(r -> updatePaused(nowNanos, r));
         return run.isPresent();
     }
 
     void tokens(long nowNanos, HostEvent.RunTokens event) {
-        Optional<ActiveRun> found = slots.run(event.run());
+        Optional<EngineRun> found = slots.run(event.run());
         if (found.isEmpty()) {
             return;
         }
-        ActiveRun run = found.get();
+        EngineRun run = found.get();
         backoff.succeeded();
         recordTokens(nowNanos, run, event);
         boolean forwards =
@@ -103,7 +103,7 @@
     }
 
     /** Sends a cancel to the engine; the run holds its slot until the engine confirms its end. */
-    void stop(long nowNanos, ActiveRun run, ActiveRun.StopReason reason) {
+    void stop(long nowNanos, EngineRun run, EngineRun.StopReason reason) {
         if (run.stopping()) {
             return;
         }
@@ -112,8 +112,8 @@
     }
 
     /** Cancels a run so that a more urgent request gets its slot. */
-    void preempt(long nowNanos, ActiveRun victim, String reason) {
-        stop(nowNanos, victim, ActiveRun.StopReason.PREEMPTED);
+    void preempt(long nowNanos, EngineRun victim, String reason) {
+        stop(nowNanos, victim, EngineRun.StopReason.PREEMPTED);
         outbox.log(
                 "preempt",
                 victim.run(),
@@ -123,11 +123,11 @@
                 reason);
     }
 
-    void ended(long nowNanos, ActiveRun run, RunEnd end) {
+    void ended(long nowNanos, EngineRun run, RunEnd end) {
         updateBackoff(nowNanos, end);
         if (end instanceof RunEnd.Broken broken && !broken.confirmedEnded() && !broken.crashed()) {
-            if (run.stopReason() != ActiveRun.StopReason.CONNECTION_LOST) {
-                run.stop(ActiveRun.StopReason.CONNECTION_LOST, nowNanos);
+            if (run.stopReason() != EngineRun.StopReason.CONNECTION_LOST) {
+                run.stop(EngineRun.StopReason.CONNECTION_LOST, nowNanos);
                 outbox.add(new HostAction.CancelRun(run.run(), server));
             }
             return;
@@ -140,7 +140,7 @@
     }
 
     void tick(long nowNanos) {
-        for (ActiveRun run : List.copyOf(slots.running())) {
+        for (EngineRun run : List.copyOf(slots.running())) {
             if (run.stopping()) {
                 repeatCancel(nowNanos, run);
             } else if (isStalled(nowNanos, run)) {
@@ -151,14 +151,14 @@
                         server,
                         server + ":" + run.generatedTokens(),
                         "no-token-for-too-long");
-                stop(nowNanos, run, ActiveRun.StopReason.STALLED);
+                stop(nowNanos, run, EngineRun.StopReason.STALLED);
             } else if (nowNanos - run.waiting().deadlineNanos() > DEADLINE_GRACE_NANOS) {
-                stop(nowNanos, run, ActiveRun.StopReason.ORPHANED);
+                stop(nowNanos, run, EngineRun.StopReason.ORPHANED);
             }
         }
     }
 
-    private void recordTokens(long nowNanos, ActiveRun run, HostEvent.RunTokens event) {
+    private void recordTokens(long nowNanos, EngineRun run, HostEvent.RunTokens event) {
         boolean first = !run.hasTokens();
         long gapMicros = run.tokens(event.firstToken(), event.count(), nowNanos);
         WaitingOffer waiting = run.waiting();
@@ -175,7 +175,7 @@
         }
     }
 
-    private void updatePaused(long nowNanos, ActiveRun run) {
+    private void updatePaused(long nowNanos, EngineRun run) {
         boolean pause = run.creditSpent();
         if (pause != run.paused() && !run.stopping()) {
             run.setPaused(pause, nowNanos);
@@ -200,7 +200,7 @@
      * Returns the end to report, given the end at the engine and the reason why the run was
      * stopped.
      */
-    private static RunEnd effectiveEnd(ActiveRun run, RunEnd end) {
+    private static RunEnd effectiveEnd(EngineRun run, RunEnd end) {
         if (!(end instanceof RunEnd.Cancelled)) {
             return end;
         }
@@ -211,14 +211,14 @@
         };
     }
 
-    private void reportEnd(ActiveRun run, RunEnd end) {
+    private void reportEnd(EngineRun run, RunEnd end) {
         if (!run.endReported()) {
             run.markEndReported();
             outbox.sendEnded(run.from(), run.run(), end);
         }
     }
 
-    private void repeatCancel(long nowNanos, ActiveRun run) {
+    private void repeatCancel(long nowNanos, EngineRun run) {
         long sinceStop = nowNanos - run.stopNanos();
         if (sinceStop > CANCEL_TIMEOUT_NANOS) {
             reportEnd(run, new RunEnd.Broken(false, false));
@@ -229,7 +229,7 @@
         }
     }
 
-    private boolean isStalled(long nowNanos, ActiveRun run) {
+    private boolean isStalled(long nowNanos, EngineRun run) {
         if (run.paused()) {
             return false;
         }
--- a/src/main/java/org/orioleshed/routing/ServerSpeed.java
+++ b/src/main/java/org/orioleshed/routing/ServerSpeed.java
@@ -110,13 +110,13 @@
     }
 
     /** Returns the expected time until {@code run} ends, in milliseconds. */
-    long remainingMillis(ActiveRun run, long nowNanos) {
+    long remainingMillis(EngineRun run, long nowNanos) {
         Offer offer = run.waiting().offer();
         return run.remainingMillis(nowNanos, expectedTokens(offer), gapMicros(offer.route()));
     }
 
     /** Returns the work that a preemption of {@code run} would waste, in milliseconds. */
-    long wasteMillis(ActiveRun run, long nowNanos) {
+    long wasteMillis(EngineRun run, long nowNanos) {
         long gapMicros = gapMicros(run.waiting().offer().route());
         return run.wasteMillis(nowNanos, server.canResume(), gapMicros);
     }
--- a/src/main/java/org/orioleshed/routing/Slots.java
+++ b/src/main/java/org/orioleshed/routing/Slots.java
@@ -10,7 +10,7 @@
 /** The slots of one engine that are in use: those reserved by a grant, and those held by runs. */
 final class Slots {
     private final Map<RunId, Reservation> reserved = new LinkedHashMap<>();
-    private final Map<RunId, ActiveRun> running = new LinkedHashMap<>();
+    private final Map<RunId, EngineRun> running = new LinkedHashMap<>();
 
     int inFlight() {
         return reserved.size() + running.size();
@@ -22,14 +22,14 @@
 
     /** Returns whether no accepting host waits for a response. */
     boolean isIdle() {
-        return reserved.isEmpty() && running.values().stream().allMatch(ActiveRun::endReported);
+        return reserved.isEmpty() && running.values().stream().allMatch(EngineRun::endReported);
     }
 
     boolean isEmpty() {
         return reserved.isEmpty() && running.isEmpty();
     }
 
-    Collection<ActiveRun> running() {
+    Collection<EngineRun> running() {
         return running.values();
     }
 
@@ -37,7 +37,7 @@
         return reserved.values();
     }
 
-    Optional<ActiveRun> run(RunId run) {
+    Optional<EngineRun> run(RunId run) {
         return Optional.ofNullable(running.get(run));
     }
 
@@ -53,7 +53,7 @@
         return Optional.ofNullable(reserved.remove(run));
     }
 
-    void start(ActiveRun run) {
+    void start(EngineRun run) {
         reserved.remove(run.run());
         running.put(run.run(), run);
     }
@@ -83,7 +83,7 @@
     private Stream<Integer> ranks() {
         return Stream.concat(
                 reserved.values().stream().map(r -> r.waiting().rank()),
-                running.values().stream().map(ActiveRun::rank));
+                running.values().stream().map(EngineRun::rank));
     }
 
     /**
--- a/src/main/java/org/orioleshed/routing/WaitEstimate.java
+++ b/src/main/java/org/orioleshed/routing/WaitEstimate.java
@@ -57,7 +57,7 @@
             return 0;
         }
         long totalMillis = 0;
-        for (ActiveRun run : slots.running()) {
+        for (EngineRun run : slots.running()) {
             totalMillis += speed.remainingMillis(run, nowNanos);
         }
         return totalMillis / slots.runningCount();
--- a/src/main/java/org/orioleshed/trial/EngineQueues.java
+++ b/src/main/java/org/orioleshed/trial/EngineQueues.java
@@ -6,7 +6,7 @@
  * Sends each request immediately to an engine, where it is queued in order of arrival. The engine
  * is the one with the lower last reported load of two random choices.
  */
-final class EngineQueues implements Policy {
+final class EngineQueues implements TrialPolicy {
     private final Context context;
     private final RandomGenerator random;
     private final long reportIntervalNanos;
--- a/src/main/java/org/orioleshed/trial/OneQueue.java
+++ b/src/main/java/org/orioleshed/trial/OneQueue.java
@@ -7,7 +7,7 @@
  * A single queue in front of all engines. Each engine gets at most as many runs as it has slots; no
  * request is refused.
  */
-final class OneQueue implements Policy {
+final class OneQueue implements TrialPolicy {
     /** Orders requests by arrival. */
     static final Comparator<TrialRequest> BY_ARRIVAL =
             Comparator.comparingLong((TrialRequest request) -> request.arrivalNanos)
--- a/src/main/java/org/orioleshed/trial/PolicyTrial.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrial.java
@@ -8,7 +8,7 @@
 import java.util.function.BiFunction;
 
 /** Simulates one policy under a load pattern. The same seed gives the same result. */
-final class PolicyTrial implements Policy.Context, SimulatedEngine.Listener {
+final class PolicyTrial implements TrialPolicy.Context, SimulatedEngine.Listener {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long TICK_INTERVAL_NANOS = 20 * SimulatedEngine.NANOS_PER_MILLI;
 
@@ -25,7 +25,7 @@
                     Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::sequence));
     private final List<TrialRequest> requests = new ArrayList<>();
     private final int[] inFlight;
-    private final Policy policy;
+    private final TrialPolicy policy;
     private long nowNanos;
     private long nextSequence;
 
@@ -42,7 +42,7 @@
             SimulatedEngine.Spec spec,
             double[] speeds,
             long seed,
-            BiFunction<Policy.Context, SplittableRandom, Policy> policyFactory) {
+            BiFunction<TrialPolicy.Context, SplittableRandom, TrialPolicy> policyFactory) {
         this.pattern = pattern;
         this.inFlight = new int[speeds.length];
         SplittableRandom random = new SplittableRandom(seed);
--- a/src/main/java/org/orioleshed/trial/PolicyTrials.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrials.java
@@ -22,13 +22,14 @@
     /** The interval of load reports. */
     private static final long REPORT_INTERVAL_MILLIS = 1_500;
 
-    private static final Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>>
+    private static final Map<String, BiFunction<TrialPolicy.Context, SplittableRandom, TrialPolicy>>
             POLICIES = policies();
 
     private PolicyTrials() {}
 
-    private static Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>> policies() {
-        Map<String, BiFunction<Policy.Context, SplittableRandom, Policy>> policies =
+    private static Map<String, BiFunction<TrialPolicy.Context, SplittableRandom, TrialPolicy>>
+            policies() {
+        Map<String, BiFunction<TrialPolicy.Context, SplittableRandom, TrialPolicy>> policies =
                 new LinkedHashMap<>();
         policies.put("engine-queues", (context, random) -> new EngineQueues(context, random, 0));
         policies.put(
--- a/src/main/java/org/orioleshed/trial/PrimaryPolicy.java
+++ b/src/main/java/org/orioleshed/trial/PrimaryPolicy.java
@@ -25,7 +25,7 @@
 import org.orioleshed.model.VersionId;
 
 /** The policy of this project: {@link Scheduler} as the primary of the pool. */
-final class PrimaryPolicy implements Policy {
+final class PrimaryPolicy implements TrialPolicy {
     private static final ServiceId SERVICE = new ServiceId("engines");
     private static final FailureDomain DOMAIN = new FailureDomain("d");
     private static final HostId HOST = new HostId("h");
--- a/src/main/java/org/orioleshed/trial/Policy.java
+++ b/src/main/java/org/orioleshed/trial/TrialPolicy.java
@@ -1,7 +1,7 @@
 package org.orioleshed.trial;
 
 /** A policy that queues, places and refuses requests. */
-interface Policy {
+interface TrialPolicy {
     /** Called when a caller sends a request, for the first time or as a retry. */
     void onArrival(TrialRequest request, long nowNanos);
 
--- a/src/test/java/org/orioleshed/catalog/CatalogWatcherTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogWatcherTest.java
@@ -27,7 +27,7 @@
     public void open() {
         executor = Executors.newSingleThreadScheduledExecutor();
         store = new MemoryStore();
-        latest = CatalogSnapshot.NOTHING;
+        latest = CatalogSnapshot.EMPTY;
         watcher =
                 new CatalogWatcher(
                         store, new PlainDecoder(1), executor, new SplittableRandom(1), line -> {});
--- a/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
+++ b/src/test/java/org/orioleshed/dispatch/DispatchCodecProperties.java
@@ -123,7 +123,7 @@
     void handedOverQuotasRoundTrip(@ForAll @DoubleRange(min = -20, max = 1) double part)
             throws BadMessageException {
         assertRoundTrip(
-                new DispatchEvent.QuotasHanded(
+                new DispatchEvent.QuotasHandedOver(
                         Map.of(new WorkspaceId("v"), part, new WorkspaceId("w"), 1.0)));
     }
 
--- a/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
+++ b/src/test/java/org/orioleshed/gateway/QuotaHandOverTest.java
@@ -11,8 +11,8 @@
 /** Tests of {@link QuotaHandOver}: when quota credit from a leaving primary is taken over. */
 public class QuotaHandOverTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final DispatchEvent.QuotasHanded HANDED =
-            new DispatchEvent.QuotasHanded(Map.of(new WorkspaceId("w"), 0.5));
+    private static final DispatchEvent.QuotasHandedOver HANDED =
+            new DispatchEvent.QuotasHandedOver(Map.of(new WorkspaceId("w"), 0.5));
 
     @DataProvider
     Object[][] moments() {
--- a/src/test/java/org/orioleshed/gateway/SteppedHost.java
+++ b/src/test/java/org/orioleshed/gateway/SteppedHost.java
@@ -61,7 +61,7 @@
     private final Map<RunKey, Long> endNanos = new HashMap<>();
     private final Map<RunKey, Long> units = new HashMap<>();
     private final Map<ServerId, Long> limitsSeenNanos = new HashMap<>();
-    private CatalogSnapshot snapshot = CatalogSnapshot.NOTHING;
+    private CatalogSnapshot snapshot = CatalogSnapshot.EMPTY;
     private boolean wasUnavailable;
     private boolean listed;
     private long watched;
--- a/src/test/java/org/orioleshed/rollout/PlacementTest.java
+++ b/src/test/java/org/orioleshed/rollout/VersionPlacementTest.java
@@ -14,14 +14,16 @@
  * Guards against versions placed beyond the memory of servers or in few failure domains, and
  * against too many or too frequent weight loads.
  */
-public class PlacementTest {
-    private static Placement.Candidate candidate(String id, String domain, long memory, long used) {
-        return new Placement.Candidate(new ServerId(id), new FailureDomain(domain), memory, used);
+public class VersionPlacementTest {
+    private static VersionPlacement.Candidate candidate(
+            String id, String domain, long memory, long used) {
+        return new VersionPlacement.Candidate(
+                new ServerId(id), new FailureDomain(domain), memory, used);
     }
 
     @DataProvider
     Object[][] placements() {
-        List<Placement.Candidate> candidates =
+        List<VersionPlacement.Candidate> candidates =
                 List.of(
                         candidate("a1", "a", 80, 10),
                         candidate("a2", "a", 80, 0),
@@ -37,18 +39,22 @@
 
     @Test(dataProvider = "placements")
     public void distributesOverDomainsWithinMemory(
-            List<Placement.Candidate> candidates, long bytes, int wanted, List<String> expected) {
-        Placement.Result result = Placement.place(bytes, wanted, candidates);
+            List<VersionPlacement.Candidate> candidates,
+            long bytes,
+            int wanted,
+            List<String> expected) {
+        VersionPlacement.Result result = VersionPlacement.place(bytes, wanted, candidates);
         List<ServerId> servers = expected.stream().map(ServerId::new).toList();
-        assertEquals(result, new Placement.Result.Placed(servers));
+        assertEquals(result, new VersionPlacement.Result.Placed(servers));
     }
 
     @Test
     public void reportsTooLittleMemory() {
-        List<Placement.Candidate> candidates =
+        List<VersionPlacement.Candidate> candidates =
                 List.of(candidate("a1", "a", 80, 50), candidate("a2", "a", 80, 0));
         assertEquals(
-                Placement.place(40, 2, candidates), new Placement.Result.TooLittleMemory(2, 1));
+                VersionPlacement.place(40, 2, candidates),
+                new VersionPlacement.Result.TooLittleMemory(2, 1));
     }
 
     @Test
