--- a/src/main/java/org/orioleshed/backend/EngineStream.java
+++ b/src/main/java/org/orioleshed/backend/EngineStream.java
@@ -110,7 +110,7 @@
             reading = true;
             return readEvents(new LineReader(body, limits.maxLineBytes()));
         } catch (ConnectException e) {
-            // Nothing listens: this run was never there, and an engine that died has no runs.
+            // Nothing listens: the run never started, and a crashed engine has no runs.
             return cancelled.get() ? new RunEnd.Cancelled(0) : new RunEnd.Broken(true, true);
         } catch (HttpConnectTimeoutException e) {
             return new RunEnd.Broken(false, true);
--- a/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogSnapshot.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Returns whether another host has seen a later change.
+     * Returns whether another host has received a later change.
      *
      * @param operatorsChanged the revision of the last change to operators' entries that it has
      *     seen
--- a/src/main/java/org/orioleshed/catalog/CatalogState.java
+++ b/src/main/java/org/orioleshed/catalog/CatalogState.java
@@ -14,7 +14,7 @@
 
 /**
  * The configuration, rollout orders and servers that one host has received from the store and from
- * peers. Revisions never decrease, in whatever order updates arrive.
+ * peers. Revisions never decrease, regardless of the order in which updates arrive.
  */
 public final class CatalogState {
     /**
@@ -263,7 +263,7 @@
         if (change.changed() <= serversRevision || change.since() > serversRevision) {
             return false;
         }
-        if (change.isWhole()) {
+        if (change.isComplete()) {
             list(change.entries(), change.revision(), change.settled(), nowNanos, "peer");
             serversChanged = Math.max(serversChanged, change.changed());
             return true;
--- a/src/main/java/org/orioleshed/catalog/EntryChange.java
+++ b/src/main/java/org/orioleshed/catalog/EntryChange.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns whether the entries are complete, rather than a difference. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return since == 0;
     }
 }
--- a/src/main/java/org/orioleshed/control/ControlEvent.java
+++ b/src/main/java/org/orioleshed/control/ControlEvent.java
@@ -63,7 +63,7 @@
     record DocumentRequested(CompletableFuture<Optional<SettingsDocument>> answer)
             implements ControlEvent {}
 
-    /** The host was asked to stop. */
+    /** A stop of the host was requested. */
     record DrainRequested() implements ControlEvent {}
 
     /** A key or prefix of the store that the control duty follows. */
--- a/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchCodec.java
@@ -274,7 +274,7 @@
             case NO_SERVER -> DispatchAction.Reason.NO_SERVER;
             case HELD -> DispatchAction.Reason.HELD;
             case NONE, UNRECOGNIZED ->
-                    throw new BadMessageException("refusal without a known reason");
+                    throw new BadMessageException("refusal must have a reason, found " + reason);
         };
     }
 
--- a/src/main/java/org/orioleshed/dispatch/VersionJudge.java
+++ b/src/main/java/org/orioleshed/dispatch/VersionJudge.java
@@ -103,13 +103,13 @@
                         < HARMFUL_SHIFT + ALLOWED_SERVER_ERRORS * allowance(shift);
     }
 
-    /** Returns whether nothing in the evidence since some moment speaks against the new version. */
+    /** Returns whether nothing in the evidence since some moment counts against the new version. */
     static boolean isSoundInSubset(RolloutEvidence subset) {
         return isSound(subset, 1);
     }
 
     /**
-     * Returns whether nothing in a subset of the evidence speaks against the new version.
+     * Returns whether nothing in a subset of the evidence counts against the new version.
      *
      * @param errors the number of standard sampling errors that count against it
      */
--- a/src/main/java/org/orioleshed/dispatch/VersionRollout.java
+++ b/src/main/java/org/orioleshed/dispatch/VersionRollout.java
@@ -170,9 +170,9 @@
     }
 
     /**
-     * Records how long an answer took. Ignored during warmup: times of cold servers say nothing
-     * about their version, and times of old servers are skipped for the same period to keep the
-     * comparison fair.
+     * Records how long an answer took. Ignored during warmup: times of cold servers indicate
+     * nothing about their version, and times of old servers are skipped for the same period to keep
+     * the comparison fair.
      *
      * @param slowness its time relative to the expected time in the pool; positive
      */
@@ -296,7 +296,7 @@
     }
 
     /**
-     * Returns whether the evidence of the current step, once it is over, speaks against the new
+     * Returns whether the evidence of the current step, once it is over, counts against the new
      * version.
      */
     private boolean isStepFailing(long nowNanos) {
--- a/src/main/java/org/orioleshed/fleet/EntryHost.java
+++ b/src/main/java/org/orioleshed/fleet/EntryHost.java
@@ -5,7 +5,7 @@
 import org.orioleshed.model.HostId;
 
 /**
- * An entry host as its peers see it.
+ * An entry host in its peers' membership view.
  *
  * @param id the host
  * @param domain its failure domain
--- a/src/main/java/org/orioleshed/gateway/CatalogFeed.java
+++ b/src/main/java/org/orioleshed/gateway/CatalogFeed.java
@@ -45,7 +45,7 @@
     /**
      * Replays everything in force to a scheduler and returns the resulting actions.
      *
-     * @param seesAllResponses whether the scheduler sees the responses of all servers
+     * @param seesAllResponses whether the scheduler receives the responses of all servers
      */
     List<DispatchAction> replay(Scheduler scheduler, boolean seesAllResponses, long nowNanos) {
         List<DispatchEvent> events = new ArrayList<>();
--- a/src/main/java/org/orioleshed/gateway/Dispatcher.java
+++ b/src/main/java/org/orioleshed/gateway/Dispatcher.java
@@ -200,7 +200,7 @@
         return notices.avoided(clock.getAsLong());
     }
 
-    /** Returns whether a server is draining, or asked this host to send nothing now. */
+    /** Returns whether a server is draining, or requested that this host send nothing now. */
     boolean avoids(PoolServer server) {
         return server.draining() || notices.avoids(server, clock.getAsLong());
     }
--- a/src/main/java/org/orioleshed/gateway/FleetView.java
+++ b/src/main/java/org/orioleshed/gateway/FleetView.java
@@ -22,7 +22,9 @@
 
 /** This host's view of the other hosts, and which of them is the primary of the pools. */
 final class FleetView {
-    /** A dead host may only be cut off and still use quotas, so it counts this long. */
+    /**
+     * A host declared dead may be only partitioned and still use quotas, so it counts this long.
+     */
     private static final long QUOTA_RETENTION_NANOS = 15_000_000_000L;
 
     private static final int WATCHERS_PER_DOMAIN = 2;
--- a/src/main/java/org/orioleshed/gateway/Gateway.java
+++ b/src/main/java/org/orioleshed/gateway/Gateway.java
@@ -222,7 +222,7 @@
         loop.execute(() -> dispatcher.rolloutRecorded(order, outcome));
     }
 
-    /** Returns whether this host sees no other; may be called from any thread. */
+    /** Returns whether this host has no live peer; may be called from any thread. */
     public boolean isAlone() {
         return alone;
     }
--- a/src/main/java/org/orioleshed/gateway/HostRegistry.java
+++ b/src/main/java/org/orioleshed/gateway/HostRegistry.java
@@ -24,7 +24,7 @@
     private static final long RENEWAL_INTERVAL_MILLIS = 15_000;
 
     /**
-     * The interval at which a host that sees no other lists the registrations, and at which a
+     * The interval at which a host without live peers lists the registrations, and at which a
      * failed registration is retried.
      */
     private static final long RETRY_INTERVAL_MILLIS = 2_000;
@@ -46,7 +46,7 @@
      * @param store the store that holds the registrations
      * @param self this host's peer address
      * @param executor runs all work of the registry
-     * @param alone returns whether this host sees no other; called on the executor's thread
+     * @param alone returns whether this host has no live peer; called on the executor's thread
      * @param found receives other hosts' peer addresses, on the executor's thread
      * @param log receives log lines
      */
--- a/src/main/java/org/orioleshed/gateway/LogRing.java
+++ b/src/main/java/org/orioleshed/gateway/LogRing.java
@@ -79,7 +79,7 @@
             out.write(text.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
         } catch (IOException e) {
-            // The log's reader is gone; requests are still served, and the loss is counted.
+            // The log's reader has closed; requests are still served, and the loss is counted.
             dropped.incrementAndGet();
         }
     }
--- a/src/main/java/org/orioleshed/gateway/PrimaryLink.java
+++ b/src/main/java/org/orioleshed/gateway/PrimaryLink.java
@@ -13,7 +13,7 @@
     /** Requests queued at a primary that responds to nothing are placed locally after this time. */
     private static final long LOST_NANOS = 300_000_000L;
 
-    /** A primary that responded within this time counts as alive, whatever membership reports. */
+    /** A primary that responded within this time counts as alive, regardless of membership. */
     private static final long RESPONSIVE_NANOS = 500_000_000L;
 
     private final HostId self;
--- a/src/main/java/org/orioleshed/gateway/ServerNotices.java
+++ b/src/main/java/org/orioleshed/gateway/ServerNotices.java
@@ -148,7 +148,7 @@
 
     /**
      * Takes a change of the servers in force. A notice ends when its server has restarted, or when
-     * its entry no longer says that it is draining; it outlasts the removal of the entry.
+     * its entry no longer marks it as draining; it outlasts the removal of the entry.
      */
     void serversChanged(Collection<PoolServer> servers) {
         if (notices.isEmpty()) {
--- a/src/main/java/org/orioleshed/host/HostEvent.java
+++ b/src/main/java/org/orioleshed/host/HostEvent.java
@@ -76,7 +76,7 @@
     /** The membership view, the settings or the traffic split changed. */
     record FleetChanged(FleetSnapshot fleet) implements HostEvent {}
 
-    /** The process was asked to stop: accept nothing new and finish what runs. */
+    /** A stop of the process was requested: accept nothing new and finish what runs. */
     record DrainRequested() implements HostEvent {}
 
     /**
--- a/src/main/java/org/orioleshed/membership/Member.java
+++ b/src/main/java/org/orioleshed/membership/Member.java
@@ -67,7 +67,7 @@
         return new Member(id, domain, address, incarnation, newVersion, newLeaving, newHealth);
     }
 
-    /** Returns the host as the placement code sees it. */
+    /** Returns the host in the form that the placement code uses. */
     public EntryHost toEntryHost() {
         EntryHost.State state =
                 switch (health) {
--- a/src/main/java/org/orioleshed/model/Work.java
+++ b/src/main/java/org/orioleshed/model/Work.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The work that a request asks for. */
+/** The work that a request requires. */
 public sealed interface Work {
     /**
      * Text generation by a model engine.
--- a/src/main/java/org/orioleshed/routing/RoutingCodec.java
+++ b/src/main/java/org/orioleshed/routing/RoutingCodec.java
@@ -73,7 +73,7 @@
         } catch (InvalidProtocolBufferException e) {
             throw new BadMessageException("not a routing message", e);
         } catch (IllegalArgumentException e) {
-            throw new BadMessageException("bad routing message: " + e.getMessage(), e);
+            throw new BadMessageException("invalid routing message: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/org/orioleshed/trial/PolicyTrials.java
+++ b/src/main/java/org/orioleshed/trial/PolicyTrials.java
@@ -11,7 +11,7 @@
 
 /** Compares the policy of this project with simpler policies under the same load patterns. */
 public final class PolicyTrials {
-    /** The speeds of the engines of half a dozen machines, which differ by a factor of three. */
+    /** The speeds of the engines of about six machines, which differ by a factor of three. */
     private static final double[] SPEEDS = {
         0.55, 0.7, 0.8, 0.9, 1, 1, 1.1, 1.2, 1.3, 1.45, 1.6,
     };
--- a/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
+++ b/src/test/java/org/orioleshed/catalog/CatalogStateTest.java
@@ -52,7 +52,7 @@
         ahead.put(entry("d", 4), "store");
         ahead.remove("servers/a", 5, true, 0, "store");
         EntryChange change = sendChange(ahead, behind, true);
-        assertFalse(change.isWhole());
+        assertFalse(change.isComplete());
         assertEquals(change.entries(), List.of(entry("d", 4)));
         assertEquals(servers(behind), Set.of("b", "c", "d"));
     }
@@ -64,7 +64,7 @@
         behind.list(List.of(entry("gone", 1)), 1, true, 0, "store");
         ahead.list(List.of(entry("a", 2)), 3, true, 0, "store");
         ahead.put(entry("b", 4), "store");
-        assertTrue(sendChange(ahead, behind, true).isWhole());
+        assertTrue(sendChange(ahead, behind, true).isComplete());
         assertEquals(servers(behind), Set.of("a", "b"));
     }
 
