--- a/src/main/java/org/orioleshed/load/RequestSender.java
+++ b/src/main/java/org/orioleshed/load/RequestSender.java
@@ -78,7 +78,7 @@
 
     private static Reply errorReply(JsonNode error) {
         if (!error.path("ran").isTextual()) {
-            return new Reply.Broken("error response has no text field ran");
+            return new Reply.Broken("an error without the word whether it ran");
         }
         return new Reply.ErrorReply(
                 error.path("code").asText(),
--- a/src/main/java/org/orioleshed/request/ModelRequests.java
+++ b/src/main/java/org/orioleshed/request/ModelRequests.java
@@ -803,7 +803,7 @@
     }
 
     private static Outcome retriesSpent() {
-        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run was interrupted");
+        return new Outcome.Failed(FailReason.RETRIES_SPENT, "the run broke off");
     }
 
     private static Outcome poisoned(Execution execution) {
--- a/src/main/java/org/orioleshed/request/ServiceRequests.java
+++ b/src/main/java/org/orioleshed/request/ServiceRequests.java
@@ -355,7 +355,7 @@
         switch (reported.status()) {
             case RequestStatus.Pending pending -> {}
             case RequestStatus.Unknown unknown -> {
-                String detail = "the host that sent the call no longer has its outcome";
+                String detail = "the host that sent the call no longer knows its outcome";
                 end(nowNanos, call, new Outcome.InDoubt(detail));
             }
             case RequestStatus.Final end when end.outcome() instanceof Outcome.NotRun ->
--- a/src/main/java/org/orioleshed/request/StatusInquiries.java
+++ b/src/main/java/org/orioleshed/request/StatusInquiries.java
@@ -159,7 +159,7 @@
             case RequestStatus.Pending pending -> end(inquiry, pending);
             case RequestStatus.Final end -> end(inquiry, end);
             case RequestStatus.Unknown unknown when reported.claim().isPresent() -> {
-                String detail = "the host that sent the call no longer has its outcome";
+                String detail = "the host that sent the call no longer knows its outcome";
                 end(inquiry, new RequestStatus.Final(new Outcome.InDoubt(detail)));
             }
             case RequestStatus.Unknown unknown -> {
