--- a/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
+++ b/src/main/java/org/orioleshed/dispatch/DispatchEvent.java
@@ -40,7 +40,7 @@
     /** A run ended. */
     record Ended(RunKey run, RunReport report) implements DispatchEvent {}
 
-    /** A host has stopped or is no longer live; its runs and queued requests are removed. */
+    /** A host is no longer live; its runs and queued requests are removed. */
     record HostGone(HostId host) implements DispatchEvent {}
 
     /**
